--- a/benchmarks/capacity/counter_service.py
+++ b/benchmarks/capacity/counter_service.py
@@ -15,7 +15,7 @@
 from benchmarks.capacity.counter_store import target
 from benchmarks.capacity.probe import COUNTER, Probe, Values
 from benchmarks.capacity.resources import process_cpu_s
-from yewstage.counter.service import CONNECTIONS as CONNECTIONS_AN_ADDRESS
+from hillmux.counter.service import CONNECTIONS as CONNECTIONS_AN_ADDRESS
 
 LOOP = "127.0.0.1"
 NAMES = 10_000
@@ -61,7 +61,7 @@
 def measure(size: int, seed: int) -> Values:
     """Our own counter with so many connections, each of which always has calls out."""
     process = subprocess.Popen(
-        [sys.executable, "-m", "yewstage.cli", "counter", "--listen", f"{LOOP}:0"],
+        [sys.executable, "-m", "hillmux.cli", "counter", "--listen", f"{LOOP}:0"],
         text=True,
         stderr=subprocess.PIPE,
     )
--- a/benchmarks/capacity/counter_store.py
+++ b/benchmarks/capacity/counter_store.py
@@ -6,8 +6,8 @@
 
 from benchmarks.capacity.probe import COUNTER, Probe, Values
 from benchmarks.capacity.resources import MemoryGrowth, median_cpu_s
-from yewstage.counter.store import MOST_NAMES, Store, total_text
-from yewstage.counter.wire import parse
+from hillmux.counter.store import MOST_NAMES, Store, total_text
+from hillmux.counter.wire import parse
 
 NOW_MS = 1e6
 LIFE_MS = 60_000
--- a/benchmarks/capacity/counting.py
+++ b/benchmarks/capacity/counting.py
@@ -1,6 +1,6 @@
 """Hollow probes of how gateways share quotas through the counter: calls, bytes, refusals, units beyond.
 
-All play `yewstage.lab.virtual.counting`: the decision modules are the program's own and not compiled, hosts,
+All play `hillmux.lab.virtual.counting`: the decision modules are the program's own and not compiled, hosts,
 clients and counter are modelled, time is virtual. Customers ask evenly at random, one unit a request.
 """
 
@@ -12,10 +12,11 @@
 from benchmarks.capacity.probe import COUNTER, GATEWAY, Probe, Values
 from benchmarks.capacity.resident import resident_bytes
 from benchmarks.capacity.size import FULL
-from yewstage import interface as api
-from yewstage.lab.virtual.counter import CounterModel
-from yewstage.lab.virtual.counting import CLASS, CLIENT_LEFT_MS, START_MS, CountingFleet, Figures, Scenario
-from yewstage.policy import Gateway
+from hillmux import interface as api
+from hillmux.decision.gateway import Gateway
+from hillmux.interface import AttemptResult, ListKind
+from hillmux.lab.virtual.counter import CounterModel
+from hillmux.lab.virtual.counting import CLASS, CLIENT_LEFT_MS, START_MS, CountingFleet, Figures, Scenario
 
 MEGABYTE = 1e6
 ASKED_PER_S = 2.3  # requests a second of one customer
@@ -130,10 +131,10 @@
     """Each customer asks once; all are known at the end."""
     plan = api.Plan("plan", rate=2 * ASKED_PER_S, burst=BURST_S * 2 * ASKED_PER_S)
     settings = api.Settings(
-        (CLASS,), (plan,), fleet_size=FULL.gateways, may_count=True, most_customers=customers
+        (CLASS,), (plan,), fleet_size=FULL.gateways, counter_available=True, max_customers=customers
     )
     gateway = Gateway(settings, seed)
-    gateway.handle(START_MS, api.ServerList("full", (api.Server("host-0"),)))
+    gateway.handle(START_MS, api.EndpointList(ListKind.FULL, (api.Endpoint("host-0"),)))
     gc.collect()
     before = resident_bytes()
     for number in range(customers):
@@ -148,11 +149,11 @@
     )
     actions = gateway.handle(now, request)
     for act in actions:
-        if isinstance(act, api.Count):
-            actions = gateway.handle(now, api.CountReply(act.name, api.OK, act.amount, 10.0))
+        if isinstance(act, api.IncrementCounter):
+            actions = gateway.handle(now, api.CounterReply(act.name, AttemptResult.OK, act.amount, 10.0))
     for act in actions:
-        if isinstance(act, api.Send):
-            gateway.handle(now, api.Outcome(act.request, 0, act.server, api.OK, 20.0, True))
+        if isinstance(act, api.SendAttempt):
+            gateway.handle(now, api.AttemptEnded(act.request_id, 0, act.host, AttemptResult.OK, 20.0, True))
 
 
 SET_AXIS = "gateways that serve a customer"
--- a/benchmarks/capacity/hosts.py
+++ b/benchmarks/capacity/hosts.py
@@ -10,9 +10,9 @@
 from benchmarks.capacity.probe import GATEWAY, Probe, Values
 from benchmarks.capacity.resources import MemoryGrowth, median_cpu_s
 from benchmarks.module_worker import Play, settings
-from yewstage import interface as api
-from yewstage.net.discovery import Listing, parse_listing
-from yewstage.policy import Gateway
+from hillmux import interface as api
+from hillmux.decision.gateway import Gateway
+from hillmux.net.discovery import Listing, parse_listing
 
 CUSTOMERS = 700  # 62,000 tenants over 710 gateways, eight gateways each
 REPEATS = 7
@@ -22,7 +22,7 @@
 
 
 def read(body: bytes) -> Listing:
-    """An answer's body as a listing, in the way of `yewstage.net.discovery.Discovery`."""
+    """An answer's body as a listing, in the way of `hillmux.net.discovery.Discovery`."""
     return parse_listing(json.loads(body))
 
 
@@ -37,7 +37,7 @@
         """Have the module take an answer in."""
         self.now_ms += 1.0
         kind = "full" if listing.whole else "changes"
-        self._gateway.handle(self.now_ms, api.ServerList(kind, listing.servers))
+        self._gateway.handle(self.now_ms, api.EndpointList(kind, listing.servers))
 
 
 def measure_list(size: int, seed: int) -> Values:
@@ -78,7 +78,7 @@
         """Have the module handle an event."""
         spent_before = self.spent
         super().give(event)
-        if isinstance(event, api.TimerDue):
+        if isinstance(event, api.TimerFired):
             self.sweeps_s.append(self.spent - spent_before)
             self.spent = spent_before
 
--- a/benchmarks/capacity/operator_figures.py
+++ b/benchmarks/capacity/operator_figures.py
@@ -6,8 +6,8 @@
 
 from benchmarks.capacity.probe import OPERATOR, Probe, Values
 from benchmarks.capacity.size import FULL
-from yewstage.operate.calls import VARS, answer
-from yewstage.operate.figures import MOST_CLASSES, Figures
+from hillmux.admin.commands import VARS, answer
+from hillmux.admin.metrics import MOST_CLASSES, Figures
 
 OK, REFUSED, FAILED = 200, 429, 502
 DAY_S = 86_400
--- a/benchmarks/capacity/regions.py
+++ b/benchmarks/capacity/regions.py
@@ -4,8 +4,8 @@
 
 from benchmarks.capacity.probe import GATEWAY, Probe, Values
 from benchmarks.capacity.size import FULL
-from yewstage.lab.virtual.counting import Figures, Scenario
-from yewstage.lab.virtual.counting_faults import CutOff, FaultyFleet
+from hillmux.lab.virtual.counting import Figures, Scenario
+from hillmux.lab.virtual.counting_faults import CutOff, FaultyFleet
 
 ASKED_PER_S = 2.3  # requests a second of one customer
 BURST_S = 4.6  # burst of a plan, in seconds of its rate
--- a/benchmarks/capacity/routes.py
+++ b/benchmarks/capacity/routes.py
@@ -8,10 +8,10 @@
 
 from benchmarks.capacity.probe import GATEWAY, Probe, Values
 from benchmarks.capacity.resources import MemoryGrowth, median_cpu_s
-from yewstage import interface as api
-from yewstage.tenants import Router
-from yewstage.tenants.model import CHANGING_METHODS, SAFE_METHODS, Pool, Route, Tenant
-from yewstage.tenants.target import read_target
+from hillmux import interface as api
+from hillmux.tenants import Router
+from hillmux.tenants.model import CHANGING_METHODS, SAFE_METHODS, Pool, Route, Tenant
+from hillmux.tenants.target import read_target
 
 ROUTES_A_TENANT = 4
 LEAST_ROUTES = 50_000  # in as many copies of the index as that takes: one of few routes fits in free room
--- a/benchmarks/capacity/schedules.py
+++ b/benchmarks/capacity/schedules.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from benchmarks.capacity.probe import COUNTER, Probe, Values
-from yewstage.lab.virtual.counting_checks import check_leases
-from yewstage.lab.virtual.counting_schedules import MOST_SCHEDULES, play_schedules
+from hillmux.lab.virtual.counting_checks import check_leases
+from hillmux.lab.virtual.counting_schedules import MOST_SCHEDULES, play_schedules
 
 
 class ScheduleError(RuntimeError):
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -35,7 +35,7 @@
 def words(measured: Measurements) -> str:
     """What each word of the size is in the program's terms."""
     return table(
-        ("word", "number", "platform's start (`python -m yewstage`)", "hosted service (`hillmux serve`)"),
+        ("word", "number", "platform's start (`python -m hillmux`)", "hosted service (`hillmux serve`)"),
         ([word.word, word.number, word.platform, word.hosted] for word in WORDS),
     )
 
--- a/benchmarks/capacity/tenants.py
+++ b/benchmarks/capacity/tenants.py
@@ -13,9 +13,9 @@
 from benchmarks.capacity.resources import MemoryGrowth, median_cpu_s
 from benchmarks.module_worker import Play
 from benchmarks.tenants import write
-from yewstage import interface as api
-from yewstage.hosted.config import load
-from yewstage.hosted.service import Service
+from hillmux import interface as api
+from hillmux.hosted.config import load
+from hillmux.hosted.service import Service
 
 SIZES = (1000, 8000, 31_000, 62_000)
 LARGE = 10_000  # tenants from which reading takes seconds: one repeat, the seeds are the others
@@ -64,7 +64,7 @@
 
 
 def _change(service: Service, path: Path) -> None:
-    """What SIGHUP does (`yewstage.hosted.serve.Reloader`), with the reading in this thread."""
+    """What SIGHUP does (`hillmux.hosted.serve.Reloader`), with the reading in this thread."""
     changes = service.carry_out(Service.prepare(load(path, gently=True), service.tenants()))
     if len(changes) != 1:
         raise RuntimeError(f"{len(changes)} tenants changed in place of one")
@@ -88,7 +88,7 @@
             self.now += self.gap_ms
             plan = "basic" if number % 2 else "wide"
             request_id = f"{customer}-first"
-            self.give(api.Request(request_id, "read", plan, customer, TIME_LEFT_MS, width=3))
+            self.give(api.Request(request_id, "read", plan, customer, TIME_LEFT_MS, replicas=3))
             while self.out:
                 self.end()
             self.counts.clear()
--- a/benchmarks/capacity/words.py
+++ b/benchmarks/capacity/words.py
@@ -16,7 +16,7 @@
 
     word: str
     number: str
-    platform: str  # python -m yewstage
+    platform: str  # python -m hillmux
     hosted: str  # hillmux serve
 
 
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -147,7 +147,7 @@
     path = folder / f"config-{os.urandom(4).hex()}.json"
     path.write_text(json.dumps(config))
     process = subprocess.Popen(
-        [*wrap, sys.executable, "-P", "-m", "yewstage"],
+        [*wrap, sys.executable, "-P", "-m", tree.package],
         cwd=tree.path,
         text=True,
         stderr=subprocess.PIPE,
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -22,16 +22,16 @@
 
 import uvloop
 
-from yewstage import interface as api
-from yewstage.demo.load import Load, read_answer
-from yewstage.demo.run import Gateway
-from yewstage.hosted.config import load as load_config
-from yewstage.hosted.service import Service
-from yewstage.lab.standins.alone import booking_nodes
-from yewstage.net.core import Order
-from yewstage.tenants import Router
-from yewstage.tenants.model import Pool, Route, Tenant
-from yewstage.tenants.target import read_target
+from hillmux import interface as api
+from hillmux.demo.load import Load, read_answer
+from hillmux.demo.run import Gateway
+from hillmux.hosted.config import load as load_config
+from hillmux.hosted.service import Service
+from hillmux.lab.standins.alone import booking_nodes
+from hillmux.net.core import Order
+from hillmux.tenants import Router
+from hillmux.tenants.model import Pool, Route, Tenant
+from hillmux.tenants.target import read_target
 
 HEAD = """\
 [[listeners]]
--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -21,46 +21,27 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[1]
-NET = (
-    "deadlines",
-    "http1",
-    "hosts",
-    "core",
-    "requests",
-    "closing",
-    "clients",
-    "flows",
-    "counter",
-    "discovery",
-    "node",
-    "operated",
-)
-LIMITS = (
-    "parts",
-    "window",
-    "batches",
-    "state",
-    "lease",
-    "estimate",
-    "throttle",
-    "ceiling",
-    "registry",
-    "quotas",
-)
-COMPILED = (  # what an ordinary request passes through, and every class that inherits from one of these
-    "yewstage/interface.py",
-    "yewstage/policy.py",
-    "yewstage/fleet.py",
-    *(f"yewstage/limits/{name}.py" for name in LIMITS),
-    *(f"yewstage/net/{name}.py" for name in NET),
-    "yewstage/recovery/node.py",
-)
+# What an ordinary request passes through, and every class that inherits from one of these.
+COMPILED_PACKAGES = ("interface", "decision", "balancing", "quotas", "net")
+COMPILED_MODULES = ("recovery/snapshotting_gateway.py",)
+NOT_COMPILED = ("__init__.py", "net/config.py", "net/shutdown.py")  # run once
+
+
+def compiled_files() -> list[str]:
+    """The files to compile, as paths below the root."""
+    package = ROOT / "hillmux"
+    found = [file for name in COMPILED_PACKAGES for file in sorted((package / name).glob("*.py"))]
+    left_out = {package / name for name in NOT_COMPILED}
+    wanted = [file for file in found if file.name not in NOT_COMPILED and file not in left_out]
+    return [str(file.relative_to(ROOT)) for file in (*wanted, *(package / name for name in COMPILED_MODULES))]
+
+
 LONGEST_S = 600
 KEY, NOTE = "sources.sha256", "compiled.txt"
 SET_UP = """\
 from mypyc.build import mypycify
 from setuptools import setup
-setup(name="yewstage-compiled", ext_modules=mypycify({files!r}, opt_level="3"))
+setup(name="hillmux-compiled", ext_modules=mypycify({files!r}, opt_level="3"))
 """
 
 
@@ -78,13 +59,13 @@
 
 def copy(folder: Path) -> None:
     """The package's sources, and nothing that was made of them."""
-    shutil.copytree(ROOT / "yewstage", folder / "yewstage", ignore=shutil.ignore_patterns("*.pyc", "*.so"))
+    shutil.copytree(ROOT / "hillmux", folder / "hillmux", ignore=shutil.ignore_patterns("*.pyc", "*.so"))
 
 
 def compile_in(folder: Path) -> str:
     """Compile in a copy of the package; '' or what went wrong."""
     script = folder / "setup.py"
-    script.write_text(SET_UP.format(files=list(COMPILED)))
+    script.write_text(SET_UP.format(files=compiled_files()))
     command = [sys.executable, "setup.py", "-q", "build_ext", "--inplace"]
     try:
         done = subprocess.run(command, cwd=folder, capture_output=True, text=True, timeout=LONGEST_S)
@@ -100,7 +81,7 @@
 
 def main() -> int:
     target = Path(sys.argv[1]) if len(sys.argv) > 1 else ROOT / "build/run"
-    files = sorted((ROOT / "yewstage").rglob("*.py"))
+    files = sorted((ROOT / "hillmux").rglob("*.py"))
     wanted = key(files)
     if (target / KEY).is_file() and (target / KEY).read_text() == wanted:
         print((target / NOTE).read_text(), end="")
@@ -121,7 +102,7 @@
         # Where it runs, nothing can be written: without this each start would compile the sources again, half
         # of a start's time. By hash and not looked at again, since a copy may change their times.
         compileall.compile_dir(
-            folder / "yewstage",
+            folder / "hillmux",
             quiet=1,
             stripdir=folder,
             prependdir=target,
--- a/yewstage/__main__.py
+++ b/hillmux/__main__.py
@@ -11,11 +11,11 @@
 
 import uvloop
 
-from yewstage import policy
-from yewstage.net.config import Config, ConfigError, load
-from yewstage.net.flows import FlowServer
-from yewstage.net.life import Shutdown, set_up_log
-from yewstage.net.node import Node
+from hillmux.decision import gateway as policy
+from hillmux.net.config import Config, ConfigError, load
+from hillmux.net.platform_gateway import Node
+from hillmux.net.shutdown import Shutdown, set_up_log
+from hillmux.net.streaming import FlowServer
 
 GC_ALLOCATIONS = 20_000
 
@@ -23,12 +23,12 @@
 def _node(config: Config, loop: asyncio.AbstractEventLoop) -> Node:
     """The node that a configuration asks for; operators' calls and snapshots cost nothing where off."""
     if config.keep is not None:
-        from yewstage.recovery.node import KeptNode
+        from hillmux.recovery.snapshotting_gateway import KeptNode
 
         return KeptNode(config, loop)
     if config.operator is None:
         return Node(config, loop)
-    from yewstage.net.operated import OperatedNode
+    from hillmux.net.managed_gateway import OperatedNode
 
     return OperatedNode(config, loop)
 
@@ -47,7 +47,7 @@
         "reloaded: discovery %s:%d, %d classes, %d attempts",
         *config.discovery,
         len(config.settings.classes),
-        config.settings.try_limit,
+        config.settings.max_attempts,
     )
 
 
--- a/yewstage/operate/service.py
+++ b/hillmux/admin/server.py
@@ -6,7 +6,7 @@
 import socket
 from typing import cast
 
-from yewstage.operate.calls import LONGEST_LINE, Operated, answer
+from hillmux.admin.commands import LONGEST_LINE, Operated, answer
 
 MOST = 12  # connections at once, from the descriptors' reserve; beyond them the one silent for longest goes
 SILENT_S = 10.0  # a connection without a whole line is kept so long
--- a/yewstage/fleet.py
+++ b/hillmux/balancing/fleet.py
@@ -25,8 +25,9 @@
 from itertools import chain
 from math import log2, sqrt
 
-from yewstage import interface as api
-from yewstage.limits.parts import draw
+from hillmux import interface as api
+from hillmux.interface import HostStatus, Idempotency, ListKind
+from hillmux.quotas.parts import draw
 
 GAIN = 0.2  # weight of one outcome in a host's running pace
 BACKOFF_MS, BACKOFF_MAX_MS = 500.0, 4000.0  # a failing host's rest before one trial, doubled to the second
@@ -85,7 +86,7 @@
         "tier",
     )
 
-    def __init__(self, server: api.Server) -> None:
+    def __init__(self, server: api.Endpoint) -> None:
         self.name = server.name
         self.open = 0
         self.slow = 1.0  # running latency over its class's usual one
@@ -105,15 +106,15 @@
         self.pace = PACE_ZERO  # its bin in the histogram
         self.update(server)
 
-    def update(self, server: api.Server) -> None:
+    def update(self, server: api.Endpoint) -> None:
         """Take over a line of the list; a newer start makes a new, cold server of it."""
         self.server = server
-        self.zone, self.cell, self.nominal = server.zone, server.cell, max(server.nominal, 1e-6)
+        self.zone, self.cell, self.nominal = server.zone, server.cell, max(server.capacity, 1e-6)
         self.log_nominal = log2(self.nominal)
         self.pool = server.pool
-        self.up = server.status == "up"
-        if server.up_since_ms > self.born:
-            self.born = self.cold_from_ms = server.up_since_ms
+        self.up = server.status == HostStatus.UP
+        if server.started_at_ms > self.born:
+            self.born = self.cold_from_ms = server.started_at_ms
             self.strikes = self.fails = 0
             self.down_until, self.died, self.slow = 0.0, False, 1.0
         self.weigh()
@@ -191,7 +192,7 @@
 
 def _scopes(settings: api.Settings) -> set[str]:
     """Where repeats of keyed requests are bound to: they need regions."""
-    return {c.key_scope for c in settings.classes if c.effect == "keyed"}
+    return {c.key_scope for c in settings.classes if c.idempotency == Idempotency.KEYED}
 
 
 class Fleet:
@@ -216,15 +217,15 @@
 
     # --- The list ---
 
-    def update(self, event: api.ServerList) -> None:
+    def update(self, event: api.EndpointList) -> None:
         """Take over a list, whole or in part."""
-        if event.kind != "changes":
-            named = {s.name for s in event.servers}
+        if event.kind != ListKind.CHANGES:
+            named = {s.name for s in event.endpoints}
             for name in [n for n in self.hosts if n not in named]:
                 self._unlist(name)
-        for server in event.servers:
+        for server in event.endpoints:
             host = self.hosts.get(server.name)
-            if server.status == "removed":
+            if server.status == HostStatus.REMOVED:
                 if host is not None:
                     self._unlist(server.name)
             elif host is None:
@@ -237,7 +238,7 @@
                 host.update(server)
                 self.open_well += 0 if host.fails else host.open
                 self.place(host)
-        if event.kind != "changes":
+        if event.kind != ListKind.CHANGES:
             self._lay_out()
 
     def _unlist(self, name: str) -> None:
@@ -338,7 +339,7 @@
             home.cold.add(host)
             self.cold += 1
             self._turn += 1
-            heappush(self._warming, (host.cold_from_ms + self.s.cold_ms, self._turn, host))
+            heappush(self._warming, (host.cold_from_ms + self.s.slow_start_ms, self._turn, host))
         elif group == FAILING:
             home.failing.add(host)
             self.failing += 1
@@ -445,12 +446,15 @@
 
     def warmth(self, host: Host) -> float:
         """The least part of its capacity that a host may have after its start."""
-        if not host.cold_from_ms or self.s.cold_ms <= 0:
+        if not host.cold_from_ms or self.s.slow_start_ms <= 0:
             return 1.0
-        if self.now >= host.cold_from_ms + self.s.cold_ms:  # as `warm_up` reckons: the two must agree
+        if self.now >= host.cold_from_ms + self.s.slow_start_ms:  # as `warm_up` reckons: the two must agree
             return 1.0
         age = self.now - host.cold_from_ms
-        return self.s.cold_from + (1 - self.s.cold_from) * max(age, 0.0) / self.s.cold_ms
+        return (
+            self.s.slow_start_min_share
+            + (1 - self.s.slow_start_min_share) * max(age, 0.0) / self.s.slow_start_ms
+        )
 
     def warm_up(self) -> None:
         """Hosts that have become warm by now join the ready ones."""
@@ -481,7 +485,7 @@
         self.warm_work = 0.0
         if len(self._warming) > 2 * self.cold + FAR_LOOKS:  # of hosts that left, or died and came back
             cold = [h for pool in self._pools.values() for h in pool.cold.hosts]
-            self._warming = [(h.cold_from_ms + self.s.cold_ms, i, h) for i, h in enumerate(cold)]
+            self._warming = [(h.cold_from_ms + self.s.slow_start_ms, i, h) for i, h in enumerate(cold)]
             heapify(self._warming)
             self._turn = len(cold)
 
@@ -500,7 +504,7 @@
             return
         self._aperture, self._ring_stale = size, False
         ring = sorted((h for h in self.hosts.values() if h.group != OUT), key=lambda h: h.place)
-        first = len(ring) * self.s.me // self.s.fleet_size
+        first = len(ring) * self.s.gateway_index // self.s.fleet_size
         for at, host in enumerate(chain(ring[first:], ring[:first])):
             near = at < size or not size
             if near != host.near:
@@ -524,9 +528,9 @@
         """
         if self.warm_rate <= 0:
             return host.open == 0 and self.rng.random() * self.s.fleet_size < 1
-        rate = min(COLD_MARGIN * self.s.fall_multiple, 1.0) * warmth * self.warm_rate
+        rate = min(COLD_MARGIN * self.s.overload_multiple, 1.0) * warmth * self.warm_rate
         span = self.now - max(host.credit_at, host.cold_from_ms)
-        host.credit = min(host.credit + rate * span, rate * self.s.tip_after_ms / 2)
+        host.credit = min(host.credit + rate * span, rate * self.s.overload_after_ms / 2)
         host.credit_at = self.now
         host.credit = draw(self.rng, host.credit, work)
         return host.credit >= work
--- a/yewstage/cli.py
+++ b/hillmux/cli.py
@@ -9,15 +9,15 @@
 
 import click
 
-from yewstage.hosted.config import ConfigFaultsError
-from yewstage.lab.commands import lab
-from yewstage.recovery.commands import snapshot
+from hillmux.hosted.config import ConfigFaultsError
+from hillmux.lab.commands import lab
+from hillmux.recovery.commands import snapshot
 
 FAULT = 2  # exit status for a configuration or an address that is no good
 
 
 @click.group(epilog="Example: hillmux demo")
-@click.version_option(package_name="yewstage", prog_name="hillmux")
+@click.version_option(package_name="hillmux", prog_name="hillmux")
 def main() -> None:
     """An API gateway for many tenants, whose partners share fleets of hosts under quotas."""
 
@@ -39,7 +39,7 @@
     """
     import uvloop
 
-    from yewstage.hosted.serve import serve as run
+    from hillmux.hosted.serve import serve as run
 
     config = _load(path)
     _log(config.name, config.limits.log_lines)
@@ -54,7 +54,7 @@
 def check(path: Path) -> None:
     """Look a configuration over and tell every fault in it, without starting anything."""
     config = _load(path)
-    from yewstage.hosted.config import check_files
+    from hillmux.hosted.config import check_files
 
     faults = check_files(config)
     if faults:
@@ -106,7 +106,7 @@
     """Start a gateway with three tenants and stand-in booking nodes, flood one tenant, remove another."""
     import uvloop
 
-    from yewstage.demo.run import run
+    from hillmux.demo.run import run
 
     sys.exit(uvloop.run(run(seconds, plain or not sys.stdout.isatty())))
 
@@ -118,8 +118,8 @@
 async def _count(host: str, port: int, names: int) -> None:
     import signal
 
-    from yewstage.counter import Store
-    from yewstage.counter.service import CounterServer
+    from hillmux.counter import Store
+    from hillmux.counter.service import CounterServer
 
     loop = asyncio.get_running_loop()
     server = CounterServer(Store(names), loop)
@@ -133,7 +133,7 @@
 
 
 def _load(path: Path):  # type: ignore[no-untyped-def]
-    from yewstage.hosted.config import load
+    from hillmux.hosted.config import load
 
     try:
         return load(path)
@@ -142,7 +142,7 @@
 
 
 def _log(name: str, lines: int) -> None:
-    from yewstage.net import life
+    from hillmux.net import shutdown as life
 
     life.set_up_log(name)
     for handler in logging.getLogger().handlers:
--- a/yewstage/counter/service.py
+++ b/hillmux/counter/service.py
@@ -11,8 +11,8 @@
 
 import httptools
 
-from yewstage.counter.store import Store, TurnedAwayError, total_text
-from yewstage.counter.wire import NoCallError, parse
+from hillmux.counter.store import Store, TurnedAwayError, total_text
+from hillmux.counter.wire import NoCallError, parse
 
 log = logging.getLogger(__name__)
 
--- a/yewstage/counter/wire.py
+++ b/hillmux/counter/wire.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass
 
-from yewstage.counter.store import LONGEST_NAME, MOST_AMOUNT
+from hillmux.counter.store import LONGEST_NAME, MOST_AMOUNT
 
 PREFIX = b"/v1/count/"
 NAME = re.compile(rb"[!-.0-~]{1,%d}" % LONGEST_NAME)  # as it stands in the path: no space, no slash
--- /dev/null
+++ b/hillmux/decision/__init__.py
@@ -0,0 +1,1 @@
+"""Decisions about requests: admission, retries, time-outs, one final answer. Free of I/O."""
--- a/yewstage/policy.py
+++ b/hillmux/decision/gateway.py
@@ -1,4 +1,4 @@
-"""Every decision of yewstage. Settings, events and actions: yewstage/interface.py (times in milliseconds).
+"""Every decision of hillmux. Settings, events and actions: hillmux/interface.py (times in milliseconds).
 
 A request's life: quota and ceiling, admission by SiRED, choice of a server, attempts, one final answer.
 """
@@ -10,11 +10,20 @@
 from collections import deque
 from math import inf
 
-from yewstage import interface as api
-from yewstage.fleet import Fleet, Host
-from yewstage.limits.quotas import Quotas
-from yewstage.limits.state import QuotaState
-from yewstage.limits.throttle import SILENT_RATE
+from hillmux import interface as api
+from hillmux.balancing.fleet import Fleet, Host
+from hillmux.interface import (
+    NEVER_DELIVERED,
+    NEVER_EXECUTED,
+    AttemptResult,
+    Idempotency,
+    KeyScope,
+    ListKind,
+    RejectReason,
+)
+from hillmux.quotas.quotas import Quotas
+from hillmux.quotas.state import QuotaState
+from hillmux.quotas.throttle import SILENT_RATE
 
 # --- Constants -------------------------------------------------------------------------------------------
 SWEEP_MS = 100.0  # spacing of the housekeeping timer and of the q updates: a tenth of the quickest trouble
@@ -34,9 +43,20 @@
 ROOM = 0.5  # beyond-quota work is let in only while q is under this part of Q_MIN
 FADED = 0.01  # smoothed occupancy of a back end that has nothing to do
 ROUNDING = 1e-9  # what a sum of shares may lack of a whole: taken for less than 1, it refused some work
-BROKEN = frozenset((api.CONNECT_FAILED, api.RESET, api.STALE, api.UNSENT))  # the connection, not the work
+BROKEN = frozenset(
+    (
+        AttemptResult.CONNECT_FAILED,
+        AttemptResult.RESET,
+        AttemptResult.STALE_CONNECTION,
+        AttemptResult.INCOMPLETE_REQUEST,
+    )
+)  # the connection, not the work
 NOBODY: list[Host] = []
-NO_SAMPLE = BROKEN | {api.CANCELLED, api.SPOILT, api.NO_ROOM}  # results that tell nothing of occupancy
+NO_SAMPLE = BROKEN | {
+    AttemptResult.CANCELLED,
+    AttemptResult.MALFORMED_RESPONSE,
+    AttemptResult.LOCAL_LIMIT,
+}  # results that tell nothing of occupancy
 
 
 def ramp(q: float) -> float:
@@ -143,7 +163,9 @@
             QuotaState, None
         ] = {}  # those with a request that waits, or has left while it waited
         self.cells: dict[tuple[str, str], _Cell] = {}
-        self.latency = {c.name: c.aim_ms / 10 for c in settings.classes}  # usual latency per unit
+        self.latency = {
+            c.name: c.latency_objective_ms / 10 for c in settings.classes
+        }  # usual latency per unit
         self.patience = {c.name: _Patience() for c in settings.classes}
         self.now = 0.0
         self.born: float | None = None
@@ -166,8 +188,8 @@
         if self.born is None:
             self.born = self.quotas.born = self.now
             self.sweep_due = self.now + SWEEP_MS
-            self.out.append(api.Timer("sweep", SWEEP_MS))
-            if self.s.must_ask:
+            self.out.append(api.SetTimer("sweep", SWEEP_MS))
+            if self.s.must_subscribe:
                 self.out.append(api.Subscribe())
         if self.now > self.sweep_due + STALL * SWEEP_MS:
             # Danger: our own stall looks like a slow back end. What was out during it is no q sample.
@@ -177,7 +199,7 @@
                 self._forget_pressure()
         if isinstance(event, api.Request):
             self._request(event)
-        elif isinstance(event, api.Outcome):
+        elif isinstance(event, api.AttemptEnded):
             self._outcome(event)
         else:
             self._seldom(event)
@@ -197,31 +219,31 @@
 
     def _seldom(self, event: api.Event) -> None:
         match event:
-            case api.CountReply():
+            case api.CounterReply():
                 self._count_reply(event)
-            case api.TimerDue(name="sweep"):
+            case api.TimerFired(name="sweep"):
                 self._sweep()
-            case api.TimerDue(name="subscribe"):
+            case api.TimerFired(name="subscribe"):
                 self.out.append(api.Subscribe())
-            case api.ServerList():
+            case api.EndpointList():
                 self._server_list(event)
-            case api.StreamStarted():
+            case api.ResponseStarted():
                 self._stream_started(event)
-            case api.ClientLeft():
-                self.asking.pop(event.request, None)
-                self._finish(self.held.get(event.request))
-            case api.HostOut():
-                self.fleet.by_hand(event.server, event.out)
-            case api.Draining():
+            case api.ClientDisconnected():
+                self.asking.pop(event.request_id, None)
+                self._finish(self.held.get(event.request_id))
+            case api.HostDisabled():
+                self.fleet.by_hand(event.host, event.disabled)
+            case api.DrainStarted():
                 self.quotas.drain()
-            case api.Succeeded():
-                self.quotas.succeeded = event.by_heir
+            case api.TakenOver():
+                self.quotas.succeeded = event.by_successor
             case api.SettingsChanged():
                 self._change(event.settings)
-            case api.TimerDue() | api.ProbeReply() | api.PeerMessage():
+            case api.TimerFired() | api.HealthCheckReply() | api.GossipMessage():
                 pass
             case _:
-                raise TypeError(f"not an event of yewstage.interface: {event!r}")
+                raise TypeError(f"not an event of hillmux.interface: {event!r}")
 
     def _change(self, settings: api.Settings) -> None:
         """Go over to new classes and bounds. What is open keeps what it began with; plans stay."""
@@ -237,7 +259,7 @@
         self.cells = {key: cell for key, cell in self.cells.items() if key[0] in used}
         self.patience = {c.name: self.patience.get(c.name) or _Patience() for c in settings.classes}
         for c in settings.classes:
-            self.latency.setdefault(c.name, c.aim_ms / 10)
+            self.latency.setdefault(c.name, c.latency_objective_ms / 10)
 
     def settled(self) -> bool:
         """Whether nothing is left that a fresh module of the same birth would not know from its list of
@@ -257,9 +279,9 @@
         that it would have to see fade."""
         return not self.held and not self.askers and not self.q_n and self.q < FADED and self.f >= 1.0
 
-    def _server_list(self, event: api.ServerList) -> None:
-        if event.kind == "failed":
-            self.out.append(api.Timer("subscribe", RESUBSCRIBE_MS * (1 + self.rng.random())))
+    def _server_list(self, event: api.EndpointList) -> None:
+        if event.kind == ListKind.FAILED:
+            self.out.append(api.SetTimer("subscribe", RESUBSCRIBE_MS * (1 + self.rng.random())))
             return
         self.fleet.update(event)
 
@@ -272,26 +294,32 @@
         if cls is None or plan is None or req.time_left_ms <= 0 or not self.hosts:
             self._refuse(
                 req.id,
-                api.UNKNOWN
+                RejectReason.UNKNOWN_CLASS_OR_PLAN
                 if cls is None or plan is None
-                else api.LATE
+                else RejectReason.DEADLINE
                 if req.time_left_ms <= 0
-                else api.NO_HOST,
+                else RejectReason.NO_HOST,
             )
             return
         end_at = self.now + req.time_left_ms
-        aim_at = end_at if cls.late_worth > 0 else min(self.now + cls.aim_ms - self._spent(req, cls), end_at)
+        aim_at = (
+            end_at
+            if cls.late_priority_weight > 0
+            else min(self.now + cls.latency_objective_ms - self._spent(req, cls), end_at)
+        )
         if aim_at <= self.now:
-            self._refuse(req.id, api.LATE)  # its aim has passed: whatever we did would be waste
+            self._refuse(req.id, RejectReason.DEADLINE)  # its aim has passed: whatever we did would be waste
             return
         quota = self.quotas.state_for(req, plan)
         if quota is None:
-            self._refuse(req.id, api.CROWDED)
+            self._refuse(req.id, RejectReason.TOO_MANY_CUSTOMERS)
             return
         # A try with little time left would be held past its end: it is decided at once.
-        if aim_at - self.now > self.s.count_wait_ms + 2 * SWEEP_MS and self.quotas.unsure(quota, req.units):
+        if aim_at - self.now > self.s.counter_timeout_ms + 2 * SWEEP_MS and self.quotas.unsure(
+            quota, req.units
+        ):
             if not self._admit(cls, plan, req.units):  # asking for what is shed would crowd the counter
-                self._refuse_new(req, quota, api.PRESSURE)
+                self._refuse_new(req, quota, RejectReason.OVERLOAD)
                 return
             # Exception to refusing at once: the total that settles it is a few ms away.
             self.asking[req.id] = quota
@@ -327,19 +355,24 @@
         plan = quota.plan
         over = not self.quotas.has(quota, req.units)
         if over:
-            fits = plan.over_worth > plan.over_cost and self.q < ROOM * Q_MIN
+            fits = plan.over_quota_weight > plan.over_quota_cost and self.q < ROOM * Q_MIN
         else:
             fits = admitted or self._admit(cls, plan, req.units)
         if not fits or not self.quotas.ceiling_has(quota, req.units):
-            cause = api.CEILING if fits else api.QUOTA if over else api.PRESSURE
+            cause = RejectReason.CEILING if fits else RejectReason.QUOTA if over else RejectReason.OVERLOAD
             self._refuse_new(req, quota, cause, over)
             return
         held = _Held(
-            req, cls, quota, aim_at, end_at, self.latency[cls.name] * max(req.units, 0.0), self.s.try_limit
+            req, cls, quota, aim_at, end_at, self.latency[cls.name] * max(req.units, 0.0), self.s.max_attempts
         )
         host = self._pick(held) if aim_at > self.now else None
         if host is None:
-            self._refuse_new(req, quota, api.NO_HOST if held.aim_at > self.now else api.LATE, over)
+            self._refuse_new(
+                req,
+                quota,
+                RejectReason.NO_HOST if held.aim_at > self.now else RejectReason.DEADLINE,
+                over,
+            )
             return
         self.held[req.id] = held
         self.bank = min(self.bank + RETRY_SHARE, RETRY_BANK)
@@ -358,7 +391,7 @@
         if cell is None:
             cell = self.cells[cls.name, plan.name] = _Cell()
         latency = self.latency[cls.name]
-        cell.value = cls.worth * plan.worth / max(latency, 1e-6)
+        cell.value = cls.priority_weight * plan.priority_weight / max(latency, 1e-6)
         cell.work += latency * max(units, 0.0)
         cell.r += cell.f
         if cell.r < 1.0 - ROUNDING:
@@ -366,29 +399,34 @@
         cell.r = max(cell.r - 1.0, 0.0)
         return True
 
-    def _refuse_new(self, req: api.Request, quota: QuotaState, cause: str, over: bool = False) -> None:
+    def _refuse_new(
+        self, req: api.Request, quota: QuotaState, cause: RejectReason, over: bool = False
+    ) -> None:
         self._refuse(req.id, cause, 1000 * req.units / quota.plan.rate if over and quota.plan.rate else 0.0)
 
-    def _refuse(self, rid: str, cause: str, wait_ms: float = 0.0) -> None:
+    def _refuse(self, rid: str, cause: RejectReason, wait_ms: float = 0.0) -> None:
         """Refuse at once, and say when to come back: by the quota, or by the pressure on the back end."""
         wait_ms = max(wait_ms, SWEEP_MS / self.f)
-        self.out.append(api.Refuse(rid, min(wait_ms, self.s.max_retry_after_ms), cause))
+        self.out.append(api.Reject(rid, min(wait_ms, self.s.max_retry_after_ms), cause))
 
-    def _sample(self, held: _Held, attempt: _Attempt, event: api.Outcome) -> None:
+    def _sample(self, held: _Held, attempt: _Attempt, event: api.AttemptEnded) -> None:
         """One outcome's occupancy: the part of the aim that it used up, or that a new one would."""
         if attempt.sent < self.stalled_at or event.result in NO_SAMPLE:
             return
         if self.fleet.unwell(attempt.host):
             return  # danger: a few bad hosts cut f for all; they are the business of health
         q = 1.0
-        if event.result in (api.OK, api.ERROR):
-            self.ok_q += (min(event.took_ms / held.cls.aim_ms, 1.0) - self.ok_q) / FEW
+        if event.result in (AttemptResult.OK, AttemptResult.ERROR):
+            self.ok_q += (min(event.elapsed_ms / held.cls.latency_objective_ms, 1.0) - self.ok_q) / FEW
             self.lost -= self.lost / (4 * FEW)
             # Danger: foretold from two or three completions it is noise that cuts f for nothing.
             foretold = self.fleet.open_well / max(self.done_rate, 1e-9)
             trust = 0.5 * min(self.done_rate * (self.now - (self.born or 0.0)) / (3 * FEW), 1.0)
-            q = min((event.took_ms + trust * (foretold - event.took_ms)) / held.cls.aim_ms, 1.0)
-        elif event.result == api.TIMED_OUT and self.ok_q < Q_MIN:
+            q = min(
+                (event.elapsed_ms + trust * (foretold - event.elapsed_ms)) / held.cls.latency_objective_ms,
+                1.0,
+            )
+        elif event.result == AttemptResult.TIMED_OUT and self.ok_q < Q_MIN:
             # Danger: answers lost on their way, or stuck on single hosts, look like a jam. While the others
             # come fast, nothing waits. Hurts: the start of a jam is seen some answers later.
             self.lost += (1 - self.lost) / (4 * FEW)
@@ -407,13 +445,13 @@
         elif not self.held:
             # Danger: near fmin a gateway of two requests a second has one outcome in ten seconds; q would
             # hold on long after a jam, so it fades while nothing is out. Hurts: long jams get more than fmin.
-            self.q *= 1 - SWEEP_MS / max(c.aim_ms for c in self.s.classes)
+            self.q *= 1 - SWEEP_MS / max(c.latency_objective_ms for c in self.s.classes)
         late = 0
         if self.q_seen < FEW:
             # Danger: outcomes show a jam an aim late, and fresh gateways would fill it until then. What is
             # out for longer than Qmax of its aim counts as full. Hurts: lost answers press a fresh gateway.
             late = sum(
-                a.open and self.now - a.sent > Q_MAX * h.cls.aim_ms
+                a.open and self.now - a.sent > Q_MAX * h.cls.latency_objective_ms
                 for h in self.held.values()
                 for a in h.attempts
             )
@@ -430,13 +468,13 @@
 
     # --- Quotas and ceiling -----------------------------------------------------------------------------
 
-    def _count_reply(self, reply: api.CountReply) -> None:
+    def _count_reply(self, reply: api.CounterReply) -> None:
         quota = self.quotas.replied(reply)
         if self.quotas.throttle.answer_rate < SILENT_RATE:
             self._say("counter", "counter silent or crowded: calling less, quotas go by our estimates")
         if quota is not None:
             self._settle(quota)
-            if reply.result == api.OK:
+            if reply.result == AttemptResult.OK:
                 self.quotas.sync(quota)
 
     def _settle(self, quota: QuotaState) -> None:
@@ -451,28 +489,32 @@
 
     # --- Health of servers ----------------------------------------------------------------------------------
 
-    def _judge(self, held: _Held, host: Host, event: api.Outcome) -> None:
+    def _judge(self, held: _Held, host: Host, event: api.AttemptEnded) -> None:
         """What an outcome says of its host."""
         usual = self._usual(held)
-        if event.result == api.OK:
+        if event.result == AttemptResult.OK:
             self.fleet.recovered(host)
-            self.fleet.paced(host, event.took_ms / usual)
-            units = max(event.true_units or held.req.units, 1e-6)
-            self.latency[held.cls.name] += GAIN / 4 * (event.took_ms / units - self.latency[held.cls.name])
+            self.fleet.paced(host, event.elapsed_ms / usual)
+            units = max(event.actual_units or held.req.units, 1e-6)
+            self.latency[held.cls.name] += GAIN / 4 * (event.elapsed_ms / units - self.latency[held.cls.name])
             self.done += 1
-        elif event.result == api.CONNECT_FAILED:
+        elif event.result == AttemptResult.CONNECT_FAILED:
             # Danger: a reset is one connection's end; taken for the host's death it would rest a good host
             # and call it cold. A dead one refuses the next dial.
             host.died = True
             self._down(host)
-        elif event.result in (api.RESET, api.UNSENT):
+        elif event.result in (AttemptResult.RESET, AttemptResult.INCOMPLETE_REQUEST):
             host.strikes += 1
             if host.fails or host.strikes >= STRIKES:
                 self._down(host)
-        elif event.result in (api.ERROR, api.TIMED_OUT, api.FULL):
-            self.fleet.paced(host, max(held.cls.aim_ms / usual, 2.0))
-            late = event.result == api.TIMED_OUT and self.fleet.unwell(host)
-            host.strikes += late or event.result == api.ERROR
+        elif event.result in (
+            AttemptResult.ERROR,
+            AttemptResult.TIMED_OUT,
+            AttemptResult.QUEUE_FULL,
+        ):
+            self.fleet.paced(host, max(held.cls.latency_objective_ms / usual, 2.0))
+            late = event.result == AttemptResult.TIMED_OUT and self.fleet.unwell(host)
+            host.strikes += late or event.result == AttemptResult.ERROR
             if host.fails or host.strikes >= STRIKES:
                 self._down(host)
 
@@ -490,21 +532,23 @@
         tried = NOBODY
         if held.attempts:
             tried = [a.host for a in held.attempts]
-            if held.out and not self.s.second_copies:
+            if held.out and not self.s.hedging_allowed:
                 return None
             risky = [a for a in held.attempts if a.ran]
-            if risky and held.cls.effect != "safe":
-                if held.cls.effect == "unsafe":
+            if risky and held.cls.idempotency != Idempotency.IDEMPOTENT:
+                if held.cls.idempotency == Idempotency.NOT_IDEMPOTENT:
                     return None
-                if self.now - risky[0].sent > held.cls.window_ms - 2 * self.s.tick_ms:
+                if self.now - risky[0].sent > held.cls.idempotency_window_ms - 2 * self.s.clock_resolution_ms:
                     return None
-                if held.cls.key_scope != "all":
-                    cell = held.cls.key_scope == "cell"
+                if held.cls.key_scope != KeyScope.GLOBAL:
+                    cell = held.cls.key_scope == KeyScope.CELL
                     places = {(a.host.zone, a.host.cell) if cell else (a.host.zone,) for a in risky}
                     if len(places) > 1:
                         return None
                     region = places.pop()
-        return self.fleet.pick(held.req.pool, held.work, held.cls.effect == "safe", tried, region)
+        return self.fleet.pick(
+            held.req.pool, held.work, held.cls.idempotency == Idempotency.IDEMPOTENT, tried, region
+        )
 
     def _send(self, held: _Held, host: Host, valid_ms: float = inf) -> None:
         """One attempt, given up when it can no longer be in time, or when it is better asked for again.
@@ -512,17 +556,17 @@
         Danger: an answer that never comes costs its whole aim, whoever lost it: a path, a stuck or a slow
         server. While answers get lost beside fast ones, what may be repeated ends early. Hurts: long jobs.
         """
-        timeout = held.aim_at - self.now - self.s.tick_ms
+        timeout = held.aim_at - self.now - self.s.clock_resolution_ms
         if timeout < 1.0:
             timeout = max(timeout, min(1.0, held.end_at - self.now))
-        if self.lost > LOST and held.cls.effect != "unsafe" and self.bank >= 1:
+        if self.lost > LOST and held.cls.idempotency != Idempotency.NOT_IDEMPOTENT and self.bank >= 1:
             early = max(timeout / 2, PATIENCE * self._usual(held))
             if len(held.attempts) + 1 < held.tries and early + self._usual(held) < timeout:
                 timeout = early
         held.attempts.append(_Attempt(host, self.now))
         held.out += 1
         self.fleet.began(host, held.work)
-        self.out.append(api.Send(held.req.id, host.name, timeout, valid_ms))
+        self.out.append(api.SendAttempt(held.req.id, host.name, timeout, valid_ms))
 
     def _answer(self, held: _Held) -> None:
         """The final answer of a request that will not be served."""
@@ -530,7 +574,7 @@
         if may_have_run:
             self.out.append(api.Fail(held.req.id))
         else:
-            self._refuse(held.req.id, api.NO_HOST)
+            self._refuse(held.req.id, RejectReason.NO_HOST)
         self._finish(held)
 
     def _finish(self, held: _Held | None) -> None:
@@ -538,8 +582,10 @@
         if held is None:
             return
         if held.out:
-            if self.s.cancel and not held.stream and not held.answered:
-                self.out.extend(api.Cancel(held.req.id, i) for i, a in enumerate(held.attempts) if a.open)
+            if self.s.cancellation_allowed and not held.stream and not held.answered:
+                self.out.extend(
+                    api.CancelAttempt(held.req.id, i) for i, a in enumerate(held.attempts) if a.open
+                )
             held.answered = True
             return
         held.answered = True
@@ -549,8 +595,8 @@
                 # Else a client that leaves during a dial would use up a quota that nothing was sent for.
                 self.quotas.give_back(held.quota, held.req.units, held.over)
 
-    def _stream_started(self, event: api.StreamStarted) -> None:
-        held = self.held.get(event.request)
+    def _stream_started(self, event: api.ResponseStarted) -> None:
+        held = self.held.get(event.request_id)
         if held is not None and 0 <= event.attempt < len(held.attempts):
             attempt, held.stream = held.attempts[event.attempt], True
             if attempt.open and not attempt.streams:
@@ -559,8 +605,8 @@
                 self.fleet.ended(attempt.host)
                 self.fleet.place(attempt.host)
 
-    def _outcome(self, event: api.Outcome) -> None:
-        held = self.held.get(event.request)
+    def _outcome(self, event: api.AttemptEnded) -> None:
+        held = self.held.get(event.request_id)
         if held is None or not 0 <= event.attempt < len(held.attempts):
             return
         attempt = held.attempts[event.attempt]
@@ -570,37 +616,39 @@
         held.out -= 1
         if not attempt.streams:
             self.fleet.ended(attempt.host)
-        if event.result in api.NEVER_RAN:
+        if event.result in NEVER_EXECUTED:
             attempt.ran = False
-            held.unsent += event.result in api.NEVER_ARRIVED
-        if event.result != api.MOOT:
+            held.unsent += event.result in NEVER_DELIVERED
+        if event.result != AttemptResult.NOT_SENT:
             self._sample(held, attempt, event)
             self._judge(held, attempt.host, event)
         self.fleet.place(attempt.host)
-        if event.result == api.OK and event.true_units > 0 and held.quota.plan.rate > 0:
-            self.quotas.spend(held.quota, event.true_units - held.req.units)
+        if event.result == AttemptResult.OK and event.actual_units > 0 and held.quota.plan.rate > 0:
+            self.quotas.spend(held.quota, event.actual_units - held.req.units)
             self.quotas.sync(held.quota)
-        if event.final or event.result == api.OK or held.answered:
+        if event.final or event.result == AttemptResult.OK or held.answered:
             self._finish(held)
         elif not held.out:
             # Danger: another server does not mend a bound of our own; asking it again at once is a loop.
-            if event.result == api.NO_ROOM or not self._again(held, event):
+            if event.result == AttemptResult.LOCAL_LIMIT or not self._again(held, event):
                 self._answer(held)
 
     def _usual(self, held: _Held) -> float:
         return self.latency[held.cls.name] * max(held.req.units, 1e-6)
 
-    def _again(self, held: _Held, event: api.Outcome) -> bool:
+    def _again(self, held: _Held, event: api.AttemptEnded) -> bool:
         """A further attempt if it can still be in time and is paid for.
 
         A connection that broke at once has cost the servers next to nothing; all else costs a whole attempt.
         """
         price = 1.0
-        if event.result == api.MOOT:
+        if event.result == AttemptResult.NOT_SENT:
             price = 0.0  # its server was told to drain before the first byte: nothing was sent
         elif event.result in BROKEN:
-            price = min(event.took_ms / max(self._usual(held), 1e-6), 1.0)
-        if self.bank < price or held.aim_at - self.now <= max(self._usual(held), 2 * self.s.tick_ms):
+            price = min(event.elapsed_ms / max(self._usual(held), 1e-6), 1.0)
+        if self.bank < price or held.aim_at - self.now <= max(
+            self._usual(held), 2 * self.s.clock_resolution_ms
+        ):
             return False
         host = self._pick(held)
         if host is not None:
@@ -614,9 +662,9 @@
         Danger: a connection may take its time to come up, and the host would run it a second time.
         """
         ran = [a.sent for a in held.attempts if a.ran]
-        if held.cls.effect != "keyed" or not ran:
+        if held.cls.idempotency != Idempotency.KEYED or not ran:
             return inf
-        return ran[0] + held.cls.window_ms - 2 * self.s.tick_ms - self.now
+        return ran[0] + held.cls.idempotency_window_ms - 2 * self.s.clock_resolution_ms - self.now
 
     # --- Timers -------------------------------------------------------------------------------------------
 
@@ -634,12 +682,12 @@
         self._update_f()
         for quota in list(self.askers):
             # A reply that never comes must not cost the requests that wait for it their answers.
-            if self.now - quota.called_at > self.s.count_wait_ms + SWEEP_MS:
+            if self.now - quota.called_at > self.s.counter_timeout_ms + SWEEP_MS:
                 quota.call_open = False
                 self._settle(quota)
         self.quotas.sweep()
         self.sweep_due = self.now + SWEEP_MS
-        self.out.append(api.Timer("sweep", SWEEP_MS))
+        self.out.append(api.SetTimer("sweep", SWEEP_MS))
 
     def _say(self, cause: str, text: str) -> None:
         if self.now - self.said.get(cause, -1e9) >= 5000:
--- a/yewstage/demo/load.py
+++ b/hillmux/demo/load.py
@@ -7,7 +7,7 @@
 import random
 from collections import Counter
 
-from yewstage.hosted.stats import Times
+from hillmux.hosted.stats import Times
 
 MOST_OUT = 256  # requests out at once; what would be due beyond them is counted as not sent
 TICK_S = 0.005
--- a/yewstage/demo/run.py
+++ b/hillmux/demo/run.py
@@ -13,9 +13,9 @@
 from rich.live import Live
 from rich.table import Table
 
-from yewstage.demo.load import Load
-from yewstage.lab.standins.alone import booking_nodes
-from yewstage.lab.standins.host import BookingNode
+from hillmux.demo.load import Load
+from hillmux.lab.standins.alone import booking_nodes
+from hillmux.lab.standins.host import BookingNode
 
 TENANTS = ("adjara", "imereti", "svaneti")
 RATE, FLOOD = 30.0, 20.0  # requests a second of a tenant, and how many times that a flood is
@@ -103,7 +103,7 @@
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "yewstage.cli",
+            "hillmux.cli",
             "serve",
             "--config",
             str(self._config),
--- a/yewstage/hosted/config.py
+++ b/hillmux/hosted/config.py
@@ -13,10 +13,11 @@
 import tomli
 from pydantic import TypeAdapter, ValidationError
 
-from yewstage import interface as api
-from yewstage.hosted import shape
-from yewstage.tenants import model, router
-from yewstage.tenants.addresses import AddressBook
+from hillmux import interface as api
+from hillmux.hosted import shape
+from hillmux.interface import HostStatus, Idempotency, KeyScope
+from hillmux.tenants import model, router
+from hillmux.tenants.addresses import AddressBook
 
 MOST_FAULTS = 100  # told at once
 SHOWN = 60  # characters of what was found
@@ -169,7 +170,9 @@
     return faults
 
 
-def load_hosts(path: Path, pool: str) -> tuple[tuple[api.Server, ...], tuple[tuple[str, model.Address], ...]]:
+def load_hosts(
+    path: Path, pool: str
+) -> tuple[tuple[api.Endpoint, ...], tuple[tuple[str, model.Address], ...]]:
     """A pool's file of hosts: servers, and addresses by name. ConfigFaultsError where it is none."""
     faults: list[Fault] = []
     shaped = _validate(shape.HostsFileShape, read_toml(path), str(path), "", faults)
@@ -345,27 +348,54 @@
     ) -> api.Settings:
         module, gateway = shaped.module, self._head.gateway
         settings = api.Settings(
-            classes=tuple(api.RequestClass(name, **c.model_dump()) for name, c in classes.items()),
-            plans=tuple(api.Plan(name, **p.model_dump()) for name, p in plans.items()),
-            me=gateway.number,
+            classes=tuple(_request_class(name, c) for name, c in classes.items()),
+            plans=tuple(_plan(name, p) for name, p in plans.items()),
+            gateway_index=gateway.number,
             fleet_size=gateway.fleet_size,
-            try_limit=module.try_limit,
-            cancel=True,
+            max_attempts=module.try_limit,
+            cancellation_allowed=True,
             max_retry_after_ms=module.max_retry_after_ms,
-            may_count=True,
-            most_units=module.most_units,
-            most_customers=module.most_customers,
-            count_wait_ms=COUNT_PATIENCE * self._head.counter.wait_ms,
-            trued_up=True,
+            counter_available=True,
+            max_request_units=module.most_units,
+            max_customers=module.most_customers,
+            counter_timeout_ms=COUNT_PATIENCE * self._head.counter.wait_ms,
+            actual_units_reported=True,
             drain_grace_ms=module.drain_grace_ms,
-            cold_from=module.cold_from,
-            cold_ms=module.cold_ms,
-            fall_multiple=module.fall_multiple,
-            tip_after_ms=module.tip_after_ms,
+            slow_start_min_share=module.cold_from,
+            slow_start_ms=module.cold_ms,
+            overload_multiple=module.fall_multiple,
+            overload_after_ms=module.tip_after_ms,
         )
         return self._settings.setdefault(settings, settings)
 
 
+def _request_class(name: str, found: shape.ClassShape) -> api.RequestClass:
+    return api.RequestClass(
+        name,
+        latency_objective_ms=found.aim_ms,
+        deadline_ms=found.deadline_ms,
+        priority_weight=found.worth,
+        late_priority_weight=found.late_worth,
+        idempotency=Idempotency(found.effect),
+        key_scope=KeyScope(found.key_scope),
+        idempotency_window_ms=found.window_ms,
+    )
+
+
+def _plan(name: str, found: shape.PlanShape) -> api.Plan:
+    return api.Plan(
+        name,
+        rate=found.rate,
+        burst=found.burst,
+        priority_weight=found.worth,
+        over_quota_weight=found.over_worth,
+        over_quota_cost=found.over_cost,
+        ceiling_rate=found.ceiling_rate,
+        ceiling_burst=found.ceiling_burst,
+        ceiling_tolerance=found.ceiling_slack,
+    )
+
+
 def _names(names: Iterable[str]) -> str:
     known = sorted(names)
     text = ", ".join(known[:8]) + (", ..." if len(known) > 8 else "")
@@ -381,10 +411,16 @@
     return faults
 
 
-def _servers(hosts: tuple[shape.HostShape, ...], pool: str) -> tuple[api.Server, ...]:
+def _servers(hosts: tuple[shape.HostShape, ...], pool: str) -> tuple[api.Endpoint, ...]:
     return tuple(
-        api.Server(
-            h.id, h.zone, h.cell, "up" if h.state == "ready" else "draining", h.weight, h.started_at_ms, pool
+        api.Endpoint(
+            h.id,
+            h.zone,
+            h.cell,
+            HostStatus.UP if h.state == "ready" else HostStatus.DRAINING,
+            h.weight,
+            h.started_at_ms,
+            pool,
         )
         for h in hosts
     )
--- a/yewstage/hosted/core.py
+++ b/hillmux/hosted/core.py
@@ -9,14 +9,15 @@
 from itertools import islice
 from typing import Any, Protocol, cast
 
-from yewstage import interface as api
-from yewstage.hosted.resources import SHARE, Resources
-from yewstage.hosted.stats import Stats
-from yewstage.net.core import Client, Core, CounterClient, Order, Pulse, _Open
-from yewstage.net.discovery import Listing
-from yewstage.net.hosts import Attempt, Hosts, _Connection
-from yewstage.net.http1 import Reply
-from yewstage.tenants.model import Tenant
+from hillmux import interface as api
+from hillmux.hosted.resources import SHARE, Resources
+from hillmux.hosted.stats import Stats
+from hillmux.interface import AttemptResult, Idempotency, ListKind, RejectReason
+from hillmux.net.core import Client, Core, CounterClient, Order, Pulse, _Open
+from hillmux.net.discovery import Listing
+from hillmux.net.hosts import Attempt, Hosts, _Connection
+from hillmux.net.http1 import Reply
+from hillmux.tenants.model import Tenant
 
 log = logging.getLogger(__name__)
 
@@ -79,17 +80,17 @@
         tenant: Tenant,
         loop: asyncio.AbstractEventLoop,
         resources: Resources,
-        ended: Callable[[Attempt, str, Reply | None], None],
+        ended: Callable[[Attempt, AttemptResult, Reply | None], None],
         make_room: Callable[[str], bool],
         wanted: Callable[[Attempt], bool],
     ) -> None:
         super().__init__(loop, int(resources.hosts.whole), tenant.dial_ms, tenant.idle_ms, ended, wanted)
         self._tenant, self._resources, self._make_room = tenant.id, resources, make_room
 
-    def judge(self, reply: Reply) -> str:
+    def judge(self, reply: Reply) -> AttemptResult:
         """An answer that is the tenant's own business, a 404 as much as a 201, was served."""
         if 200 <= reply.status < 500 and reply.status not in (408, 429):
-            return api.OK
+            return AttemptResult.OK
         return super().judge(reply)
 
     def empty(self) -> bool:
@@ -162,14 +163,14 @@
     def start(self, born_ms: float, listing: Listing, counter: TenantCounter) -> None:
         """Begin as one that was born then and idle since: its ceilings have earned what they could."""
         self._counter = self._counts = counter
-        for act in self._gateway.handle(born_ms, api.ServerList("kept", ())):
+        for act in self._gateway.handle(born_ms, api.EndpointList(ListKind.CACHED, ())):
             self._act(act)
-        self._apply(listing, "full")
+        self._apply(listing, ListKind.FULL)
 
     def update(self, tenant: Tenant, listing: Listing) -> None:
         """Go on under a changed configuration whose settings are the same."""
         self.tenant = tenant
-        self._apply(listing, "full")
+        self._apply(listing, ListKind.FULL)
 
     def leave(self) -> None:
         """Take nothing new; close once the last request has its answer and its attempts are over."""
@@ -214,11 +215,11 @@
             if harmless:
                 self.cause = SHARE
                 self._answer(request, 503, retry_after_ms=NO_MODULE_MS)
-                self._post(api.ClientLeft(request.id))
+                self._post(api.ClientDisconnected(request.id))
                 return True
         if newest:
             self._answer(newest[0], 502)
-            self._post(api.ClientLeft(newest[0].id))
+            self._post(api.ClientDisconnected(newest[0].id))
         return bool(newest)
 
     def drop_idle(self) -> bool:
@@ -226,7 +227,10 @@
         return self._hosts.drop_idle()
 
     def _safe(self, request: _Open) -> bool:
-        return any(c.name == request.order.class_name and c.effect == "safe" for c in self.settings.classes)
+        return any(
+            c.name == request.order.class_name and c.idempotency == Idempotency.IDEMPOTENT
+            for c in self.settings.classes
+        )
 
     def _wake(self) -> None:
         self._busy_at = self._loop.time()
@@ -235,7 +239,7 @@
             handle = self._timers.pop("sweep", None)
             if handle is not None:
                 handle.cancel()
-            self._post(api.TimerDue("sweep"))
+            self._post(api.TimerFired("sweep"))
 
     def _forget(self, request: _Open) -> None:
         held = request.id in self._requests
@@ -272,13 +276,13 @@
         cast(Any, client).more = reply.headers.get(LINES_KEPT, b"")
         super()._pass_on(client, reply)
 
-    def _refuse(self, act: api.Refuse) -> None:
-        self.cause = act.cause
-        status = 429 if act.cause in (api.QUOTA, api.CEILING) else 503
-        self._answer(self._requests.get(act.request), status, retry_after_ms=act.retry_after_ms)
+    def _refuse(self, act: api.Reject) -> None:
+        self.cause = act.reason
+        status = 429 if act.reason in (RejectReason.QUOTA, RejectReason.CEILING) else 503
+        self._answer(self._requests.get(act.request_id), status, retry_after_ms=act.retry_after_ms)
 
-    def _send(self, act: api.Send) -> None:
-        request = self._requests.get(act.request)
+    def _send(self, act: api.SendAttempt) -> None:
+        request = self._requests.get(act.request_id)
         first = request is not None and not request.attempts
         super()._send(act)
         if first and request is not None and request.attempts and request.attempts[0] is not None:
@@ -289,16 +293,16 @@
     def _module_failed(self, event: api.Event) -> None:
         self.stats.faults += 1
         super()._module_failed(event)
-        if isinstance(event, api.TimerDue):
+        if isinstance(event, api.TimerFired):
             # Guards the tenant against its own fault: without its timer the module would never see f rise.
-            self._timer(api.Timer(event.name, RETRY_TIMER_MS))
+            self._timer(api.SetTimer(event.name, RETRY_TIMER_MS))
 
     def _note(self, level: int, text: str, trace: bool = False) -> None:
         if self._resources.may_log(self.tenant.id):
             log.log(level, "tenant %s: %s", self.tenant.id, text, exc_info=trace)
 
-    def _timer(self, act: api.Timer) -> None:
-        delay_s = max(act.in_ms, 0.0) / 1000
+    def _timer(self, act: api.SetTimer) -> None:
+        delay_s = max(act.delay_ms, 0.0) / 1000
         if act.name == "sweep":
             self._sweeps += 1
             idle = self._loop.time() - self._busy_at > DOZE_AFTER_S and not self._requests
@@ -316,7 +320,7 @@
 
     def _timer_due(self, name: str) -> None:
         self._timers.pop(name, None)
-        self._post(api.TimerDue(name))
+        self._post(api.TimerFired(name))
         if self._dozing and name == "sweep" and self._gateway.settled() and not self._requests:
             self._settled(self)
 
--- a/yewstage/hosted/counts.py
+++ b/hillmux/hosted/counts.py
@@ -6,10 +6,10 @@
 from collections import deque
 from collections.abc import Callable
 
-from yewstage import interface as api
-from yewstage.net.counter import Counter
+from hillmux import interface as api
+from hillmux.net.counter import Counter
 
-Replied = Callable[[api.CountReply], None]
+Replied = Callable[[api.CounterReply], None]
 
 
 class SharedCounter:
@@ -27,7 +27,7 @@
         """Close them."""
         self._client.stop()
 
-    def call(self, act: api.Count, replied: Replied) -> None:
+    def call(self, act: api.IncrementCounter, replied: Replied) -> None:
         """Make one call under its full name; its reply goes to whoever made it.
 
         Guards a tenant's new module against replies to the old one's calls, which have the same names.
@@ -35,13 +35,13 @@
         self.waiting.setdefault(act.name, deque()).append(replied)
         self._client.call(act)
 
-    def _replied(self, reply: api.CountReply) -> None:
+    def _replied(self, reply: api.CounterReply) -> None:
         waiting = self.waiting[reply.name]
         replied = waiting.popleft()
         if not waiting:
             del self.waiting[reply.name]
         name = reply.name.partition(".")[2]
-        replied(api.CountReply(name, reply.result, reply.total, reply.took_ms))
+        replied(api.CounterReply(name, reply.result, reply.total, reply.elapsed_ms))
 
 
 class ScopedCounter:
@@ -51,11 +51,13 @@
         self._shared, self._scope, self._replied = shared, scope, replied
         self._closed = False
 
-    def call(self, act: api.Count) -> None:
+    def call(self, act: api.IncrementCounter) -> None:
         """Make one call."""
-        self._shared.call(api.Count(f"{self._scope}.{act.name}", act.amount, act.keep_ms), self._hear)
+        self._shared.call(
+            api.IncrementCounter(f"{self._scope}.{act.name}", act.amount, act.retention_ms), self._hear
+        )
 
-    def _hear(self, reply: api.CountReply) -> None:
+    def _hear(self, reply: api.CounterReply) -> None:
         if not self._closed:
             self._replied(reply)
 
--- a/yewstage/hosted/front.py
+++ b/hillmux/hosted/front.py
@@ -13,20 +13,21 @@
 from collections.abc import Callable
 from typing import Any, Protocol, cast
 
-from yewstage import interface as api
-from yewstage.hosted.core import CONFLICT, NO_MODULE_MS, TenantCore
-from yewstage.hosted.resources import CROWDED, DRAINING, SHARE, UNHEARD, Resources
-from yewstage.hosted.stats import Stats
-from yewstage.net.clients import (
+from hillmux import interface as api
+from hillmux.hosted.core import CONFLICT, NO_MODULE_MS, TenantCore
+from hillmux.hosted.resources import CROWDED, DRAINING, SHARE, UNHEARD, Resources
+from hillmux.hosted.stats import Stats
+from hillmux.interface import Idempotency
+from hillmux.net.clients import (
     IDLE_S,
     ClientConnection,
     Server,
 )
-from yewstage.net.core import Order
-from yewstage.net.requests import DEADLINE, WANTED, WORD, BadRequestError, Message, Terms
-from yewstage.tenants import model
-from yewstage.tenants.router import Entry, Router
-from yewstage.tenants.target import Target, TargetError, read_target
+from hillmux.net.core import Order
+from hillmux.net.requests import DEADLINE, WANTED, WORD, BadRequestError, Message, Terms
+from hillmux.tenants import model
+from hillmux.tenants.router import Entry, Router
+from hillmux.tenants.target import Target, TargetError, read_target
 
 log = logging.getLogger(__name__)
 
@@ -457,9 +458,9 @@
     headers, key = message.headers, message.headers.get(b"idempotency-key")
     if not WORD.fullmatch(rid) or (key is not None and not WORD.fullmatch(key)):
         raise BadRequestError("X-Request-Id or Idempotency-Key: expected 1 to 128 visible ASCII characters")
-    if cls.effect == "keyed" and key is None:
+    if cls.idempotency == Idempotency.KEYED and key is None:
         raise BadRequestError(f"Idempotency-Key: is missing, class {cls.name!r} is keyed")
-    if cls.effect == "safe" and message.body:
+    if cls.idempotency == Idempotency.IDEMPOTENT and message.body:
         raise BadRequestError(f"body: found one, class {cls.name!r} is safe")
     lines = [
         b"%b %b HTTP/1.1\r\nHost: %b\r\nX-Request-Id: %b\r\nX-Class: %b\r\nX-Partner: %b\r\n"
--- a/yewstage/hosted/hostfiles.py
+++ b/hillmux/hosted/hostfiles.py
@@ -10,17 +10,17 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from yewstage import interface as api
-from yewstage.hosted.config import ConfigFaultsError, Fault, load_hosts
-from yewstage.tenants.addresses import AddressBook
-from yewstage.tenants.model import Address, Tenant
+from hillmux import interface as api
+from hillmux.hosted.config import ConfigFaultsError, Fault, load_hosts
+from hillmux.tenants.addresses import AddressBook
+from hillmux.tenants.model import Address, Tenant
 
 log = logging.getLogger(__name__)
 
 LOOK_S = 0.25
 LOOKS = 250  # files looked at in one go: a thousand a second, and the loop is held for about a millisecond
 
-Hosts = tuple[tuple[api.Server, ...], tuple[tuple[str, Address], ...]]
+Hosts = tuple[tuple[api.Endpoint, ...], tuple[tuple[str, Address], ...]]
 
 
 @dataclass(slots=True, eq=False)
--- a/yewstage/hosted/resources.py
+++ b/hillmux/hosted/resources.py
@@ -4,10 +4,10 @@
 
 import time
 
-from yewstage.net.core import Clock
-from yewstage.tenants.looptime import LoopTime
-from yewstage.tenants.model import Limits, Tenant
-from yewstage.tenants.shares import Shares
+from hillmux.net.core import Clock
+from hillmux.tenants.looptime import LoopTime
+from hillmux.tenants.model import Limits, Tenant
+from hillmux.tenants.shares import Shares
 
 CLIENT_SHARE, HOST_SHARE = 0.5, 0.36  # of the descriptors, as on the platform
 TURN_S = 0.1  # how often the loop's time is dealt out anew
--- a/yewstage/hosted/serve.py
+++ b/hillmux/hosted/serve.py
@@ -13,11 +13,11 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from yewstage.hosted.config import ConfigFaultsError, load
-from yewstage.hosted.front import TenantServer
-from yewstage.hosted.service import Prepared, Service
-from yewstage.net.life import Shutdown
-from yewstage.tenants.model import Address, ServiceConfig, Tenant
+from hillmux.hosted.config import ConfigFaultsError, load
+from hillmux.hosted.front import TenantServer
+from hillmux.hosted.service import Prepared, Service
+from hillmux.net.shutdown import Shutdown
+from hillmux.tenants.model import Address, ServiceConfig, Tenant
 
 log = logging.getLogger(__name__)
 
--- a/yewstage/hosted/service.py
+++ b/hillmux/hosted/service.py
@@ -9,20 +9,20 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from yewstage import interface as api
-from yewstage.counter import EmbeddedCounter, Store
-from yewstage.hosted.config import ConfigFaultsError, Fault, check_together
-from yewstage.hosted.core import TenantCore, TenantCounter
-from yewstage.hosted.counts import ScopedCounter, SharedCounter
-from yewstage.hosted.hostfiles import HostFiles
-from yewstage.hosted.resources import TURN_S, Resources
-from yewstage.hosted.stats import Stats
-from yewstage.net.core import Pulse
-from yewstage.net.discovery import Listing
-from yewstage.net.requests import Terms
-from yewstage.tenants import model, router
-from yewstage.tenants.addresses import AddressBook
-from yewstage.tenants.registry import Change, Registry, changes_between
+from hillmux import interface as api
+from hillmux.counter import EmbeddedCounter, Store
+from hillmux.hosted.config import ConfigFaultsError, Fault, check_together
+from hillmux.hosted.core import TenantCore, TenantCounter
+from hillmux.hosted.counts import ScopedCounter, SharedCounter
+from hillmux.hosted.hostfiles import HostFiles
+from hillmux.hosted.resources import TURN_S, Resources
+from hillmux.hosted.stats import Stats
+from hillmux.net.core import Pulse
+from hillmux.net.discovery import Listing
+from hillmux.net.requests import Terms
+from hillmux.tenants import model, router
+from hillmux.tenants.addresses import AddressBook
+from hillmux.tenants.registry import Change, Registry, changes_between
 
 log = logging.getLogger(__name__)
 
@@ -278,7 +278,7 @@
         core.leave()
 
     def _listing(self, tenant: model.Tenant) -> Listing:
-        servers: list[api.Server] = []
+        servers: list[api.Endpoint] = []
         addresses: dict[str, model.Address] = {}
         for pool in tenant.pools:
             found = self._files.hosts(tenant.id, pool.name) if pool.hosts_file else None
--- a/yewstage/hosted/shape.py
+++ b/hillmux/hosted/shape.py
@@ -8,7 +8,7 @@
 from pydantic import BaseModel, BeforeValidator, ConfigDict, Field
 from pydantic_core import PydanticCustomError
 
-from yewstage.tenants.target import TargetError, host_name
+from hillmux.tenants.target import TargetError, host_name
 
 IDENTIFIER = re.compile(r"[a-z0-9](?:[a-z0-9-]{0,61}[a-z0-9])?")
 TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,64}")  # a header's name (RFC 9110 section 5.6.2)
--- a/yewstage/handover/service.py
+++ b/hillmux/hot_restart/service.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from yewstage.handover.channel import Channel, connect, listen, ours
+from hillmux.hot_restart.channel import Channel, connect, listen, ours
 
 log = logging.getLogger(__name__)
 
--- a/yewstage/handover/state.py
+++ b/hillmux/hot_restart/state_codec.py
@@ -20,11 +20,11 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from yewstage import policy
-from yewstage.fleet import FASTEST, OUT, SLOWEST
-from yewstage.limits.state import QuotaState
-from yewstage.policy import Gateway
-from yewstage.sketch import SLOTS
+from hillmux.balancing.fleet import FASTEST, OUT, SLOWEST
+from hillmux.decision import gateway as policy
+from hillmux.decision.gateway import Gateway
+from hillmux.quotas.latest_times import SLOTS
+from hillmux.quotas.state import QuotaState
 
 VERSION = 1
 AT_ONCE = 256  # customers, or hosts, in one document
@@ -169,7 +169,7 @@
     for name, fields in hosts.items():
         _restore_host(gateway, name, fields)
     for customer, plan, fields in uses:
-        if plan in gateway.plans and len(registry.states) < gateway.s.most_customers:
+        if plan in gateway.plans and len(registry.states) < gateway.s.max_customers:
             _restore_use(gateway, customer, plan, fields)
     if times is not None:
         registry.ceilings_from.times = times
--- /dev/null
+++ b/hillmux/interface/events.py
@@ -0,0 +1,195 @@
+"""Events that the decision module handles.
+
+Every time is in milliseconds on the caller's clock, every amount of use in quota units.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from hillmux.interface.results import AttemptResult, ListKind
+from hillmux.interface.settings import Endpoint, Settings
+
+# Nobody changes an event or an action, but a frozen dataclass costs three times as much to create.
+# Events of every request write their `__init__` out: mypyc does not compile the one that dataclass generates.
+
+
+@dataclass(slots=True)
+class EndpointList:
+    """Discovery's word on the hosts: all of them, those that changed, or none where it could not be asked."""
+
+    kind: ListKind
+    endpoints: tuple[Endpoint, ...] = ()
+
+
+@dataclass(slots=True, init=False)
+class Request:
+    """A client's request, which gets exactly one final answer."""
+
+    id: str
+    class_name: str
+    plan_name: str
+    customer: str
+    time_left_ms: float
+    units: float = 1.0
+    replicas: int = 1  # gateways that this customer's requests may come through
+    first_replica: int = 0  # index of the first of them
+    is_retry: bool = False
+    pool: str = ""  # of the hosts that may serve it
+
+    def __init__(
+        self,
+        id: str,
+        class_name: str,
+        plan_name: str,
+        customer: str,
+        time_left_ms: float,
+        units: float = 1.0,
+        replicas: int = 1,
+        first_replica: int = 0,
+        is_retry: bool = False,
+        pool: str = "",
+    ) -> None:
+        self.id, self.class_name, self.plan_name, self.customer = id, class_name, plan_name, customer
+        self.time_left_ms, self.units, self.replicas, self.first_replica = (
+            time_left_ms,
+            units,
+            replicas,
+            first_replica,
+        )
+        self.is_retry, self.pool = is_retry, pool
+
+
+@dataclass(slots=True, init=False)
+class AttemptEnded:
+    """How one attempt ended; `final` is set once the request is finished."""
+
+    request_id: str
+    attempt: int
+    host: str
+    result: AttemptResult
+    elapsed_ms: float
+    final: bool
+    usage_percent: float = 0.0  # 1 + the customer's metered use; 0: not reported
+    actual_units: float = 0.0  # 0: not reported
+    load_report: dict[str, float] = field(default_factory=dict)
+
+    def __init__(
+        self,
+        request_id: str,
+        attempt: int,
+        host: str,
+        result: AttemptResult,
+        elapsed_ms: float,
+        final: bool,
+        usage_percent: float = 0.0,
+        actual_units: float = 0.0,
+        load_report: dict[str, float] | None = None,
+    ) -> None:
+        self.request_id, self.attempt, self.host, self.result = request_id, attempt, host, result
+        self.elapsed_ms, self.final, self.usage_percent, self.actual_units = (
+            elapsed_ms,
+            final,
+            usage_percent,
+            actual_units,
+        )
+        self.load_report = {} if load_report is None else load_report
+
+
+@dataclass(slots=True)
+class ResponseStarted:
+    """The response's first bytes went to the client: no other attempt may answer the request."""
+
+    request_id: str
+    attempt: int
+
+
+@dataclass(slots=True)
+class ClientDisconnected:
+    """The client has closed its connection; no answer is owed any more."""
+
+    request_id: str
+
+
+@dataclass(slots=True)
+class TimerFired:
+    """A timer that a `SetTimer` asked for has fired."""
+
+    name: str
+
+
+@dataclass(slots=True)
+class CounterReply:
+    """How one `IncrementCounter` ended.
+
+    With MALFORMED_RESPONSE it was answered, so added, but without a total; with CONNECTION_LOST its
+    connection broke while the call was open, and it may have been added.
+    """
+
+    name: str
+    result: AttemptResult
+    total: float
+    elapsed_ms: float = 0.0
+
+
+@dataclass(slots=True)
+class HealthCheckReply:
+    """How one health check ended."""
+
+    host: str
+    result: AttemptResult
+    elapsed_ms: float
+    load_report: dict[str, float] = field(default_factory=dict)
+
+
+@dataclass(slots=True)
+class HostDisabled:
+    """An operator disables or enables a host. A disabled one counts as draining, whatever discovery says."""
+
+    host: str
+    disabled: bool
+
+
+@dataclass(slots=True)
+class SettingsChanged:
+    """New settings. Open requests keep the class, and the number of attempts, that they began with."""
+
+    settings: Settings
+
+
+@dataclass(slots=True)
+class DrainStarted:
+    """This process ends soon without a successor: units that it leased ahead of use are returned."""
+
+
+@dataclass(slots=True)
+class TakenOver:
+    """Another process of this gateway decides from now on and owns its part of ceilings; or, where
+    `by_successor` is false, it ended before it did."""
+
+    by_successor: bool
+
+
+@dataclass(slots=True)
+class GossipMessage:
+    """A message from another gateway."""
+
+    sender: int
+    data: bytes
+
+
+Event = (
+    EndpointList
+    | Request
+    | AttemptEnded
+    | ResponseStarted
+    | ClientDisconnected
+    | TimerFired
+    | CounterReply
+    | HealthCheckReply
+    | GossipMessage
+    | HostDisabled
+    | SettingsChanged
+    | DrainStarted
+    | TakenOver
+)
--- /dev/null
+++ b/hillmux/interface/results.py
@@ -0,0 +1,98 @@
+"""Fixed choices of the decision module's interface.
+
+Values are those of settings, metrics and stored records; members carry the field's terms.
+"""
+
+from __future__ import annotations
+
+from enum import StrEnum
+from typing import Final
+
+
+class RejectReason(StrEnum):
+    """Why a request is rejected before any attempt, or after attempts that surely never ran."""
+
+    QUOTA = "quota"
+    CEILING = "ceiling"
+    OVERLOAD = "pressure"
+    """The hosts' occupancy is too high: shed by the admit fraction."""
+    NO_HOST = "no_host"
+    DEADLINE = "late"
+    """Too little time is left to answer in time."""
+    TOO_MANY_CUSTOMERS = "crowded"
+    UNKNOWN_CLASS_OR_PLAN = "unknown"
+
+
+class AttemptResult(StrEnum):
+    """How an attempt, a counter call or a health check ended."""
+
+    OK = "ok"
+    ERROR = "error"
+    QUEUE_FULL = "full"
+    TIMED_OUT = "timed_out"
+    CONNECT_FAILED = "connect_failed"
+    RESET = "reset"
+    CANCELLED = "cancelled"
+    NOT_SENT = "moot"
+    """Stopped before its first byte: the request was no longer wanted, or its host began to drain."""
+    MALFORMED_RESPONSE = "spoilt"
+    """A response that cannot be parsed: it may have run, and says little of the host."""
+    STALE_CONNECTION = "stale"
+    """A kept connection was reset by its next request: it may have run, the host is no worse."""
+    INCOMPLETE_REQUEST = "unsent"
+    """The connection broke before the last byte was written: it never ran."""
+    CONNECTION_LOST = "cut"
+    """The connection broke under a counter call: it may have been added, the counter may be well."""
+    LOCAL_LIMIT = "no_room"
+    """A limit of this gateway kept it from being sent: it says nothing of the host."""
+
+
+class Idempotency(StrEnum):
+    """Whether a request of a class may run more than once."""
+
+    IDEMPOTENT = "safe"
+    KEYED = "keyed"
+    """Hosts recognise a repeated idempotency key for a time, within the key's scope."""
+    NOT_IDEMPOTENT = "unsafe"
+
+
+class KeyScope(StrEnum):
+    """Which hosts recognise an idempotency key that one of them has seen."""
+
+    GLOBAL = "all"
+    ZONE = "zone"
+    CELL = "cell"
+
+
+class HostStatus(StrEnum):
+    """What discovery says of a host."""
+
+    UP = "up"
+    DRAINING = "draining"
+    REMOVED = "removed"
+
+
+class ListKind(StrEnum):
+    """What an endpoint list holds."""
+
+    FULL = "full"
+    CACHED = "kept"
+    """The whole list as it was stored earlier, not discovery's word of now."""
+    CHANGES = "changes"
+    FAILED = "failed"
+
+
+# An attempt with one of these results surely never ran at its host.
+NEVER_EXECUTED: Final = frozenset(
+    (
+        AttemptResult.QUEUE_FULL,
+        AttemptResult.CONNECT_FAILED,
+        AttemptResult.NOT_SENT,
+        AttemptResult.INCOMPLETE_REQUEST,
+        AttemptResult.LOCAL_LIMIT,
+    )
+)
+# One with these never arrived there either, and took nothing of a quota or a ceiling.
+NEVER_DELIVERED: Final = frozenset(
+    (AttemptResult.NOT_SENT, AttemptResult.INCOMPLETE_REQUEST, AttemptResult.LOCAL_LIMIT)
+)
--- a/yewstage/lab/commands.py
+++ b/hillmux/lab/commands.py
@@ -12,8 +12,8 @@
 import click
 
 if TYPE_CHECKING:
-    from yewstage.lab.run import Result
-    from yewstage.lab.scenario import Scenario
+    from hillmux.lab.run import Result
+    from hillmux.lab.scenario import Scenario
 
 FAULT = 2  # exit status for a file that is no good, or a run that did not come about
 SHIPPED = Path("examples/lab")
@@ -27,7 +27,7 @@
 
 
 def _scenario(path: Path) -> Scenario:
-    from yewstage.lab.scenario import ScenarioError, load
+    from hillmux.lab.scenario import ScenarioError, load
 
     try:
         return load(path)
@@ -54,8 +54,8 @@
 @click.option("--virtual", is_flag=True, help="In virtual time: no processes, the same to the last byte.")
 def run(path: Path, seed: int | None, out: Path, tree: Path | None, virtual: bool) -> None:
     """Play a scenario. Ends with 1 where something does not hold, or was not exercised."""
-    from yewstage.lab.processes import ROOT, NotReadyError
-    from yewstage.lab.run import RunError, play, play_virtual
+    from hillmux.lab.processes import ROOT, NotReadyError
+    from hillmux.lab.run import RunError, play, play_virtual
 
     scenario = _scenario(path)
     if seed is not None:
@@ -147,7 +147,7 @@
 @click.argument("path", type=click.Path(path_type=Path), metavar="FILE")
 def check(path: Path) -> None:
     """Tell every fault of a scenario's file, and what playing it takes, without starting anything."""
-    from yewstage.lab.scenario import needs, schedule
+    from hillmux.lab.scenario import needs, schedule
 
     scenario = _scenario(path)
     processes, megabytes, files = needs(scenario)
@@ -169,8 +169,8 @@
     """A run's record, judged anew."""
     import orjson
 
-    from yewstage.lab.run import judge
-    from yewstage.lab.scenario import Scenario
+    from hillmux.lab.run import judge
+    from hillmux.lab.scenario import Scenario
 
     try:
         scenario = Scenario.model_validate(orjson.loads((folder / "scenario.json").read_bytes()))
@@ -201,7 +201,7 @@
 @click.argument("rid", metavar="ID")
 def follow(folder: Path, rid: str) -> None:
     """What happened to one request, through client, gateways and hosts."""
-    from yewstage.lab import record
+    from hillmux.lab import record
 
     t0 = _judged(folder).t0
     events = record.follow(record.read(folder), rid)
@@ -232,10 +232,10 @@
     from rich.console import Console
     from rich.table import Table
 
-    from yewstage.lab.compare import TreeError
-    from yewstage.lab.compare import compare as compared
-    from yewstage.lab.processes import NotReadyError
-    from yewstage.lab.run import RunError
+    from hillmux.lab.compare import compare as compared
+    from hillmux.lab.processes import NotReadyError
+    from hillmux.lab.run import RunError
+    from hillmux.lab.trees import TreeError
 
     scenario = _scenario(path)
     folder = _folder(out, f"compare-{scenario.name}")
@@ -267,8 +267,8 @@
 @click.argument("folder", type=click.Path(path_type=Path, exists=True), metavar="RUN")
 def report(folder: Path) -> None:
     """Write a run as one self-contained page, RUN/report.html."""
-    from yewstage.lab import record
-    from yewstage.lab.report import Series, page
+    from hillmux.lab import record
+    from hillmux.lab.report import Series, page
 
     result = _judged(folder)
     scenario = result.scenario
--- a/yewstage/lab/load.py
+++ b/hillmux/lab/load.py
@@ -1,6 +1,6 @@
 """The process of the clients: an open loop drawn ahead, behind a front that deals them out and notices late.
 
-    python -m yewstage.lab.load
+    python -m hillmux.lab.load
 
 Takes lines of JSON: `{"scenario": ..., "folder": ..., "ports": {"g0": ...}}`, then `{"t0": ...}`. Says
 `{"ready": true}`, once a second `{"progress": ...}`, and at the end how late it was itself: `{"over": ...,
@@ -24,13 +24,13 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from yewstage.lab.checks import ANSWER_SLACK_MS
-from yewstage.lab.clock import RealClock
-from yewstage.lab.pipe import begun, tell
-from yewstage.lab.record import Recorder
-from yewstage.lab.scenario import Scenario
-from yewstage.lab.streams import Stream
-from yewstage.lab.traffic import Try, tries
+from hillmux.lab.checks import ANSWER_SLACK_MS
+from hillmux.lab.clock import RealClock
+from hillmux.lab.pipe import begun, tell
+from hillmux.lab.record import Recorder
+from hillmux.lab.scenario import Scenario
+from hillmux.lab.streams import Stream
+from hillmux.lab.traffic import Try, tries
 
 LONGEST_US = 60_000_000
 LOOK_MS = 100.0  # how often the front asks a gateway that it has taken out whether it is ready
--- a/yewstage/lab/measures.py
+++ b/hillmux/lab/measures.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from yewstage.lab.checks import Event, Terms
-from yewstage.lab.store import Store
-from yewstage.recovery import full
+from hillmux.lab.checks import Event, Terms
+from hillmux.lab.store import Store
+from hillmux.recovery import full_service as full
 
 
 @dataclass(slots=True)
--- a/yewstage/lab/pipe.py
+++ b/hillmux/lab/pipe.py
@@ -9,8 +9,8 @@
 
 import orjson
 
-from yewstage.lab.clock import RealClock
-from yewstage.lab.record import Recorder
+from hillmux.lab.clock import RealClock
+from hillmux.lab.record import Recorder
 
 LONGEST_LINE = 1 << 24
 
--- a/yewstage/lab/processes.py
+++ b/hillmux/lab/processes.py
@@ -16,9 +16,10 @@
 
 import orjson
 
-from yewstage.lab.record import Recorder
-from yewstage.lab.scenario import MOST_UNITS, Scenario, slack, zone_of
-from yewstage.lab.streams import generator
+from hillmux.lab.record import Recorder
+from hillmux.lab.scenario import MOST_UNITS, Scenario, slack, zone_of
+from hillmux.lab.streams import generator
+from hillmux.lab.trees import package_in
 
 READY_S = 20.0
 LAST_LINES = 40
@@ -254,7 +255,7 @@
             sys.executable,
             "-P",
             "-m",
-            "yewstage",
+            package_in(self._tree),
             stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
--- a/yewstage/lab/record.py
+++ b/hillmux/lab/record.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-from yewstage.lab.checks import Event
+from hillmux.lab.checks import Event
 
 Note = Callable[..., None]  # who, what happened, fields by name
 AT_ONCE = 1 << 16  # bytes held back before a write: a write for each event would slow the actors
--- a/yewstage/lab/run.py
+++ b/hillmux/lab/run.py
@@ -14,12 +14,12 @@
 
 import orjson
 
-from yewstage.lab import checks, record
-from yewstage.lab.measures import Figures, measure
-from yewstage.lab.processes import ROOT, GatewayProcess, NotReadyError, die_with_parent
-from yewstage.lab.record import Recorder
-from yewstage.lab.scenario import GATEWAY_FAULTS, Scenario, Strike, free_mb, schedule, terms, too_much
-from yewstage.lab.virtual import play as virtual
+from hillmux.lab import checks, record
+from hillmux.lab.measures import Figures, measure
+from hillmux.lab.processes import ROOT, GatewayProcess, NotReadyError, die_with_parent
+from hillmux.lab.record import Recorder
+from hillmux.lab.scenario import GATEWAY_FAULTS, Scenario, Strike, free_mb, schedule, terms, too_much
+from hillmux.lab.virtual import play as virtual
 
 LEAD_S = 0.5  # between the last gateway's readiness and the first try
 OVER_S = 30.0  # how long after its length a run may take to end
@@ -112,7 +112,7 @@
     ) -> None:
         self.scenario, self.folder, self.tree = scenario, folder, tree
         self._say, self._show = say, show
-        self._world, self._load = _Helper("yewstage.lab.world"), _Helper("yewstage.lab.load")
+        self._world, self._load = _Helper("hillmux.lab.world"), _Helper("hillmux.lab.load")
         self.gateways: dict[str, GatewayProcess] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._unstarted: list[str] = []  # starts that had not come about when the run was over
--- a/yewstage/lab/scenario.py
+++ b/hillmux/lab/scenario.py
@@ -13,9 +13,9 @@
 import tomli
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-from yewstage.lab.checks import CHECKERS, Terms
-from yewstage.lab.streams import generator
-from yewstage.lab.traffic import ClassTraffic, PlanTraffic, TrafficModel
+from hillmux.lab.checks import CHECKERS, Terms
+from hillmux.lab.streams import generator
+from hillmux.lab.traffic import ClassTraffic, PlanTraffic, TrafficModel
 
 Share = Annotated[float, Field(ge=0, le=1)]
 Positive = Annotated[float, Field(gt=0)]
--- a/yewstage/lab/standins/alone.py
+++ b/hillmux/lab/standins/alone.py
@@ -5,11 +5,11 @@
 import asyncio
 from typing import Any
 
-from yewstage.lab.clock import RealClock
-from yewstage.lab.links import Link
-from yewstage.lab.standins.host import BookingNode, Keys
-from yewstage.lab.streams import Stream
-from yewstage.lab.virtual.hosts import HostModel
+from hillmux.lab.clock import RealClock
+from hillmux.lab.links import Link
+from hillmux.lab.standins.host import BookingNode, Keys
+from hillmux.lab.streams import Stream
+from hillmux.lab.virtual.hosts import HostModel
 
 WAITING = 200
 MOST_CONNECTIONS = 10_000
--- a/yewstage/lab/standins/counter.py
+++ b/hillmux/lab/standins/counter.py
@@ -5,11 +5,11 @@
 import asyncio
 from functools import partial
 
-from yewstage.lab.clock import Clock
-from yewstage.lab.links import Door, Link, Wire
-from yewstage.lab.record import Note
-from yewstage.lab.standins.http import Asked, Line, Owner, message
-from yewstage.lab.virtual.counter import CounterModel, CounterService
+from hillmux.lab.clock import Clock
+from hillmux.lab.links import Door, Link, Wire
+from hillmux.lab.record import Note
+from hillmux.lab.standins.http import Asked, Line, Owner, message
+from hillmux.lab.virtual.counter import CounterModel, CounterService
 
 MOST_NAME = 64
 Totals = list[dict[str, tuple[float, float]]]
--- a/yewstage/lab/standins/discovery.py
+++ b/hillmux/lab/standins/discovery.py
@@ -8,10 +8,10 @@
 
 import orjson
 
-from yewstage.lab.clock import Clock
-from yewstage.lab.links import Door, Link, Wire
-from yewstage.lab.record import Note
-from yewstage.lab.standins.http import Asked, Line, Owner, message
+from hillmux.lab.clock import Clock
+from hillmux.lab.links import Door, Link, Wire
+from hillmux.lab.record import Note
+from hillmux.lab.standins.http import Asked, Line, Owner, message
 
 MOST_KEPT = 4096  # changes that a watch may ask for; an older one gets the whole list
 LONGEST_MS = 60_000.0
--- a/yewstage/lab/standins/exchange.py
+++ b/hillmux/lab/standins/exchange.py
@@ -11,9 +11,9 @@
 import socket
 from dataclasses import dataclass
 
-from yewstage.lab.clock import Clock
-from yewstage.lab.record import Note
-from yewstage.lab.streams import Stream
+from hillmux.lab.clock import Clock
+from hillmux.lab.record import Note
+from hillmux.lab.streams import Stream
 
 LONGEST = 256  # bytes; a longer one voids a run on the platform
 HELD_BACK_MS = 50.0  # how much later one comes that others overtake
--- a/yewstage/lab/standins/host.py
+++ b/hillmux/lab/standins/host.py
@@ -10,12 +10,12 @@
 from collections import OrderedDict
 from functools import partial
 
-from yewstage.lab.clock import Clock
-from yewstage.lab.links import Door, Link, Wire
-from yewstage.lab.record import Note
-from yewstage.lab.standins.http import Asked, Line, Owner, message
-from yewstage.lab.streams import Stream
-from yewstage.lab.virtual.hosts import Host, HostModel, Job
+from hillmux.lab.clock import Clock
+from hillmux.lab.links import Door, Link, Wire
+from hillmux.lab.record import Note
+from hillmux.lab.standins.http import Asked, Line, Owner, message
+from hillmux.lab.streams import Stream
+from hillmux.lab.virtual.hosts import Host, HostModel, Job
 
 MOST_KEYS = 200_000
 NOT_RUN = b"X-Not-Run: 1\r\n"
--- a/yewstage/lab/standins/http.py
+++ b/hillmux/lab/standins/http.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from yewstage.lab.links import Receiver, Wire
+from hillmux.lab.links import Receiver, Wire
 
 REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 500: b"Error", 503: b"Unavailable"}
 
--- a/yewstage/lab/standins/instant.py
+++ b/hillmux/lab/standins/instant.py
@@ -15,7 +15,7 @@
 import httptools
 import orjson
 
-from yewstage.lab.standins.http import message
+from hillmux.lab.standins.http import message
 
 LOOP = "127.0.0.1"
 GOOD = message(200, b'{"slots":[' + b"1" * 50 + b"]}", b"Content-Type: application/json\r\n")
--- a/yewstage/lab/traffic.py
+++ b/hillmux/lab/traffic.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from yewstage.lab.streams import generator
+from hillmux.lab.streams import generator
 
 
 @dataclass(slots=True, frozen=True)
--- a/yewstage/lab/virtual/counting_schedules.py
+++ b/hillmux/lab/virtual/counting_schedules.py
@@ -12,10 +12,10 @@
 
 import numpy as np
 
-from yewstage.lab.streams import generator
-from yewstage.lab.virtual.counter import CounterModel
-from yewstage.lab.virtual.counting import UNLIMITED, CountingFleet, HollowGateway, Scenario
-from yewstage.lab.virtual.counting_faults import (
+from hillmux.lab.streams import generator
+from hillmux.lab.virtual.counter import CounterModel
+from hillmux.lab.virtual.counting import UNLIMITED, CountingFleet, HollowGateway, Scenario
+from hillmux.lab.virtual.counting_faults import (
     BadCalls,
     BadEnd,
     ClockJump,
@@ -27,7 +27,7 @@
     Kill,
     TrafficMoves,
 )
-from yewstage.lab.virtual.counting_leases import StrandedLeases
+from hillmux.lab.virtual.counting_leases import StrandedLeases
 
 SCHEDULES: Final = 1000
 MOST_SCHEDULES: Final = 10_000
--- a/yewstage/lab/virtual/environment.py
+++ b/hillmux/lab/virtual/environment.py
@@ -5,12 +5,12 @@
 from collections import Counter
 from typing import Protocol
 
-from yewstage import interface as api
-from yewstage.lab.record import Note
-from yewstage.lab.traffic import Try
-from yewstage.lab.virtual.counter import CounterService
-from yewstage.lab.virtual.hosts import Host
-from yewstage.lab.virtual.loop import Loop
+from hillmux import interface as api
+from hillmux.lab.record import Note
+from hillmux.lab.traffic import Try
+from hillmux.lab.virtual.counter import CounterService
+from hillmux.lab.virtual.hosts import Host
+from hillmux.lab.virtual.loop import Loop
 
 
 class Environment(Protocol):
--- a/yewstage/lab/virtual/hosts.py
+++ b/hillmux/lab/virtual/hosts.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from yewstage.lab.clock import Clock
+from hillmux.lab.clock import Clock
 
 READY, DRAINING = "ready", "draining"
 CHANCE = 2.0  # of a cold host's budget of N requests, N + CHANCE x (root N + 1) push nobody over
--- a/yewstage/lab/virtual/play.py
+++ b/hillmux/lab/virtual/play.py
@@ -8,12 +8,12 @@
 
 from typing import Any
 
-from yewstage.lab import checks, measures
-from yewstage.lab.checks import Event
-from yewstage.lab.scenario import Scenario, Strike, schedule, terms
-from yewstage.lab.virtual.counter import CounterModel
-from yewstage.lab.virtual.hosts import READY, HostModel
-from yewstage.lab.virtual.world import START_MS, DayModel, Figures, World
+from hillmux.lab import checks, measures
+from hillmux.lab.checks import Event
+from hillmux.lab.scenario import Scenario, Strike, schedule, terms
+from hillmux.lab.virtual.counter import CounterModel
+from hillmux.lab.virtual.hosts import READY, HostModel
+from hillmux.lab.virtual.world import START_MS, DayModel, Figures, World
 
 MODELLED = frozenset((
     "kill", "term", "start", "crash", "restart", "drain", "remove", "ready", "slow", "well",
--- a/yewstage/lab/world.py
+++ b/hillmux/lab/world.py
@@ -1,6 +1,6 @@
 """The process of the stand-ins: all hosts, the counter, an agent for each gateway, and the links to them.
 
-    python -m yewstage.lab.world
+    python -m hillmux.lab.world
 
 Takes lines of JSON: `{"scenario": ..., "folder": ...}`, then `{"t0": ...}` once the gateways are ready, and
 ends with its standard input. Says `{"ports": ...}` when all of it listens.
@@ -15,11 +15,11 @@
 import orjson
 import uvloop
 
-from yewstage.lab.clock import RealClock
-from yewstage.lab.links import Link
-from yewstage.lab.pipe import begun, tell
-from yewstage.lab.record import Recorder
-from yewstage.lab.scenario import (
+from hillmux.lab.clock import RealClock
+from hillmux.lab.links import Link
+from hillmux.lab.pipe import begun, tell
+from hillmux.lab.record import Recorder
+from hillmux.lab.scenario import (
     COUNTER_FAULTS,
     GATEWAY_FAULTS,
     LINK_FAULTS,
@@ -29,13 +29,13 @@
     schedule,
     zone_of,
 )
-from yewstage.lab.standins.counter import CounterStandIn
-from yewstage.lab.standins.discovery import Agent
-from yewstage.lab.standins.exchange import Exchange
-from yewstage.lab.standins.host import BookingNode, Keys
-from yewstage.lab.streams import Stream, generator
-from yewstage.lab.virtual.counter import CounterModel
-from yewstage.lab.virtual.hosts import DRAINING, READY, HostModel
+from hillmux.lab.standins.counter import CounterStandIn
+from hillmux.lab.standins.discovery import Agent
+from hillmux.lab.standins.exchange import Exchange
+from hillmux.lab.standins.host import BookingNode, Keys
+from hillmux.lab.streams import Stream, generator
+from hillmux.lab.virtual.counter import CounterModel
+from hillmux.lab.virtual.hosts import DRAINING, READY, HostModel
 
 
 class World:
--- a/yewstage/net/clients.py
+++ b/hillmux/net/clients.py
@@ -17,11 +17,11 @@
 
 import httptools
 
-from yewstage import interface as api
-from yewstage.net.closing import LINGER_BYTES, LINGER_S, HangUps, hung_up, unread
-from yewstage.net.core import Client, Order
-from yewstage.net.http1 import BLANKS, LONGEST_BODY, NO_BODY, NOT_UP
-from yewstage.net.requests import WANTED, BadRequestError, Message, Terms, check_framing, order
+from hillmux import interface as api
+from hillmux.net.core import Client, Order
+from hillmux.net.http1 import BLANKS, LONGEST_BODY, NO_BODY, NOT_UP
+from hillmux.net.lingering_close import LINGER_BYTES, LINGER_S, HangUps, hung_up, unread
+from hillmux.net.requests import WANTED, BadRequestError, Message, Terms, check_framing, order
 
 log = logging.getLogger(__name__)
 Connection = TypeVar("Connection", bound="ClientConnection")
--- a/yewstage/net/config.py
+++ b/hillmux/net/config.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, replace
 
-from yewstage import interface as api
-from yewstage import wire
-from yewstage.net.discovery import Listing, parse_listing
+from hillmux import interface as api
+from hillmux.net.discovery import Listing, parse_listing
+from hillmux.simulator import codec as wire
 
 Address = tuple[str, int]
 COUNT_PATIENCE = 3.0  # how long a counter call is waited for, in the time that the settings give it
@@ -93,9 +93,9 @@
     settings = _settings(pairs)
     # The counter answers however late, and what it says is true then, too: given up at the bound, one call in
     # seven of a busy counter taught nothing, and the module took it for silent.
-    settings = replace(settings, count_wait_ms=COUNT_PATIENCE * settings.count_wait_ms)
+    settings = replace(settings, counter_timeout_ms=COUNT_PATIENCE * settings.counter_timeout_ms)
     counter = raw.get("counter")
-    if settings.may_count and not counter:
+    if settings.counter_available and not counter:
         raise ConfigError("counter: is missing, though the settings allow calls")
     try:
         known = parse_listing(raw["known"]) if raw.get("known") else Listing(0, True, (), {})
--- a/yewstage/net/core.py
+++ b/hillmux/net/core.py
@@ -9,12 +9,13 @@
 from dataclasses import dataclass
 from typing import Any, Final, Protocol, cast
 
-from yewstage import interface as api
-from yewstage.net.deadlines import TICK_S, Deadlines
-from yewstage.net.discovery import Listing
-from yewstage.net.hosts import Attempt, Hosts
-from yewstage.net.http1 import Reply
-from yewstage.policy import Gateway
+from hillmux import interface as api
+from hillmux.decision.gateway import Gateway
+from hillmux.interface import AttemptResult, HostStatus, ListKind
+from hillmux.net.deadlines import TICK_S, Deadlines
+from hillmux.net.discovery import Listing
+from hillmux.net.hosts import Attempt, Hosts
+from hillmux.net.http1 import Reply
 
 log = logging.getLogger(__name__)
 
@@ -125,7 +126,7 @@
 class CounterClient(Protocol):
     """Where the module's counter calls go: each gets exactly one `CountReply`."""
 
-    def call(self, act: api.Count) -> None:
+    def call(self, act: api.IncrementCounter) -> None:
         """Make one call."""
 
 
@@ -200,7 +201,7 @@
 
     def return_leases(self) -> None:
         """Give back what is reserved of quotas ahead of use."""
-        self._post(api.Draining())
+        self._post(api.DrainStarted())
 
     def fail_all(self) -> None:
         """Answer all that is open as failed, and refuse what still comes: the process is about to end."""
@@ -234,7 +235,7 @@
         if behind_ms > OLD_LIST_MS:
             self._hold()
         left_ms = order.time_left_ms - TRANSIT_MS - behind_ms - queued_ms
-        request = _Open(rid, client, order, now + (left_ms - GUARD_MS) / 1000, self.settings.try_limit)
+        request = _Open(rid, client, order, now + (left_ms - GUARD_MS) / 1000, self.settings.max_attempts)
         self._requests[rid] = request
         if order.upload is None:
             request.guard = self._guards.add(request, max((left_ms - GUARD_MS) / 1000 - TICK_S, 0.0))
@@ -261,14 +262,14 @@
         request = self._requests.get(rid)
         if request is not None and request.client is not None:
             self._close(request)
-            self._post(api.ClientLeft(rid))
+            self._post(api.ClientDisconnected(rid))
 
     def broken(self, rid: str, status: int) -> None:
         """A request that was taken will never be whole: answer it, and call off what is out for it."""
         request = self._requests.get(rid)
         if request is not None and request.client is not None:
             self._answer(request, status)
-            self._post(api.ClientLeft(rid))
+            self._post(api.ClientDisconnected(rid))
 
     def _uploads(self, request: _Open) -> None:
         """A request whose body is still coming: its time runs from the last byte on."""
@@ -282,7 +283,7 @@
     def _give_up(self, request: _Open) -> None:
         if request.client is not None:
             self._answer(request, 504)
-            self._post(api.ClientLeft(request.id))
+            self._post(api.ClientDisconnected(request.id))
 
     def _answer(
         self, request: _Open | None, status: int, reply: Reply | None = None, retry_after_ms: float = 0.0
@@ -318,22 +319,22 @@
 
     # --- Hosts --------------------------------------------------------------------------------------------
 
-    def _apply(self, listing: Listing, kind: str) -> None:
+    def _apply(self, listing: Listing, kind: ListKind) -> None:
         """Take news of the hosts: of all of them (kind `full`, `kept`), or of some (`changes`)."""
-        gone = {s.name for s in listing.servers if s.status == "removed"}
-        if kind != "changes":  # a whole list replaces the old one
+        gone = {s.name for s in listing.servers if s.status == HostStatus.REMOVED}
+        if kind != ListKind.CHANGES:  # a whole list replaces the old one
             gone |= self._hosts.names() - {s.name for s in listing.servers}
-        draining = frozenset(s.name for s in listing.servers if s.status == "draining")
+        draining = frozenset(s.name for s in listing.servers if s.status == HostStatus.DRAINING)
         self._hosts.update(listing.addresses, gone, draining)
-        if listing.servers or kind != "changes":
-            event = api.ServerList(kind, listing.servers)
+        if listing.servers or kind != ListKind.CHANGES:
+            event = api.EndpointList(kind, listing.servers)
             if self._holding:
                 self._handle(event)
             else:
                 self._post(event)
 
-    def _send(self, act: api.Send) -> None:
-        request = self._requests.get(act.request)
+    def _send(self, act: api.SendAttempt) -> None:
+        request = self._requests.get(act.request_id)
         number = len(request.attempts) if request is not None else 0
         left_s = request.end_at - time.monotonic() if request is not None else 0.0
         if (
@@ -346,8 +347,13 @@
             if request is not None:
                 request.attempts.append(None)
             self._post(
-                api.Outcome(
-                    act.request, number, act.server, api.MOOT, 0.0, request is None or request.client is None
+                api.AttemptEnded(
+                    act.request_id,
+                    number,
+                    act.host,
+                    AttemptResult.NOT_SENT,
+                    0.0,
+                    request is None or request.client is None,
                 )
             )
             return
@@ -355,7 +361,7 @@
         order = request.order
         now = time.monotonic()
         attempt = Attempt(
-            act.request, number, act.server, order.head, order.body, now, now + act.valid_ms / 1000
+            act.request_id, number, act.host, order.head, order.body, now, now + act.delivery_window_ms / 1000
         )
         attempt.timeout_s = wait_s
         if order.upload is not None:
@@ -375,7 +381,7 @@
         now = time.monotonic()
         return now < request.end_at and not request.client.has_left(self._pulse.behind_ms(now) > 0)
 
-    def _ended(self, attempt: Attempt, result: str, reply: Reply | None) -> None:
+    def _ended(self, attempt: Attempt, result: AttemptResult, reply: Reply | None) -> None:
         request = self._requests[attempt.request]
         request.out -= 1
         # What lay unread while we stalled is not the host's latency.
@@ -389,21 +395,21 @@
             if behind_ms > OLD_LIST_MS:
                 self._hold()
         units = 0.0
-        if result == api.OK and reply is not None:
-            units = reply.amount(b"billed-units", self.settings.most_units)
+        if result == AttemptResult.OK and reply is not None:
+            units = reply.amount(b"billed-units", self.settings.max_request_units)
             self._answer(request, reply.status, reply)
         elif request.flow is attempt:
             self._answer(request, 502)
         final = request.client is None
         self._forget(request)
         self._post(
-            api.Outcome(
-                attempt.request, attempt.number, attempt.server, result, took, final, true_units=units
+            api.AttemptEnded(
+                attempt.request, attempt.number, attempt.server, result, took, final, actual_units=units
             )
         )
 
-    def _cancel(self, act: api.Cancel) -> None:
-        request = self._requests.get(act.request)
+    def _cancel(self, act: api.CancelAttempt) -> None:
+        request = self._requests.get(act.request_id)
         if request is not None and act.attempt < len(request.attempts):
             attempt = request.attempts[act.attempt]
             if attempt is not None:
@@ -457,7 +463,7 @@
             return
         for act in actions:
             try:
-                if type(act) is api.Send:
+                if type(act) is api.SendAttempt:
                     self._send(act)
                 else:
                     self._act(act)
@@ -468,22 +474,22 @@
         """Answer the request that the module broke on at once: it will not come back to it."""
         if isinstance(event, api.Request):
             self._answer(self._requests.get(event.id), 500)
-        elif isinstance(event, api.Outcome):
-            self._answer(self._requests.get(event.request), 502)
+        elif isinstance(event, api.AttemptEnded):
+            self._answer(self._requests.get(event.request_id), 502)
 
     def _act(self, act: api.Action) -> None:
         match act:
-            case api.Refuse():
+            case api.Reject():
                 self._refuse(act)
             case api.Fail():
-                self._answer(self._requests.get(act.request), 502)
-            case api.Cancel():
+                self._answer(self._requests.get(act.request_id), 502)
+            case api.CancelAttempt():
                 self._cancel(act)
-            case api.Timer():
+            case api.SetTimer():
                 self._timer(act)
-            case api.Count():
+            case api.IncrementCounter():
                 if self._counter is None:
-                    self._post(api.CountReply(act.name, api.CONNECT_FAILED, 0.0))
+                    self._post(api.CounterReply(act.name, AttemptResult.CONNECT_FAILED, 0.0))
                 else:
                     self._counter.call(act)
             case api.Subscribe():
@@ -495,8 +501,8 @@
         """A line for the log, with the trace of what is being handled if so wanted."""
         log.log(level, "%s", text, exc_info=trace)
 
-    def _refuse(self, act: api.Refuse) -> None:
-        self._answer(self._requests.get(act.request), 503, retry_after_ms=act.retry_after_ms)
+    def _refuse(self, act: api.Reject) -> None:
+        self._answer(self._requests.get(act.request_id), 503, retry_after_ms=act.retry_after_ms)
 
-    def _timer(self, act: api.Timer) -> None:
-        self._loop.call_later(max(act.in_ms, 0.0) / 1000, self._post, api.TimerDue(act.name))
+    def _timer(self, act: api.SetTimer) -> None:
+        self._loop.call_later(max(act.delay_ms, 0.0) / 1000, self._post, api.TimerFired(act.name))
--- a/yewstage/net/counter.py
+++ b/hillmux/net/counter.py
@@ -8,9 +8,10 @@
 from functools import partial
 from typing import Any, Final
 
-from yewstage import interface as api
-from yewstage.net.closing import unread
-from yewstage.net.http1 import Reply, ReplyProtocol, number
+from hillmux import interface as api
+from hillmux.interface import AttemptResult
+from hillmux.net.http1 import Reply, ReplyProtocol, number
+from hillmux.net.lingering_close import unread
 
 CONNECTIONS: Final = 4  # a slow part of the counter holds up what is written behind it on the same connection
 DIAL_S: Final = 0.25
@@ -21,10 +22,10 @@
 GRACE_S: Final = 0.001  # one turn of the loop, in which what has arrived is read before a time-out counts
 
 
-def request_bytes(act: api.Count) -> bytes:
+def request_bytes(act: api.IncrementCounter) -> bytes:
     """One call as it is written to the counter."""
     return (
-        f"POST /v1/count/{act.name}?add={_decimal(act.amount)}&ttl_ms={max(1, round(act.keep_ms))}"
+        f"POST /v1/count/{act.name}?add={_decimal(act.amount)}&ttl_ms={max(1, round(act.retention_ms))}"
         " HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n".encode()
     )
 
@@ -32,7 +33,7 @@
 class _Call:
     __slots__ = ("act", "sent_at", "timer", "slot", "written", "done")
 
-    def __init__(self, act: api.Count, now: float) -> None:
+    def __init__(self, act: api.IncrementCounter, now: float) -> None:
         self.act, self.sent_at = act, now
         self.timer: asyncio.TimerHandle | None = None
         self.slot: _Slot | None = None  # once it has a connection to wait for
@@ -50,7 +51,7 @@
         loop: asyncio.AbstractEventLoop,
         address: tuple[str, int],
         wait_ms: float,
-        replied: Callable[[api.CountReply], None],
+        replied: Callable[[api.CounterReply], None],
     ) -> None:
         self._loop, self._wait_s, self._replied = loop, wait_ms / 1000, replied
         self._slots = self._open(address)
@@ -76,7 +77,7 @@
             for call in slot.retire():
                 self._place(call)
 
-    def call(self, act: api.Count) -> None:
+    def call(self, act: api.IncrementCounter) -> None:
         """Write one call on the connection with the fewest calls out.
 
         With no connection to write on, the call ends at once as `connect_failed`.
@@ -90,9 +91,9 @@
         if up:
             min(up, key=_Slot.load).write(call)
         else:
-            self.end(call, api.CONNECT_FAILED)
+            self.end(call, AttemptResult.CONNECT_FAILED)
 
-    def end(self, call: _Call, result: str, total: float = 0.0) -> None:
+    def end(self, call: _Call, result: AttemptResult, total: float = 0.0) -> None:
         """Report what a call came to, once."""
         if call.done:
             return
@@ -100,7 +101,7 @@
         if call.timer is not None:
             call.timer.cancel()
         took = (self._loop.time() - call.sent_at) * 1000
-        self._replied(api.CountReply(call.act.name, result, total, took))
+        self._replied(api.CounterReply(call.act.name, result, total, took))
 
     def _overdue(self, call: _Call) -> None:
         # Guards against our own stall: the answer may be here and unread.
@@ -111,7 +112,7 @@
             call.slot.give_up()
             return
         # The call stays in its connection's line, so that its late answer is not taken for the next one's.
-        self.end(call, api.TIMED_OUT if call.written else api.CONNECT_FAILED)
+        self.end(call, AttemptResult.TIMED_OUT if call.written else AttemptResult.CONNECT_FAILED)
 
     def _alone_silent(self, call: _Call, its: _Slot) -> bool:
         """Whether the call's connection has gone silent and the counter has not.
@@ -202,7 +203,7 @@
     def give_up(self) -> None:
         """Close a connection that has gone silent."""
         self._drop()
-        self._end_all(api.CUT)
+        self._end_all(AttemptResult.CONNECTION_LOST)
 
     def write(self, call: _Call) -> None:
         """Write a call behind those that are out; without a connection it waits for a dial."""
@@ -286,14 +287,14 @@
         if not reusable or (self._retired and not self._calls):
             self._drop()  # before the module hears of it: its next call goes to another one
         if total is None:
-            self._counter.end(call, api.FULL)
+            self._counter.end(call, AttemptResult.QUEUE_FULL)
         else:
-            self._counter.end(call, api.OK, total)
+            self._counter.end(call, AttemptResult.OK, total)
 
     def spoilt(self) -> None:
         """Noise where answers should be: no call behind it will be told its total either."""
         self._drop()
-        self._end_all(api.SPOILT)
+        self._end_all(AttemptResult.MALFORMED_RESPONSE)
 
     def _drop(self) -> None:
         if self._connection is not None:
@@ -314,17 +315,17 @@
             self._rests_until = self._loop.time() + rest
         if not self._retired:
             self._redial_timer = self._loop.call_later(rest, self._redial)
-        self._end_all(api.CUT)
+        self._end_all(AttemptResult.CONNECTION_LOST)
 
     def _redial(self) -> None:
         # Guards against calls that pile up on the few connections left, all to be lost with the next one.
         if self._connection is None and self._dial is None and not self._retired:
             self.dial()
 
-    def _end_all(self, written: str) -> None:
+    def _end_all(self, written: AttemptResult) -> None:
         calls, self._calls = self._calls, deque()
         for call in calls:
-            self._counter.end(call, written if call.written else api.CONNECT_FAILED)
+            self._counter.end(call, written if call.written else AttemptResult.CONNECT_FAILED)
 
 
 def _decimal(amount: float) -> str:
--- a/yewstage/net/discovery.py
+++ b/hillmux/net/discovery.py
@@ -10,8 +10,9 @@
 from dataclasses import dataclass
 from typing import Any, Final
 
-from yewstage import interface as api
-from yewstage.net.http1 import LONGEST_LIST, Reply, ReplyProtocol
+from hillmux import interface as api
+from hillmux.interface import HostStatus
+from hillmux.net.http1 import LONGEST_LIST, Reply, ReplyProtocol
 
 log = logging.getLogger(__name__)
 
@@ -25,7 +26,11 @@
 # Part of a rest, or of a wait, that is left to chance: a herd that starts at once must not ask at once again
 SPREAD: Final = 0.5
 GRACE_S: Final = 0.002  # a turn of the loop or two, in which what has arrived is read before a silence counts
-STATES: Final = {"ready": "up", "draining": "draining", "gone": "removed"}
+STATES: Final = {
+    "ready": HostStatus.UP,
+    "draining": HostStatus.DRAINING,
+    "gone": HostStatus.REMOVED,
+}
 
 
 @dataclass(slots=True, frozen=True)
@@ -34,7 +39,7 @@
 
     generation: int
     whole: bool
-    servers: tuple[api.Server, ...]
+    servers: tuple[api.Endpoint, ...]
     addresses: dict[str, tuple[str, int]]
 
 
@@ -54,18 +59,20 @@
     return Listing(generation, bool(raw.get("reset")), tuple(servers), addresses)
 
 
-def _instance(entry: object) -> tuple[api.Server, tuple[str, int] | None]:
+def _instance(entry: object) -> tuple[api.Endpoint, tuple[str, int] | None]:
     if not isinstance(entry, dict) or not isinstance(entry.get("instanceId"), str) or not entry["instanceId"]:
         raise ValueError("an instance without instanceId")
     name = entry["instanceId"]
     # Guards against a state that a later discovery may add: what is not known to be ready gets no new work.
-    status = STATES.get(str(entry.get("lifecycle")), "draining")
+    status = STATES.get(str(entry.get("lifecycle")), HostStatus.DRAINING)
     host, _, port = str(entry.get("hostPort", "")).rpartition(":")
-    if status != "removed" and not (host and port.isascii() and port.isdigit() and int(port) < 65536):
+    if status != HostStatus.REMOVED and not (
+        host and port.isascii() and port.isdigit() and int(port) < 65536
+    ):
         raise ValueError(f"{name}: hostPort {entry.get('hostPort')!r} is not HOST:PORT")
     try:
         # The module's clock is Unix time in milliseconds, so startedAtMs needs no more than reading.
-        server = api.Server(
+        server = api.Endpoint(
             name,
             str(entry.get("zone", "")),
             int(entry.get("cell", 0)),
@@ -75,7 +82,7 @@
         )
     except (TypeError, ValueError):
         raise ValueError(f"{name}: cell, weight or startedAtMs is not a number") from None
-    return server, ((host.strip("[]"), int(port)) if status != "removed" else None)
+    return server, ((host.strip("[]"), int(port)) if status != HostStatus.REMOVED else None)
 
 
 class Discovery:
--- a/yewstage/net/hosts.py
+++ b/hillmux/net/hosts.py
@@ -18,9 +18,9 @@
 from math import inf
 from typing import Any, ClassVar, Final, Protocol
 
-from yewstage import interface as api
-from yewstage.net.deadlines import Deadlines
-from yewstage.net.http1 import Reply, ReplyProtocol
+from hillmux.interface import AttemptResult
+from hillmux.net.deadlines import Deadlines
+from hillmux.net.http1 import Reply, ReplyProtocol
 
 # A turn of the loop or two, in which what has arrived is read before a time-out counts
 GRACE_S: Final = 0.002
@@ -117,7 +117,7 @@
         most: int,
         dial_ms: float,
         idle_ms: float,
-        ended: Callable[[Attempt, str, Reply | None], None],
+        ended: Callable[[Attempt, AttemptResult, Reply | None], None],
         wanted: Callable[[Attempt], bool] = lambda attempt: True,
     ) -> None:
         """`wanted` is asked right before an attempt's first byte: whether somebody still waits for it."""
@@ -176,10 +176,10 @@
         """Write an attempt to an idle connection, or to a new one."""
         host = self._hosts.get(attempt.server)
         if host is None:
-            self._end(attempt, api.CONNECT_FAILED)
+            self._end(attempt, AttemptResult.CONNECT_FAILED)
             return
         if not self._gate(attempt, host):
-            self._end(attempt, api.MOOT)
+            self._end(attempt, AttemptResult.NOT_SENT)
             return
         attempt.slot = self._timeouts.add(attempt, timeout_s)
         connection = self._rested(host)
@@ -219,14 +219,14 @@
     def cancel(self, attempt: Attempt) -> None:
         """Give an attempt up by ending its connection."""
         if not attempt.done:
-            result = api.MOOT if attempt.connection is None else api.CANCELLED
+            result = AttemptResult.NOT_SENT if attempt.connection is None else AttemptResult.CANCELLED
             self._abandon(attempt)
             self._end(attempt, result)
 
     def _dial(self, host: _Host, attempt: Attempt) -> None:
         # Guards the descriptors. The bound is ours, so what it stops is not told as the host's failure.
         if not self._may_dial():
-            self._end(attempt, api.NO_ROOM)
+            self._end(attempt, AttemptResult.LOCAL_LIMIT)
             return
         self._dials += 1
         attempt.dial = self._loop.create_task(
@@ -270,11 +270,11 @@
             coming.called_off()
         if isinstance(error, OSError) and error.errno in OWN_BOUNDS:
             # Guards the hosts' good name: the last descriptor is our trouble, and a rested host is lost work.
-            self._end(attempt, api.NO_ROOM)
+            self._end(attempt, AttemptResult.LOCAL_LIMIT)
         elif task.cancelled() or (error is not None and not isinstance(error, ConnectionResetError)):
-            self._end(attempt, api.CONNECT_FAILED)
+            self._end(attempt, AttemptResult.CONNECT_FAILED)
         elif error is not None:
-            self._end(attempt, api.UNSENT)
+            self._end(attempt, AttemptResult.INCOMPLETE_REQUEST)
         else:
             self._up(attempt, host, task.result()[1])
 
@@ -286,10 +286,10 @@
         if attempt.done or self._stopped:
             connection.drop()
         elif connection.transport.is_closing():  # it broke before this turn of the loop
-            self._end(attempt, api.UNSENT)
+            self._end(attempt, AttemptResult.INCOMPLETE_REQUEST)
         elif not self._gate(attempt, host):
             self._keep(connection)  # it is up, and may serve another
-            self._end(attempt, api.MOOT)
+            self._end(attempt, AttemptResult.NOT_SENT)
         else:
             connection.begin(attempt)
 
@@ -311,9 +311,9 @@
     def _time_out(self, attempt: Attempt) -> None:
         connection = attempt.connection
         if connection is None:
-            result = api.CONNECT_FAILED
+            result = AttemptResult.CONNECT_FAILED
         else:
-            result = api.UNSENT if connection.unsent else api.TIMED_OUT
+            result = AttemptResult.INCOMPLETE_REQUEST if connection.unsent else AttemptResult.TIMED_OUT
         self._abandon(attempt)
         self._end(attempt, result)
 
@@ -322,7 +322,7 @@
         connection = attempt.connection
         if not attempt.done and connection is not None and connection.unsent:
             self._abandon(attempt)
-            self._end(attempt, api.UNSENT)
+            self._end(attempt, AttemptResult.INCOMPLETE_REQUEST)
 
     def _dial_overdue(self, attempt: Attempt) -> None:
         attempt.dial_timer = self._loop.call_later(GRACE_S, self._dial_time_out, attempt)
@@ -330,7 +330,7 @@
     def _dial_time_out(self, attempt: Attempt) -> None:
         if attempt.dial is not None:
             self._abandon(attempt)
-            self._end(attempt, api.CONNECT_FAILED)
+            self._end(attempt, AttemptResult.CONNECT_FAILED)
 
     @staticmethod
     def _abandon(attempt: Attempt) -> None:
@@ -341,7 +341,7 @@
             attempt.connection.attempt = None
             attempt.connection.give_up()
 
-    def _end(self, attempt: Attempt, result: str, reply: Reply | None = None) -> None:
+    def _end(self, attempt: Attempt, result: AttemptResult, reply: Reply | None = None) -> None:
         if attempt.done:
             return
         attempt.done = True
@@ -372,13 +372,13 @@
         if attempt is None:
             return
         if connection.unsent:
-            self._end(attempt, api.UNSENT)
+            self._end(attempt, AttemptResult.INCOMPLETE_REQUEST)
         elif connection.kept and not connection.begun():
             # The freshest one kept was dead, and nobody had said so: the older ones are no better.
             self._close_idle(connection.host)
-            self._end(attempt, api.STALE)
+            self._end(attempt, AttemptResult.STALE_CONNECTION)
         else:
-            self._end(attempt, api.RESET)
+            self._end(attempt, AttemptResult.RESET)
 
     def replied(self, connection: _Connection, attempt: Attempt, reply: Reply, reusable: bool) -> None:
         """A whole answer: the connection is free again, the attempt is over."""
@@ -392,15 +392,15 @@
         """What came is no answer: the attempt may have run."""
         attempt, connection.attempt = connection.attempt, None
         if attempt is not None:
-            self._end(attempt, api.SPOILT)
+            self._end(attempt, AttemptResult.MALFORMED_RESPONSE)
 
-    def judge(self, reply: Reply) -> str:
+    def judge(self, reply: Reply) -> AttemptResult:
         """What a whole answer means for its attempt."""
         if reply.status == 200:
-            return api.OK
+            return AttemptResult.OK
         if reply.status in (503, 504) and reply.headers.get(b"x-not-run") == b"1":
-            return api.FULL
-        return api.ERROR
+            return AttemptResult.QUEUE_FULL
+        return AttemptResult.ERROR
 
     def _close_idle(self, host: _Host) -> None:
         idle, host.idle = host.idle, []
--- a/yewstage/net/operated.py
+++ b/hillmux/net/managed_gateway.py
@@ -8,20 +8,21 @@
 from itertools import chain
 from typing import Any, ClassVar, cast
 
-from yewstage import interface as api
-from yewstage.handover.service import HandOver, Heir, TakeOver
-from yewstage.handover.state import StateError, export, restore
-from yewstage.net.clients import Server
-from yewstage.net.config import Config
-from yewstage.net.core import _Open
-from yewstage.net.discovery import Listing
-from yewstage.net.flows import FlowHostConnection, FlowHosts
-from yewstage.net.hosts import Attempt
-from yewstage.net.http1 import Reply
-from yewstage.net.node import Node
-from yewstage.operate.byhand import HandError, HandFile, Listed, refused
-from yewstage.operate.figures import Figures
-from yewstage.operate.service import OperatorServer
+from hillmux import interface as api
+from hillmux.admin.host_overrides import HandError, HandFile, Listed, refused
+from hillmux.admin.metrics import Figures
+from hillmux.admin.server import OperatorServer
+from hillmux.hot_restart.service import HandOver, Heir, TakeOver
+from hillmux.hot_restart.state_codec import StateError, export, restore
+from hillmux.interface import ListKind
+from hillmux.net.clients import Server
+from hillmux.net.config import Config
+from hillmux.net.core import _Open
+from hillmux.net.discovery import Listing
+from hillmux.net.hosts import Attempt
+from hillmux.net.http1 import Reply
+from hillmux.net.platform_gateway import Node
+from hillmux.net.streaming import FlowHostConnection, FlowHosts
 
 log = logging.getLogger(__name__)
 
@@ -160,7 +161,7 @@
     def give(self) -> tuple[int, Iterable[dict[str, Any]]]:
         """Stop accepting and deciding: a descriptor of the listening socket, and what is known."""
         assert self._server is not None
-        self._post(api.Succeeded(True))
+        self._post(api.TakenOver(True))
         names = self._seen.all()
         seen = [
             {"t": SEEN, "names": names[at : at + SEEN_AT_ONCE]} for at in range(0, len(names), SEEN_AT_ONCE)
@@ -170,7 +171,7 @@
     def keep(self) -> None:
         """Go on after all: the successor ended before it served."""
         assert self._server is not None
-        self._post(api.Succeeded(False))
+        self._post(api.TakenOver(False))
         self._server.take_back()
 
     def gone(self, heir: Heir) -> None:
@@ -215,12 +216,12 @@
     def _hold_out(self, names: set[str]) -> None:
         self._hosts.hold_out(frozenset(names))
         for name in names ^ self._held_out:
-            self._post(api.HostOut(name, name in names))
+            self._post(api.HostDisabled(name, name in names))
         self._held_out = set(names)
 
     # What is counted
 
-    def _apply(self, listing: Listing, kind: str) -> None:
+    def _apply(self, listing: Listing, kind: ListKind) -> None:
         self._seen.add(server.name for server in listing.servers)
         super()._apply(listing, kind)
 
--- a/yewstage/net/node.py
+++ b/hillmux/net/platform_gateway.py
@@ -7,15 +7,16 @@
 from functools import partial
 from typing import Any, ClassVar, cast
 
-from yewstage import interface as api
-from yewstage.net.clients import Server
-from yewstage.net.config import Config
-from yewstage.net.core import GUARD_MS, OLD_LIST_MS, TRANSIT_MS, Core, Pulse, _Open
-from yewstage.net.counter import Counter
-from yewstage.net.discovery import Discovery, Listing
-from yewstage.net.flows import UPLOAD_S, FlowConnection, FlowHostConnection, FlowHosts
-from yewstage.net.hosts import Attempt
-from yewstage.net.http1 import Reply
+from hillmux import interface as api
+from hillmux.interface import ListKind
+from hillmux.net.clients import Server
+from hillmux.net.config import Config
+from hillmux.net.core import GUARD_MS, OLD_LIST_MS, TRANSIT_MS, Core, Pulse, _Open
+from hillmux.net.counter import Counter
+from hillmux.net.discovery import Discovery, Listing
+from hillmux.net.hosts import Attempt
+from hillmux.net.http1 import Reply
+from hillmux.net.streaming import UPLOAD_S, FlowConnection, FlowHostConnection, FlowHosts
 
 UPSTREAM_SHARE = 0.36  # of the descriptors
 LIST_WAIT_S = 0.25  # how long a start waits for discovery before it serves with the list it was given: it
@@ -37,7 +38,7 @@
             loop, config.discovery, self._listed, config.known.generation, config.seed, self._stood_still
         )
         self._client = (
-            Counter(loop, config.counter, config.settings.count_wait_ms, self._post)
+            Counter(loop, config.counter, config.settings.counter_timeout_ms, self._post)
             if config.counter is not None
             else None
         )
@@ -49,7 +50,7 @@
     def start(self) -> None:
         """Begin with the known list, then listen to discovery and the counter."""
         self._started = time.monotonic()
-        self._apply(self._known, "kept")
+        self._apply(self._known, ListKind.CACHED)
         self._hosts.start()
         self._discovery.start()
         if self._client is not None:
@@ -125,7 +126,7 @@
             return None
         request.flow = attempt
         self._guards.cancel(request, request.guard)
-        self._post(api.StreamStarted(request.id, attempt.number))
+        self._post(api.ResponseStarted(request.id, attempt.number))
         client.begin(reply, source)
         return client
 
@@ -153,4 +154,4 @@
 
     def _listed(self, listing: Listing) -> None:
         self._heard = True
-        self._apply(listing, "full" if listing.whole else "changes")
+        self._apply(listing, ListKind.FULL if listing.whole else ListKind.CHANGES)
