--- a/yewstage/net/requests.py
+++ b/hillmux/net/requests.py
@@ -6,9 +6,10 @@
 from functools import lru_cache
 from typing import Any, Final
 
-from yewstage import interface as api
-from yewstage.net.core import Order
-from yewstage.net.http1 import LONGEST_BODY
+from hillmux import interface as api
+from hillmux.interface import Idempotency
+from hillmux.net.core import Order
+from hillmux.net.http1 import LONGEST_BODY
 
 WANTED: Final = frozenset(
     (
@@ -80,7 +81,7 @@
     def __init__(self, settings: api.Settings) -> None:
         self.classes = {c.name.encode(): c for c in settings.classes}
         self.plans = {p.name.encode(): p.name for p in settings.plans}
-        self._most_units, self._gateways = settings.most_units, settings.fleet_size
+        self._most_units, self._gateways = settings.max_request_units, settings.fleet_size
         self.quota_info = lru_cache(maxsize=1024)(self._quota_info)  # a few values make up all traffic
 
     def _quota_info(self, value: bytes) -> tuple[float, int, int]:
@@ -156,9 +157,11 @@
     if not WORD.fullmatch(rid) or (key is not None and not WORD.fullmatch(key)):
         raise BadRequestError("X-Request-Id or Idempotency-Key")
     # A class that may not simply be repeated must not come as a method that may.
-    if message.method != (b"GET" if cls.effect == "safe" else b"POST"):
+    if message.method != (b"GET" if cls.idempotency == Idempotency.IDEMPOTENT else b"POST"):
         raise BadRequestError("method")
-    if (cls.effect == "keyed" and key is None) or (cls.effect == "safe" and message.size):
+    if (cls.idempotency == Idempotency.KEYED and key is None) or (
+        cls.idempotency == Idempotency.IDEMPOTENT and message.size
+    ):
         raise BadRequestError("Idempotency-Key or body")
     lines = [b"%b %b HTTP/1.1\r\nHost: upstream\r\nX-Request-Id: %b\r\n" % (message.method, message.url, rid)]
     if key is not None:
--- a/yewstage/net/flows.py
+++ b/hillmux/net/streaming.py
@@ -18,11 +18,11 @@
 from collections.abc import Callable
 from typing import Any, ClassVar, Final
 
-from yewstage import interface as api
-from yewstage.net.clients import ClientConnection, Server
-from yewstage.net.hosts import Attempt, Hosts, _Connection
-from yewstage.net.http1 import LONGEST_BODY, NO_BODY, Reply
-from yewstage.net.requests import BadRequestError
+from hillmux.interface import AttemptResult
+from hillmux.net.clients import ClientConnection, Server
+from hillmux.net.hosts import Attempt, Hosts, _Connection
+from hillmux.net.http1 import LONGEST_BODY, NO_BODY, Reply
+from hillmux.net.requests import BadRequestError
 
 LONGEST_UPLOAD: Final = 33 * 1024 * 1024
 KEPT: Final = 128 * 1024  # of a body, for a further attempt
@@ -350,7 +350,7 @@
 
     def began(self, connection: FlowHostConnection, attempt: Attempt, reply: Reply) -> FlowConnection | None:
         """A long answer begins; the client that it goes to, if it may."""
-        if attempt.done or self.judge(reply) != api.OK or reply.status in NO_BODY:
+        if attempt.done or self.judge(reply) != AttemptResult.OK or reply.status in NO_BODY:
             return None
         client = self.begun(attempt, reply, connection)
         if client is not None:
@@ -376,4 +376,4 @@
         for attempt, connection in list(self._flows.items()):
             if connection.moved_at < before:
                 self._abandon(attempt)
-                self._end(attempt, api.TIMED_OUT)
+                self._end(attempt, AttemptResult.TIMED_OUT)
--- a/yewstage/limits/ceiling.py
+++ b/hillmux/quotas/ceiling.py
@@ -11,8 +11,8 @@
 
 from typing import Final
 
-from yewstage import interface as api
-from yewstage.limits.state import QuotaState
+from hillmux import interface as api
+from hillmux.quotas.state import QuotaState
 
 ROUNDING_UNITS: Final = 1e-9  # what a sum of units may lack of a whole
 
--- a/yewstage/limits/estimate.py
+++ b/hillmux/quotas/estimate.py
@@ -8,8 +8,8 @@
 
 from typing import Final
 
-from yewstage.limits import batches, lease
-from yewstage.limits.state import QuotaState
+from hillmux.quotas import batches, lease
+from hillmux.quotas.state import QuotaState
 
 SPLIT: Final = (
     1.5  # times the even split, without a counter and with room: use is uneven, replicas may be dead
--- a/yewstage/limits/lease.py
+++ b/hillmux/quotas/lease.py
@@ -20,7 +20,7 @@
 
 from typing import Final
 
-from yewstage.limits.state import QuotaState
+from hillmux.quotas.state import QuotaState
 
 HOLD_MS: Final = 500.0  # refill for which a lease waits: what it would cover later is given back at once
 IDLE_MS: Final = 5000.0  # how long a lease waits for the customer's next request
--- a/yewstage/limits/quotas.py
+++ b/hillmux/quotas/quotas.py
@@ -12,12 +12,13 @@
 from collections.abc import Callable
 from typing import Final
 
-from yewstage import interface as api
-from yewstage.limits import ceiling, estimate, lease, window
-from yewstage.limits.parts import draw
-from yewstage.limits.registry import FORGET_WINDOWS, Registry
-from yewstage.limits.state import QuotaState
-from yewstage.limits.throttle import SILENT_RATE, CallThrottle
+from hillmux import interface as api
+from hillmux.interface import AttemptResult
+from hillmux.quotas import ceiling, estimate, lease, window
+from hillmux.quotas.parts import draw
+from hillmux.quotas.registry import FORGET_WINDOWS, Registry
+from hillmux.quotas.state import QuotaState
+from hillmux.quotas.throttle import SILENT_RATE, CallThrottle
 
 GRANT_RATIO_WEIGHT: Final = 0.3  # weight of one wait for a total in the mean of those that found units
 ROUNDING_UNITS: Final = 1e-9  # what a sum of units may lack of a whole
@@ -46,7 +47,7 @@
     def change(self, settings: api.Settings) -> None:
         """Go over to new settings with the same plans."""
         self.settings = settings
-        self.registry.most_customers = settings.most_customers
+        self.registry.most_customers = settings.max_customers
 
     def state_for(self, req: api.Request, plan: api.Plan) -> QuotaState | None:
         """A customer's state under a plan; None where there is no room to know one more customer.
@@ -55,7 +56,7 @@
         replicas holds for a window and the next: named once, a wrong one would shrink the customer's parts
         for good.
         """
-        replicas = max(1, min(req.width, self.settings.fleet_size))
+        replicas = max(1, min(req.replicas, self.settings.fleet_size))
         registry = self.registry
         key = (req.customer, plan.name)
         state = registry.states.get(key)
@@ -117,7 +118,7 @@
     def unsure(self, state: QuotaState, units: float) -> bool:
         """Whether the counter should be asked first: nothing was read, or the estimate does not plainly allow
         what the last total would."""
-        if not self.settings.may_count or not state.has_quota:
+        if not self.settings.counter_available or not state.has_quota:
             return False
         if state.last_total is None:
             return self.throttle.may_call(self.now)
@@ -137,7 +138,7 @@
     def has(self, state: QuotaState, units: float) -> bool:
         """Whether the quota has room for a request of so many units."""
         plan = state.plan
-        if plan.parallel and state.open_requests >= max(1, plan.parallel // state.replicas):
+        if plan.max_concurrency and state.open_requests >= max(1, plan.max_concurrency // state.replicas):
             return False
         if not state.has_quota or state.last_total is None and state.used == 0:
             return True  # one request costs nearly nothing, and its call to the counter tells more
@@ -180,7 +181,7 @@
         `reserve`: units of a request that waits for the total. They are reported with the same call; if it is
         refused they are a lease.
         """
-        if not self.settings.may_count or not state.has_quota or state.call_open:
+        if not self.settings.counter_available or not state.has_quota or state.call_open:
             return
         amount = state.used - state.reported
         if reserve:
@@ -208,7 +209,7 @@
         plan = state.plan.name
         state.count_name = window.count_name(state.digest, self.plan_tags[plan], state.window)
         self.calls[state.count_name] = state
-        self.out.append(api.Count(state.count_name, amount, window.keep_ms(self.window_ms[plan])))
+        self.out.append(api.IncrementCounter(state.count_name, amount, window.keep_ms(self.window_ms[plan])))
 
     def _lease_surplus(self, state: QuotaState) -> float:
         if self.succeeded:  # the process that goes on holds the lease
@@ -222,17 +223,21 @@
             if state.reported > state.used:
                 self.sync(state)
 
-    def replied(self, reply: api.CountReply) -> QuotaState | None:
+    def replied(self, reply: api.CounterReply) -> QuotaState | None:
         """Take the end of one call; whose it was, None where nobody waits for it any more."""
         self.throttle.record_result(reply.result)
         state = self.calls.pop(reply.name, None)
         if state is None or not state.call_open:
             return None
         state.call_open, state.count_name = False, ""
-        if reply.result == api.OK:
+        if reply.result == AttemptResult.OK:
             self.remaining(state)
             estimate.read_total(state, reply.total, self.now)
-        elif reply.result in (api.TIMED_OUT, api.CUT, api.SPOILT):
+        elif reply.result in (
+            AttemptResult.TIMED_OUT,
+            AttemptResult.CONNECTION_LOST,
+            AttemptResult.MALFORMED_RESPONSE,
+        ):
             state.lease_confirmed = False  # it may have been added, or not: the next total tells
         else:
             state.reported -= state.call_amount  # a call that may have counted is not added twice
--- a/yewstage/limits/registry.py
+++ b/hillmux/quotas/registry.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from typing import Final
 
-from yewstage import interface as api
-from yewstage.limits import ceiling, window
-from yewstage.limits.state import QuotaState
-from yewstage.sketch import LatestTimes
+from hillmux import interface as api
+from hillmux.quotas import ceiling, window
+from hillmux.quotas.latest_times import LatestTimes
+from hillmux.quotas.state import QuotaState
 
 FORGET_WINDOWS: Final = 3.0  # windows without a request after which a customer's totals are no guide
 KEEP_MS: Final = 120000.0  # a customer is kept that long after its last request: to make it anew costs more
@@ -23,7 +23,7 @@
     """Quota states by customer and plan, bounded in number."""
 
     def __init__(self, settings: api.Settings) -> None:
-        self.most_customers = settings.most_customers
+        self.most_customers = settings.max_customers
         # By plan, ms without a request after which use is no guide any longer and the ceiling is full again.
         self.rests = {
             plan.name: max(FORGET_WINDOWS * (window.length_ms(plan) or IDLE_MS), ceiling.fill_ms(plan))
--- a/yewstage/limits/state.py
+++ b/hillmux/quotas/state.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from yewstage import interface as api
-from yewstage.limits import batches, window
+from hillmux import interface as api
+from hillmux.quotas import batches, window
 
 # A request that waits for a total of the counter: request, class, aim and end (moments in ms).
 Waiting = tuple[api.Request, api.RequestClass, float, float]
--- a/yewstage/limits/throttle.py
+++ b/hillmux/quotas/throttle.py
@@ -10,7 +10,7 @@
 import random
 from typing import Final
 
-from yewstage import interface as api
+from hillmux.interface import AttemptResult
 
 ANSWER_RATE_WEIGHT: Final = 0.35  # weight of one call's end in the mean
 THROTTLE_POWER: Final = 4  # a call is made with the chance answer rate ** this
@@ -33,7 +33,7 @@
         return self.rng.random() < self.answer_rate**THROTTLE_POWER or now > self.called_at + CALL_REST_MS
 
     def record_result(self, result: str) -> None:
-        """Note how one call ended (a result of `yewstage.interface`).
+        """Note how one call ended (a result of `hillmux.interface`).
 
         An answer that cannot be read is an answer all the same. A connection that is cut (a proxy or a part
         of the counter that restarts, a cap on connections, an idle limit) says nothing of the answers on the
@@ -41,7 +41,7 @@
         `CUTS` in a row, with no answer between them, mean a counter that is gone; one that sheds load by cuts
         alone and answers one call in `CUTS` is therefore called in full.
         """
-        answered = result in (api.OK, api.SPOILT)
-        self.cuts = 0 if answered else self.cuts + (result == api.CUT)
-        if result != api.CUT or self.cuts > CUTS:
+        answered = result in (AttemptResult.OK, AttemptResult.MALFORMED_RESPONSE)
+        self.cuts = 0 if answered else self.cuts + (result == AttemptResult.CONNECTION_LOST)
+        if result != AttemptResult.CONNECTION_LOST or self.cuts > CUTS:
             self.answer_rate += ANSWER_RATE_WEIGHT * (answered - self.answer_rate)
--- a/yewstage/limits/window.py
+++ b/hillmux/quotas/window.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from typing import Final
 
-from yewstage import interface as api
+from hillmux import interface as api
 
 BURSTS_PER_WINDOW: Final = (
     2.0  # length of a window in burst / rate; older unused units are not lent out later
--- a/yewstage/recovery/commands.py
+++ b/hillmux/recovery/commands.py
@@ -9,9 +9,9 @@
 
 import click
 
-from yewstage.handover import state
-from yewstage.recovery.memory import FOREVER, ITEMS, Item
-from yewstage.recovery.snapshot import Snapshot, SnapshotError, decode
+from hillmux.hot_restart import state_codec as state
+from hillmux.recovery.retention import FOREVER, ITEMS, Item
+from hillmux.recovery.snapshot_format import Snapshot, SnapshotError, decode
 
 WRONG = 1
 
--- a/yewstage/recovery/memory.py
+++ b/hillmux/recovery/retention.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from yewstage.handover import state
+from hillmux.hot_restart import state_codec as state
 
 FOREVER = math.inf
 NEVER = 0.0
--- a/yewstage/recovery/service.py
+++ b/hillmux/recovery/snapshot_service.py
@@ -10,9 +10,8 @@
 from pathlib import Path
 from typing import Any
 
-from yewstage.recovery.folder import Folder
-from yewstage.recovery.memory import believed
-from yewstage.recovery.snapshot import (
+from hillmux.recovery.retention import believed
+from hillmux.recovery.snapshot_format import (
     MOST_BYTES,
     Builder,
     Head,
@@ -22,6 +21,7 @@
     check,
     decode,
 )
+from hillmux.recovery.snapshot_store import Folder
 
 log = logging.getLogger(__name__)
 
--- a/yewstage/recovery/folder.py
+++ b/hillmux/recovery/snapshot_store.py
@@ -12,7 +12,7 @@
 import secrets
 from pathlib import Path
 
-from yewstage.recovery.snapshot import MOST_BYTES, MOST_HEAD, SnapshotError
+from hillmux.recovery.snapshot_format import MOST_BYTES, MOST_HEAD, SnapshotError
 
 FILE, NEXT, TAKEN, LOCK, MARK = "snapshot", "snapshot.next", "snapshot.taken", "lock", "mark"
 MARK_BYTES = 64
--- a/yewstage/recovery/node.py
+++ b/hillmux/recovery/snapshotting_gateway.py
@@ -9,17 +9,17 @@
 from pathlib import Path
 from typing import Any
 
-from yewstage import interface as api
-from yewstage.handover.service import Heir
-from yewstage.handover.state import StateError, export, restore
-from yewstage.limits.throttle import SILENT_RATE
-from yewstage.net.clients import Server
-from yewstage.net.config import Config
-from yewstage.net.operated import START_S, OperatedNode
-from yewstage.recovery.memory import BeliefError, worth_leaving
-from yewstage.recovery.phase import Phases, View
-from yewstage.recovery.service import Snapshots
-from yewstage.recovery.snapshot import digest
+from hillmux import interface as api
+from hillmux.hot_restart.service import Heir
+from hillmux.hot_restart.state_codec import StateError, export, restore
+from hillmux.net.clients import Server
+from hillmux.net.config import Config
+from hillmux.net.managed_gateway import START_S, OperatedNode
+from hillmux.quotas.throttle import SILENT_RATE
+from hillmux.recovery.readiness import Phases, View
+from hillmux.recovery.retention import BeliefError, worth_leaving
+from hillmux.recovery.snapshot_format import digest
+from hillmux.recovery.snapshot_service import Snapshots
 
 log = logging.getLogger(__name__)
 
@@ -115,7 +115,7 @@
         gateway, fleet = self._gateway, self._gateway.fleet
         late = now - self._looked > LOOK_S + STALL_MS / 1000
         self._looked = now
-        asked = self.settings.may_count and gateway.quotas.throttle.called_at > self._born_ms
+        asked = self.settings.counter_available and gateway.quotas.throttle.called_at > self._born_ms
         stalled = late or clock - gateway.stalled_at < STALL_MS
         view = View(
             self.ready(),
@@ -133,6 +133,6 @@
         self._loop.call_later(LOOK_S, self._watch)
 
     def _post(self, event: api.Event) -> None:
-        if isinstance(event, api.Outcome):
+        if isinstance(event, api.AttemptEnded):
             self._outcomes += 1
         super()._post(event)
--- /dev/null
+++ b/hillmux/tenants/__init__.py
@@ -0,0 +1,8 @@
+"""Tenants: what each is, which requests are whose, what each may hold. No sockets, clocks or files."""
+
+from hillmux.tenants.model import Pool, Route, ServiceConfig, Tenant
+from hillmux.tenants.registry import Change, Registry
+from hillmux.tenants.router import RouteFault, Router
+from hillmux.tenants.shares import Shares
+
+__all__ = ["Change", "Pool", "Registry", "Route", "RouteFault", "Router", "ServiceConfig", "Shares", "Tenant"]
--- a/yewstage/tenants/addresses.py
+++ b/hillmux/tenants/addresses.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from yewstage.tenants.model import Address
+from hillmux.tenants.model import Address
 
 Holder = tuple[str, str]  # a tenant, and what lists its hosts: a pool's file, or "" for the configuration
 
--- a/yewstage/tenants/looptime.py
+++ b/hillmux/tenants/looptime.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from yewstage.tenants.shares import Shares
+from hillmux.tenants.shares import Shares
 
 SLACK = 0.1  # of the whole, by which a tenant may be beyond its part: chance alone is no flood
 HEAVY = 1.5  # times a tenant's part of the time that is taken, beyond which others' requests go first
--- a/yewstage/tenants/model.py
+++ b/hillmux/tenants/model.py
@@ -6,7 +6,7 @@
 import hashlib
 from dataclasses import dataclass, field
 
-from yewstage import interface as api
+from hillmux import interface as api
 
 Address = tuple[str, int]
 
@@ -41,7 +41,7 @@
     """Hosts that serve the same requests: listed, or in a file that is watched."""
 
     name: str
-    servers: tuple[api.Server, ...] = ()
+    servers: tuple[api.Endpoint, ...] = ()
     addresses: tuple[tuple[str, Address], ...] = ()  # by the server's name
     hosts_file: str = ""
 
--- a/yewstage/tenants/registry.py
+++ b/hillmux/tenants/registry.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from yewstage.tenants.model import Tenant
+from hillmux.tenants.model import Tenant
 
 ADDED, CHANGED, REMOVED = "added", "changed", "removed"
 
--- a/yewstage/tenants/router.py
+++ b/hillmux/tenants/router.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from itertools import combinations
 
-from yewstage.tenants.model import ANY_HOST, Route, Tenant
+from hillmux.tenants.model import ANY_HOST, Route, Tenant
 
 MOST_TOMBSTONES = 4096
 
--- a/tests/capacity/test_awake_and_figures.py
+++ b/tests/capacity/test_awake_and_figures.py
@@ -8,7 +8,7 @@
 
 from benchmarks.capacity import awake, operator_figures
 from benchmarks.capacity.probes import PROBES
-from yewstage.operate.calls import END, VARS, answer
+from hillmux.admin.commands import END, VARS, answer
 
 
 def test_a_woken_tenant_has_served_each_of_its_customers() -> None:
--- a/tests/crossings/test_clients_that_leave.py
+++ b/tests/crossings/test_clients_that_leave.py
@@ -9,8 +9,8 @@
 
 import pytest
 from conftest import Rig, Seen, instance, message, on_loop, read_message, reply
-from standins.raw import Peer, RawHost
-from standins.system import Blocked, held, sockets
+from fakes.raw import Peer, RawHost
+from fakes.system import Blocked, held, sockets
 
 RESET = struct.pack("ii", 1, 0)
 
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -7,10 +7,10 @@
 
 import pytest
 from conftest import message, on_loop
-from standins.desk import Desk, ends, reads
+from fakes.desk import Desk, ends, reads
 
-from yewstage.net.clients import ACCEPTS, HEAR_S, IDLE_S
-from yewstage.net.life import Shutdown
+from hillmux.net.clients import ACCEPTS, HEAR_S, IDLE_S
+from hillmux.net.shutdown import Shutdown
 
 
 def drain(desk: Desk) -> None:
--- a/tests/crossings/test_descriptors.py
+++ b/tests/crossings/test_descriptors.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from conftest import Rig, Seen, instance, message, on_loop, read_message, reply
-from standins.desk import Desk, reads
-from standins.system import sockets
+from fakes.desk import Desk, reads
+from fakes.system import sockets
 
 MOST = 128
 
--- a/tests/crossings/test_watch.py
+++ b/tests/crossings/test_watch.py
@@ -8,11 +8,11 @@
 
 import pytest
 from conftest import LOOP, Seen, on_loop, reply
-from standins.agent import Agent, listing
-from standins.core import HeldDials
+from fakes.agent import Agent, listing
+from fakes.core import HeldDials
 
-from yewstage.net import discovery as discovery_module
-from yewstage.net.discovery import (
+from hillmux.net import discovery as discovery_module
+from hillmux.net.discovery import (
     BACKOFF_S,
     DIAL_S,
     GRACE_S,
--- a/tests/standins/agent.py
+++ b/tests/fakes/agent.py
@@ -7,7 +7,7 @@
 
 from conftest import LOOP, Fake, Seen, instance, reply
 
-from yewstage.net.discovery import Discovery, Listing
+from hillmux.net.discovery import Discovery, Listing
 
 
 def listing(generation: int, *names: str, whole: bool = True) -> bytes:
--- a/tests/standins/desk.py
+++ b/tests/fakes/desk.py
@@ -7,9 +7,9 @@
 
 from conftest import GRADES, LOOP, PACKAGES, instance
 
-from yewstage.net.config import parse
-from yewstage.net.core import Client, Order
-from yewstage.net.flows import FlowServer
+from hillmux.net.config import parse
+from hillmux.net.core import Client, Order
+from hillmux.net.streaming import FlowServer
 
 
 class Desk:
--- a/tests/standins/hosted.py
+++ b/tests/fakes/hosted.py
@@ -7,10 +7,10 @@
 
 from conftest import Behave, Fake, Seen, read_message
 
-from standins.tenants import config, table
-from yewstage.hosted.front import TenantServer
-from yewstage.hosted.service import Service
-from yewstage.tenants.model import ServiceConfig
+from fakes.tenants import config, table
+from hillmux.hosted.front import TenantServer
+from hillmux.hosted.service import Service
+from hillmux.tenants.model import ServiceConfig
 
 
 class Hosted:
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -11,7 +11,7 @@
 import pytest
 from conftest import LOOP, Rig, Seen, instance, message, on_loop, read_message, reply
 
-from yewstage.handover.channel import LONGEST, NAME, Channel, connect, listen
+from hillmux.hot_restart.channel import LONGEST, NAME, Channel, connect, listen
 
 
 def serve(seen: Seen) -> bytes:
--- a/tests/hosted/test_isolation.py
+++ b/tests/hosted/test_isolation.py
@@ -12,12 +12,12 @@
 
 import pytest
 from conftest import LOOP, Seen, on_loop
-from standins.hosted import Hosted, request, serve, status
+from fakes.hosted import Hosted, request, serve, status
 
-from yewstage.hosted import front, resources
-from yewstage.hosted import service as service_module
-from yewstage.hosted.resources import CROWDED, UNHEARD, Resources
-from yewstage.tenants.model import Limits
+from hillmux.hosted import front, resources
+from hillmux.hosted import service as service_module
+from hillmux.hosted.resources import CROWDED, UNHEARD, Resources
+from hillmux.tenants.model import Limits
 
 
 def silent(seen: Seen) -> None:
--- a/tests/lab/test_checks.py
+++ b/tests/lab/test_checks.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from yewstage.lab import checks
-from yewstage.lab.checks import Verdict, answered
+from hillmux.lab import checks
+from hillmux.lab.checks import Verdict, answered
 
 
 def at(t: float, who: str, ev: str, **fields: Any) -> dict[str, Any]:
--- a/tests/lab/test_compare.py
+++ b/tests/lab/test_compare.py
@@ -7,8 +7,9 @@
 
 import pytest
 
-from yewstage.lab.compare import TreeError, interval, paired, tree
-from yewstage.lab.measures import Figures
+from hillmux.lab.compare import interval, paired, tree
+from hillmux.lab.measures import Figures
+from hillmux.lab.trees import TreeError
 
 
 def figures(served: float, full: float | None = None) -> Figures:
--- a/tests/lab/test_exchange.py
+++ b/tests/lab/test_exchange.py
@@ -10,9 +10,9 @@
 
 from conftest import on_loop
 
-from yewstage.lab.clock import RealClock
-from yewstage.lab.scenario import ScenarioError, load
-from yewstage.lab.standins.exchange import Exchange
+from hillmux.lab.clock import RealClock
+from hillmux.lab.scenario import ScenarioError, load
+from hillmux.lab.standins.exchange import Exchange
 
 NAMES = ["g0", "g1", "g2"]
 SENT = 400  # in flights of this many: what a share of them is, is the seed's, the same each time
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -10,7 +10,7 @@
 import pytest
 from conftest import on_loop
 
-from yewstage.lab.links import LINGER_RESET, Door, Link, Receiver, Wire
+from hillmux.lab.links import LINGER_RESET, Door, Link, Receiver, Wire
 
 
 class Echo(Receiver):
--- a/tests/lab/test_play.py
+++ b/tests/lab/test_play.py
@@ -8,11 +8,11 @@
 import pytest
 from click.testing import CliRunner
 
-from yewstage.lab import record
-from yewstage.lab import scenario as sc
-from yewstage.lab.checks import Event
-from yewstage.lab.commands import lab
-from yewstage.lab.virtual import play
+from hillmux.lab import record
+from hillmux.lab import scenario as sc
+from hillmux.lab.checks import Event
+from hillmux.lab.commands import lab
+from hillmux.lab.virtual import play
 
 ROOT = Path(__file__).resolve().parents[2]
 SHIPPED = sorted((ROOT / "examples/lab").glob("*.toml"))
--- a/tests/lab/test_report.py
+++ b/tests/lab/test_report.py
@@ -5,9 +5,9 @@
 from html.parser import HTMLParser
 from typing import Any
 
-from yewstage.lab.checks import Terms, Verdict, answered
-from yewstage.lab.measures import measure
-from yewstage.lab.report import Series, page
+from hillmux.lab.checks import Terms, Verdict, answered
+from hillmux.lab.measures import measure
+from hillmux.lab.report import Series, page
 
 TERMS = Terms(1000.0, 1500.0, {}, {"p": (10.0, 100.0)})
 
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from yewstage.lab import scenario as sc
+from hillmux.lab import scenario as sc
 
 ROOT = Path(__file__).resolve().parents[2]
 SHIPPED = sorted((ROOT / "examples/lab").glob("*.toml"))
--- a/tests/lab/test_virtual.py
+++ b/tests/lab/test_virtual.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from yewstage.lab.traffic import ClassTraffic, PlanTraffic, TrafficModel, tries
-from yewstage.lab.virtual.counter import CounterModel
-from yewstage.lab.virtual.hosts import Host, HostModel, Job
-from yewstage.lab.virtual.loop import Loop
-from yewstage.lab.virtual.world import DayModel, World
+from hillmux.lab.traffic import ClassTraffic, PlanTraffic, TrafficModel, tries
+from hillmux.lab.virtual.counter import CounterModel
+from hillmux.lab.virtual.hosts import Host, HostModel, Job
+from hillmux.lab.virtual.loop import Loop
+from hillmux.lab.virtual.world import DayModel, World
 
 READ = ClassTraffic("read", 0.7, 300.0, 5000.0, 20_000.0, 3.0)
 BOOK = ClassTraffic("book", 0.3, 200.0, 4000.0, 12_000.0, 2.0, "keyed", 8000.0)
--- a/tests/limits/test_lease_schedules.py
+++ b/tests/limits/test_lease_schedules.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from yewstage.lab.virtual.counting import CountingFleet, Scenario
-from yewstage.lab.virtual.counting_checks import BrokenInvariantError, check_leases
-from yewstage.lab.virtual.counting_faults import Kill
-from yewstage.lab.virtual.counting_leases import StrandedLeases, leased_elsewhere
-from yewstage.lab.virtual.counting_schedules import Played, Schedule, draw_schedule, play_schedule
-from yewstage.limits import batches, lease, window
+from hillmux.lab.virtual.counting import CountingFleet, Scenario
+from hillmux.lab.virtual.counting_checks import BrokenInvariantError, check_leases
+from hillmux.lab.virtual.counting_faults import Kill
+from hillmux.lab.virtual.counting_leases import StrandedLeases, leased_elsewhere
+from hillmux.lab.virtual.counting_schedules import Played, Schedule, draw_schedule, play_schedule
+from hillmux.quotas import batches, lease, window
 
 SEEDS = range(40)
 KEPT_SEEDS = (20345,)  # that failed once: a lease drawn away from the limit, and checked by the bound near it
--- a/tests/operate/test_calls.py
+++ b/tests/operate/test_calls.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from yewstage.operate.byhand import MOST_OUT, NAME, HandError, HandFile, Listed, refused
-from yewstage.operate.calls import answer
-from yewstage.operate.figures import MOST_CLASSES, Figures
+from hillmux.admin.commands import answer
+from hillmux.admin.host_overrides import MOST_OUT, NAME, HandError, HandFile, Listed, refused
+from hillmux.admin.metrics import MOST_CLASSES, Figures
 
 
 class Gateway:
--- a/tests/operate/test_operated.py
+++ b/tests/operate/test_operated.py
@@ -9,8 +9,8 @@
 import pytest
 from conftest import GRADES, LOOP, Rig, Seen, instance, message, on_loop, reply
 
-from yewstage.operate.calls import LONGEST_LINE
-from yewstage.operate.service import MOST
+from hillmux.admin.commands import LONGEST_LINE
+from hillmux.admin.server import MOST
 
 
 def serve(seen: Seen) -> bytes:
--- a/tests/recovery/test_folder.py
+++ b/tests/recovery/test_folder.py
@@ -10,22 +10,22 @@
 
 import pytest
 
-from yewstage.recovery import folder as module
-from yewstage.recovery.folder import FILE, MARK, TAKEN, Folder
-from yewstage.recovery.snapshot import MOST_BYTES, SnapshotError
+from hillmux.recovery import snapshot_store as module
+from hillmux.recovery.snapshot_format import MOST_BYTES, SnapshotError
+from hillmux.recovery.snapshot_store import FILE, MARK, TAKEN, Folder
 
 ROOT = Path(__file__).resolve().parents[2]
 HOLD = """
 import sys, time
 from pathlib import Path
-from yewstage.recovery.folder import Folder
+from hillmux.recovery.snapshot_store import Folder
 print(Folder(Path(sys.argv[1])).lock(), flush=True)
 time.sleep(60)
 """
 WRITES = """
 import os, sys
 from pathlib import Path
-from yewstage.recovery import folder as module
+from hillmux.recovery import snapshot_store as module
 folder = module.Folder(Path(sys.argv[1]))
 folder.lock()
 left = int(sys.argv[2])
--- a/tests/recovery/test_full.py
+++ b/tests/recovery/test_full.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from yewstage.recovery import full
-from yewstage.recovery.full import Window
+from hillmux.recovery import full_service as full
+from hillmux.recovery.full_service import Window
 
 FAST = tuple([50.0] * 98 + [200.0] * 2)
 SLOW = tuple([50.0] * 97 + [300.0] * 3)
--- a/tests/recovery/test_phase.py
+++ b/tests/recovery/test_phase.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from yewstage.recovery.phase import FULL, HOLD_MS, LEARNING, RAMPING, STARTING, Phases, View
+from hillmux.recovery.readiness import FULL, HOLD_MS, LEARNING, RAMPING, STARTING, Phases, View
 
 WELL = View(True, True, True, 100, 1.0, 20, 0, 0, False)
 
--- a/tests/recovery/test_service.py
+++ b/tests/recovery/test_service.py
@@ -12,10 +12,10 @@
 import pytest
 from conftest import on_loop
 
-from yewstage.recovery import folder as module
-from yewstage.recovery.folder import FILE
-from yewstage.recovery.service import Snapshots
-from yewstage.recovery.snapshot import decode
+from hillmux.recovery import snapshot_store as module
+from hillmux.recovery.snapshot_format import decode
+from hillmux.recovery.snapshot_service import Snapshots
+from hillmux.recovery.snapshot_store import FILE
 
 
 class Gateway:
--- a/tests/recovery/test_several.py
+++ b/tests/recovery/test_several.py
@@ -8,9 +8,9 @@
 import pytest
 from lab.test_run import BOOK, PLAN, READ, held
 
-from yewstage.lab import record
-from yewstage.lab.run import Result, play
-from yewstage.lab.scenario import Scenario
+from hillmux.lab import record
+from hillmux.lab.run import Result, play
+from hillmux.lab.scenario import Scenario
 
 RULES = ("answered", "effects", "ceilings", "units")
 
--- a/tests/recovery/test_snapshot.py
+++ b/tests/recovery/test_snapshot.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from yewstage.recovery.snapshot import (
+from hillmux.recovery.snapshot_format import (
     AHEAD_MS,
     Builder,
     Head,
@@ -103,7 +103,7 @@
 def test_a_copied_folder_is_another_folder(tmp_path: Path) -> None:
     import shutil
 
-    from yewstage.recovery.folder import Folder
+    from hillmux.recovery.snapshot_store import Folder
 
     first = Folder(tmp_path / "a")
     assert first.lock()
@@ -116,7 +116,7 @@
 def test_an_operator_is_shown_what_a_snapshot_says_and_told_what_is_wrong_with_one(tmp_path: Path) -> None:
     from click.testing import CliRunner
 
-    from yewstage.cli import main
+    from hillmux.cli import main
 
     good, bad = tmp_path / "good", tmp_path / "bad"
     good.write_bytes(data(dataclasses.replace(HEAD, exact=False)))
--- a/tests/tenants/test_router.py
+++ b/tests/tenants/test_router.py
@@ -6,11 +6,11 @@
 from itertools import product
 
 import pytest
-from standins.tenants import BOOK, PAY, READ, route, tenant
+from fakes.tenants import BOOK, PAY, READ, route, tenant
 
-from yewstage.tenants import RouteFault, Router
-from yewstage.tenants.model import Route, Tenant
-from yewstage.tenants.router import MOST_TOMBSTONES, check_routes, check_tenants
+from hillmux.tenants import RouteFault, Router
+from hillmux.tenants.model import Route, Tenant
+from hillmux.tenants.router import MOST_TOMBSTONES, check_routes, check_tenants
 
 
 def found(router: Router, host: str, path: bytes) -> str | None:
--- a/tests/tenants/test_shares.py
+++ b/tests/tenants/test_shares.py
@@ -6,7 +6,7 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from yewstage.tenants import Shares
+from hillmux.tenants import Shares
 
 NAMES = "abcd"
 
--- a/tests/tenants/test_target.py
+++ b/tests/tenants/test_target.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from yewstage.tenants.target import TargetError, host_name, plain_path, read_target
+from hillmux.tenants.target import TargetError, host_name, plain_path, read_target
 
 
 @pytest.mark.parametrize(
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from yewstage.net.deadlines import AT_ONCE, TICK_S, Deadlines
+from hillmux.net.deadlines import AT_ONCE, TICK_S, Deadlines
 
 
 class Loop:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -6,9 +6,9 @@
 
 import pytest
 from conftest import on_loop, reply
-from standins.agent import Agent, listing
+from fakes.agent import Agent, listing
 
-from yewstage.net.discovery import Discovery, Listing
+from hillmux.net.discovery import Discovery, Listing
 
 
 def test_what_is_known_already_is_not_asked_for_again() -> None:
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -9,10 +9,10 @@
 
 import pytest
 from conftest import Rig, instance, message, on_loop, read_message
-from standins.raw import Peer, RawHost, Script
+from fakes.raw import Peer, RawHost, Script
 
-from yewstage.net.flows import KEPT, LONGEST_UPLOAD
-from yewstage.net.http1 import LONGEST_BODY
+from hillmux.net.http1 import LONGEST_BODY
+from hillmux.net.streaming import KEPT, LONGEST_UPLOAD
 
 LONG = 300_000
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: x/y\r\n\r\n"
