--- a/hillmux/__main__.py
+++ b/hillmux/__main__.py
@@ -15,7 +15,7 @@
 from hillmux.net.config import Config, ConfigError, load
 from hillmux.net.platform_gateway import Node
 from hillmux.net.shutdown import Shutdown, set_up_log
-from hillmux.net.streaming import FlowServer
+from hillmux.net.streaming import StreamingListener
 
 GC_ALLOCATIONS = 20_000
 
@@ -33,7 +33,7 @@
     return OperatedNode(config, loop)
 
 
-def _reload(core: Node, server: FlowServer, started: Config) -> None:
+def _reload(core: Node, server: StreamingListener, started: Config) -> None:
     """SIGHUP: a file that is no good changes nothing."""
     try:
         config = load(os.environ, before=started)
@@ -42,7 +42,7 @@
         core.not_reloaded()
         return
     core.reload(config)
-    server.read_terms()
+    server.reload_settings()
     logging.info(
         "reloaded: discovery %s:%d, %d classes, %d attempts",
         *config.discovery,
@@ -55,7 +55,7 @@
     """Run until SIGTERM or SIGINT has been served."""
     loop = asyncio.get_running_loop()
     core = _node(config, loop)
-    server = FlowServer(core, loop, config.sockets)
+    server = StreamingListener(core, loop, config.sockets)
     shutdown = Shutdown(core, server, loop)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, shutdown.begin)
--- a/hillmux/cli.py
+++ b/hillmux/cli.py
@@ -147,7 +147,7 @@
     life.set_up_log(name)
     for handler in logging.getLogger().handlers:
         handler.filters.clear()
-        handler.addFilter(life.RateLimit(2 * lines))  # tenants are held to their parts of `lines` before
+        handler.addFilter(life.LogRateLimit(2 * lines))  # tenants are held to their parts of `lines` before
 
 
 def _fail(text: str) -> None:
--- a/hillmux/hosted/core.py
+++ b/hillmux/hosted/core.py
@@ -16,7 +16,7 @@
 from hillmux.net.core import Client, Core, CounterClient, Order, Pulse, _Open
 from hillmux.net.discovery import Listing
 from hillmux.net.hosts import Attempt, Hosts, _Connection
-from hillmux.net.http1 import Reply
+from hillmux.net.http1 import Response
 from hillmux.tenants.model import Tenant
 
 log = logging.getLogger(__name__)
@@ -80,14 +80,14 @@
         tenant: Tenant,
         loop: asyncio.AbstractEventLoop,
         resources: Resources,
-        ended: Callable[[Attempt, AttemptResult, Reply | None], None],
+        ended: Callable[[Attempt, AttemptResult, Response | None], None],
         make_room: Callable[[str], bool],
         wanted: Callable[[Attempt], bool],
     ) -> None:
         super().__init__(loop, int(resources.hosts.whole), tenant.dial_ms, tenant.idle_ms, ended, wanted)
         self._tenant, self._resources, self._make_room = tenant.id, resources, make_room
 
-    def judge(self, reply: Reply) -> AttemptResult:
+    def judge(self, reply: Response) -> AttemptResult:
         """An answer that is the tenant's own business, a 404 as much as a 201, was served."""
         if 200 <= reply.status < 500 and reply.status not in (408, 429):
             return AttemptResult.OK
@@ -258,7 +258,7 @@
         super().left(rid)
 
     def _answer(
-        self, request: _Open | None, status: int, reply: Reply | None = None, retry_after_ms: float = 0.0
+        self, request: _Open | None, status: int, reply: Response | None = None, retry_after_ms: float = 0.0
     ) -> None:
         if request is not None and request.client is not None:
             if reply is not None:
@@ -271,7 +271,7 @@
                 self.cause = "failed"
         super()._answer(request, status, reply, retry_after_ms)
 
-    def _pass_on(self, client: Client, reply: Reply) -> None:
+    def _pass_on(self, client: Client, reply: Response) -> None:
         cast(Any, client).passing = True
         cast(Any, client).more = reply.headers.get(LINES_KEPT, b"")
         super()._pass_on(client, reply)
--- a/hillmux/hosted/front.py
+++ b/hillmux/hosted/front.py
@@ -19,12 +19,19 @@
 from hillmux.hosted.stats import Stats
 from hillmux.interface import Idempotency
 from hillmux.net.clients import (
-    IDLE_S,
+    KEEP_ALIVE_TIMEOUT_S,
     ClientConnection,
-    Server,
+    Listener,
 )
 from hillmux.net.core import Order
-from hillmux.net.requests import DEADLINE, WANTED, WORD, BadRequestError, Message, Terms
+from hillmux.net.requests import (
+    DEADLINE_VALUE,
+    GATEWAY_HEADERS,
+    VISIBLE_TOKEN,
+    BadRequestError,
+    RequestMessage,
+    RequestRules,
+)
 from hillmux.tenants import model
 from hillmux.tenants.router import Entry, Router
 from hillmux.tenants.target import Target, TargetError, read_target
@@ -60,7 +67,7 @@
 )
 SEND_BUFFER = 64 * 1024  # bytes of answers that the system holds for a client
 CUSTOMER = re.compile(r"[!-~]{1,128}")
-WANTED_HERE = WANTED | {b"host"}
+WANTED_HERE = GATEWAY_HEADERS | {b"host"}
 RETURNED = frozenset((404, 405, 409, 410))  # whole and well framed: its connection carries others, too
 TITLES = {
     404: "not found",
@@ -77,7 +84,7 @@
 }
 
 
-class _TenantMessage(Message):
+class _TenantMessage(RequestMessage):
     """One request, with the header lines that go on to the host unchanged."""
 
     __slots__ = ("rest",)
@@ -101,7 +108,7 @@
         """The plan of each partner that is listed."""
 
     @property
-    def terms(self) -> Terms:
+    def terms(self) -> RequestRules:
         """What its requests may name."""
 
 
@@ -132,7 +139,7 @@
 class TenantConnection(ClientConnection):
     """One connection; it may carry requests of many tenants, and belongs to the last one's."""
 
-    message = _TenantMessage
+    message_type = _TenantMessage
 
     def __init__(self, server: TenantServer) -> None:
         super().__init__(server)
@@ -157,10 +164,10 @@
     def data_received(self, data: bytes) -> None:
         """Handle what has come, or defer it while the owner takes much more of the loop than its part."""
         if self._behind or (self.owner != UNHEARD and self._service.resources.loop.heavy(self.owner)):
-            if not self._behind and not self._paused:
+            if not self._behind and not self._reading_paused:
                 self.transport.pause_reading()  # guards the memory: one chunk of a connection waits, not more
             self._behind += 1
-            self._server.owes(self)  # it is not idle: nobody may close it
+            self._listener.mark_busy(self)  # it is not idle: nobody may close it
             self._front.defer(self, data)
         else:
             self._handle(data)
@@ -170,10 +177,10 @@
         self._behind -= 1
         if self.transport.is_closing():
             return
-        if not self._busy:
-            self._server.waits(self)
+        if not self._answer_due:
+            self._listener.mark_idle(self)
         self._handle(data)
-        if not self._behind and not self._paused and not self.transport.is_closing():
+        if not self._behind and not self._reading_paused and not self.transport.is_closing():
             self.transport.resume_reading()
 
     def close_if_idle(self) -> None:
@@ -208,7 +215,7 @@
     def on_message_begin(self) -> None:
         """Also refresh the set of headers to keep, which the tenants' routes change."""
         super().on_message_begin()
-        self.wanted = self._front.wanted()  # those that some tenant's routes go by are among them
+        self.kept_headers = self._front.wanted()  # those that some tenant's routes go by are among them
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Also keep a line that goes on to the host unchanged."""
@@ -226,15 +233,15 @@
             self._fault = str(error)
             raise
         assert self._message is not None
-        self._message.old = self._parser.get_http_version() == "1.0"
+        self._message.is_http_1_0 = self._parser.get_http_version() == "1.0"
 
-    def check(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         """As the base does, but abort after IDLE_S with answers that the client does not read."""
         # Guards the memory: a close waits for the client to read, and this one does not.
-        if now - self.since > IDLE_S and self.transport.get_write_buffer_size():
+        if now - self.waiting_since > KEEP_ALIVE_TIMEOUT_S and self.transport.get_write_buffer_size():
             self.transport.abort()
         else:
-            super().check(now)
+            super().check_timeouts(now)
 
     def _spent(self, seconds: float) -> None:
         if self.owner != UNHEARD and self._service.resources.loop.known(self.owner):
@@ -257,10 +264,10 @@
 
     def _hold_request(self) -> None:
         """Hold what has come of requests that are not yet taken; one beyond its share is turned away."""
-        size = 0 if self._message is None else self._message.head + self._message.size
-        size += self._ahead_size
+        size = 0 if self._message is None else self._message.head_bytes + self._message.body_bytes
+        size += self._unparsed_bytes
         for item in self._queue:
-            size += 0 if isinstance(item, int) else item.head + item.size
+            size += 0 if isinstance(item, int) else item.head_bytes + item.body_bytes
         buffer, more = self._service.resources.buffer, size - self.reading
         if more <= 0 or self.transport.is_closing():
             more = max(more, -self.reading)
@@ -272,7 +279,7 @@
             buffer.charge(self.owner, more)
             if not buffer.within(self.owner, 0.0):
                 self._reject(503)
-                self._pump()
+                self._take_requests()
 
     def _own(self, owner: str) -> None:
         """The connection carries a request of this tenant now."""
@@ -285,14 +292,14 @@
 
     def disown(self) -> None:
         """Its tenant is gone; the connection, owed nothing, is nobody's."""
-        self._server.owes(self)
+        self._listener.mark_busy(self)
         unread = self.unread
         self._own(UNHEARD)
         self._hold(unread)
         self._hold_request()
-        self._server.waits(self)
+        self._listener.mark_idle(self)
 
-    def _take(self, item: Message | int) -> None:
+    def _take_request(self, item: RequestMessage | int) -> None:
         # Each request is its own tenant's, also where a connection carries those of several.
         began = time.perf_counter()
         self._take_one(item)
@@ -300,16 +307,16 @@
         self._spent(took)
         self._taking_s += took
 
-    def _take_one(self, item: Message | int) -> None:
-        self._busy = True
-        self._server.owes(self)
-        self._core = self._front.core
+    def _take_one(self, item: RequestMessage | int) -> None:
+        self._answer_due = True
+        self._listener.mark_busy(self)
+        self._handler = self._front.handler
         self._title = ""
         try:
             if isinstance(item, int):
                 raise BadRequestError(self._fault or FAULTS.get(item, "no HTTP/1.1 request"), item)
             self._keep_alive = item.keep_alive
-            self._serve(item)
+            self._route(item)
         except BadRequestError as error:
             self._title = str(error)
             if error.status == 503:
@@ -320,13 +327,13 @@
         except Exception:
             # Guards the one answer, and the others on this connection, against a fault of ours.
             log.exception("a request could not be taken")
-            if self._busy:
+            if self._answer_due:
                 self._title = "gateway fault"
                 self.answer(500)
 
-    def _serve(self, message: Message) -> None:
+    def _route(self, message: RequestMessage) -> None:
         try:
-            target = read_target(message.url, message.headers.get(b"host"), message.old)
+            target = read_target(message.url, message.headers.get(b"host"), message.is_http_1_0)
         except TargetError as error:
             raise BadRequestError(str(error)) from None
         service = self._service
@@ -357,11 +364,11 @@
 
     def _hand_over(self, slot: Slot, order: Order) -> None:
         core = self._service.core(slot.tenant.id)
-        self._core = cast(Any, core)
+        self._handler = cast(Any, core)
         rid = core.take(self, order, self._service.make_room)
         if rid is not None:
-            if self._busy:  # else it is answered already
-                self._open = rid
+            if self._answer_due:  # else it is answered already
+                self._request_id = rid
         elif core.cause == CONFLICT:
             slot.stats.requests -= 1
             slot.stats.rejected += 1
@@ -374,7 +381,7 @@
         self._title = cause
         self.answer(503, retry_after_ms=NO_MODULE_MS)
 
-    def _order(self, message: Message, target: Target, entry: Entry, slot: Slot) -> Order:
+    def _order(self, message: RequestMessage, target: Target, entry: Entry, slot: Slot) -> Order:
         """The request as its tenant's module and hosts are told of it; BadRequestError where it is none."""
         headers, tenant = message.headers, entry.tenant
         route = Router.route(entry, message.method, target.path, headers)
@@ -382,7 +389,7 @@
             if not route:
                 raise BadRequestError("no route of this tenant has this path", 404)
             allowed = ", ".join(sorted(m.decode() for m in route))
-            self.more = b"Allow: %b\r\n" % allowed.encode()
+            self.extra_header_lines = b"Allow: %b\r\n" % allowed.encode()
             raise BadRequestError(f"method: expected {allowed}", 405)
         partner = (
             headers.get(tenant.partner_header, b"")
@@ -398,7 +405,7 @@
         cls = terms.classes[route.class_name.encode()]
         time_left_ms = cls.deadline_ms
         if b"x-deadline" in headers:
-            deadline = DEADLINE.fullmatch(headers[b"x-deadline"])
+            deadline = DEADLINE_VALUE.fullmatch(headers[b"x-deadline"])
             if deadline is None:
                 raise BadRequestError("X-Deadline: expected a number and m or u, as in 480m")
             time_left_ms = min(float(deadline[1]) / (1 if deadline[2] == b"m" else 1000), time_left_ms)
@@ -422,7 +429,7 @@
             route.pool,
         )
 
-    def _retry_after(self, wait_ms: float) -> bytes:
+    def _retry_after_line(self, wait_ms: float) -> bytes:
         """Whole seconds, as clients at large read it (RFC 9110 section 10.2.3)."""
         return b"Retry-After: %d\r\n" % max(-(-wait_ms // 1000), 1)
 
@@ -432,12 +439,12 @@
         """The one answer; without a body of its own it says why in one (RFC 9457)."""
         passed_on, self.passing = self.passing, False
         if status != 200 and not passed_on:
-            detail = self._title or (self._core.cause if isinstance(self._core, TenantCore) else "")
+            detail = self._title or (self._handler.cause if isinstance(self._handler, TenantCore) else "")
             body = json.dumps(
                 {"status": status, "title": TITLES.get(status, "bad request"), "detail": detail}
             ).encode()
             content_type = b"application/problem+json"
-        if self._service.draining and not self._more():
+        if self._service.draining and not self._has_more_input():
             self._keep_alive = False
         super().answer(status, body, content_type, retry_after_ms)
         if not self.transport.is_closing():
@@ -446,7 +453,7 @@
 
 
 def _head(
-    message: Message,
+    message: RequestMessage,
     target: Target,
     route: model.Route,
     cls: api.RequestClass,
@@ -456,7 +463,7 @@
 ) -> bytes:
     """The head for the host: method, target in origin form, id, key, class and partner."""
     headers, key = message.headers, message.headers.get(b"idempotency-key")
-    if not WORD.fullmatch(rid) or (key is not None and not WORD.fullmatch(key)):
+    if not VISIBLE_TOKEN.fullmatch(rid) or (key is not None and not VISIBLE_TOKEN.fullmatch(key)):
         raise BadRequestError("X-Request-Id or Idempotency-Key: expected 1 to 128 visible ASCII characters")
     if cls.idempotency == Idempotency.KEYED and key is None:
         raise BadRequestError(f"Idempotency-Key: is missing, class {cls.name!r} is keyed")
@@ -476,7 +483,7 @@
     if key is not None:
         lines.append(b"Idempotency-Key: %b\r\n" % key)
     if message.method != b"GET":
-        lines.append(b"Content-Length: %d\r\n" % message.size)
+        lines.append(b"Content-Length: %d\r\n" % message.body_bytes)
     if b"content-type" in headers:
         lines.append(b"Content-Type: %b\r\n" % headers[b"content-type"])
     lines += _rest(message)
@@ -484,7 +491,7 @@
     return b"".join(lines)
 
 
-def _rest(message: Message) -> list[bytes]:
+def _rest(message: RequestMessage) -> list[bytes]:
     """The client's own header lines, but for those that it says are for this connection only."""
     assert isinstance(message, _TenantMessage)
     named = frozenset(
@@ -502,10 +509,10 @@
     ]
 
 
-class TenantServer(Server[TenantConnection]):
+class TenantServer(Listener[TenantConnection]):
     """Accepts clients for all tenants; when descriptors run out, whoever holds more than its part gives."""
 
-    connection = TenantConnection
+    connection_type = TenantConnection
 
     def __init__(self, service: Tenants, loop: asyncio.AbstractEventLoop, sockets: int) -> None:
         self.service = service
@@ -517,7 +524,7 @@
         service.disown = self.disown
         super().__init__(cast(Any, service), loop, sockets)
 
-    def _read_terms(self) -> None:
+    def _make_request_rules(self) -> None:
         """Each tenant has its own."""
 
     def wanted(self) -> frozenset[bytes]:
@@ -546,16 +553,16 @@
             if self._deferred:
                 self.loop.call_soon(self._go_on)
 
-    def opened(self, connection: TenantConnection) -> None:
+    def on_connection_made(self, connection: TenantConnection) -> None:
         """Also charge the connection to UNHEARD, until a request names its tenant."""
         self.service.resources.clients.charge(UNHEARD, 1.0)
-        super().opened(connection)
+        super().on_connection_made(connection)
 
-    def closed(self, connection: TenantConnection) -> None:
+    def on_connection_lost(self, connection: TenantConnection) -> None:
         """Also give the connection back to its owner's share."""
         if connection in self.connections:
             self.service.resources.clients.give(connection.owner)
-        super().closed(connection)
+        super().on_connection_lost(connection)
 
     def disown(self, owner: str) -> None:
         """A tenant is gone: its idle connections are nobody's."""
@@ -568,39 +575,39 @@
         clients.give(connection.owner)
         clients.charge(owner, 1.0)
 
-    def waits(self, connection: TenantConnection) -> None:
+    def mark_idle(self, connection: TenantConnection) -> None:
         """Also list the connection among its owner's idle ones."""
-        super().waits(connection)
+        super().mark_idle(connection)
         self._idle.setdefault(connection.owner, {})[connection] = None
 
-    def owes(self, connection: TenantConnection) -> None:
+    def mark_busy(self, connection: TenantConnection) -> None:
         """Also take the connection off the list of its owner's idle ones."""
-        super().owes(connection)
+        super().mark_busy(connection)
         idle = self._idle.get(connection.owner)
         if idle is not None:
             idle.pop(connection, None)
             if not idle:
                 del self._idle[connection.owner]
 
-    def _room(self) -> bool:
+    def ensure_capacity(self) -> bool:
         """Whether there is a descriptor for one more, if need be of one that is owed nothing.
 
         Guards each tenant's connections against another's flood, silent or not: whoever holds most for its
         weight gives up the one idle for longest; those that never asked count as one more tenant.
         """
-        if self._free() or not self._asked():
+        if self._below_limit() or not self._client_waiting():
             return True
-        if self._leaving:
+        if self._evicted:
             return False  # its room comes with its close; nobody else need give any
         clients = self.service.resources.clients
         if not self._idle and not self._reclaim():
             return False
-        if self._free():
+        if self._below_limit():
             return True
         owner = max(self._idle, key=lambda o: clients.holds(o) / clients.entitled(o), default=None)
         if owner is None:
             return False
-        self._give_up(self._idle[owner])
+        self._evict_idle(self._idle[owner])
         return False
 
     def _reclaim(self) -> bool:
--- a/hillmux/hosted/service.py
+++ b/hillmux/hosted/service.py
@@ -19,7 +19,7 @@
 from hillmux.hosted.stats import Stats
 from hillmux.net.core import Pulse
 from hillmux.net.discovery import Listing
-from hillmux.net.requests import Terms
+from hillmux.net.requests import RequestRules
 from hillmux.tenants import model, router
 from hillmux.tenants.addresses import AddressBook
 from hillmux.tenants.registry import Change, Registry, changes_between
@@ -51,7 +51,7 @@
     core: TenantCore | None = None
     _stats: Stats | None = field(default=None)
     _plans: dict[str, str] | None = field(default=None)
-    _terms: Terms | None = field(default=None)
+    _terms: RequestRules | None = field(default=None)
 
     @property
     def stats(self) -> Stats:
@@ -68,10 +68,10 @@
         return self._plans
 
     @property
-    def terms(self) -> Terms:
+    def terms(self) -> RequestRules:
         """What its requests may name."""
         if self._terms is None:
-            self._terms = Terms(self.tenant.settings)
+            self._terms = RequestRules(self.tenant.settings)
         return self._terms
 
     def rest(self) -> None:
--- a/hillmux/net/core.py
+++ b/hillmux/net/core.py
@@ -12,10 +12,10 @@
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
 from hillmux.interface import AttemptResult, HostStatus, ListKind
-from hillmux.net.deadlines import TICK_S, Deadlines
+from hillmux.net.deadlines import TICK_S, TimingWheel
 from hillmux.net.discovery import Listing
 from hillmux.net.hosts import Attempt, Hosts
-from hillmux.net.http1 import Reply
+from hillmux.net.http1 import Response
 
 log = logging.getLogger(__name__)
 
@@ -52,16 +52,16 @@
         """Whether it has gone, though the loop has not read so yet; `behind`: it may be some time ago."""
 
 
-class FlowClient(Client, Protocol):
+class StreamingClient(Client, Protocol):
     """One who is passed a long answer as it comes."""
 
-    def begin(self, reply: Reply, source: Any) -> None:
+    def start_response(self, reply: Response, source: Any) -> None:
         """Begin it; the body follows from a connection to a host."""
 
-    def finish(self) -> None:
+    def finish_response(self) -> None:
         """It is whole."""
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """It cannot be had whole."""
 
 
@@ -82,7 +82,7 @@
     head: bytes  # request line and headers for the host, but for X-Deadline
     body: bytes
     pool: str = ""  # the hosts that may serve it
-    upload: Any = None  # the rest of its body, if that is still coming (net/flows.py)
+    streamed_body: Any = None  # the rest of its body, if that is still coming (net/flows.py)
 
     def __init__(
         self,
@@ -99,13 +99,13 @@
         head: bytes,
         body: bytes,
         pool: str = "",
-        upload: Any = None,
+        streamed_body: Any = None,
     ) -> None:
         self.wire_id, self.class_name = wire_id, class_name
         self.plan_name, self.customer = plan_name, customer
         self.time_left_ms, self.units, self.width, self.first = time_left_ms, units, width, first
         self.repeat, self.read_at, self.head, self.body = repeat, read_at, head, body
-        self.pool, self.upload = pool, upload
+        self.pool, self.streamed_body = pool, streamed_body
 
 
 class _Open:
@@ -185,7 +185,7 @@
         self._hosts: Hosts
         self._counter: CounterClient | None = None
         self._requests: dict[str, _Open] = {}
-        self._guards = Deadlines(loop, self._guard)
+        self._guards = TimingWheel(loop, self._guard)
         self._wire_ids: set[bytes] = set()  # of the requests that are open or have an attempt out
         self._serial = 0
         self._events: deque[api.Event] = deque()
@@ -237,7 +237,7 @@
         left_ms = order.time_left_ms - TRANSIT_MS - behind_ms - queued_ms
         request = _Open(rid, client, order, now + (left_ms - GUARD_MS) / 1000, self.settings.max_attempts)
         self._requests[rid] = request
-        if order.upload is None:
+        if order.streamed_body is None:
             request.guard = self._guards.add(request, max((left_ms - GUARD_MS) / 1000 - TICK_S, 0.0))
         else:
             self._uploads(request)
@@ -286,7 +286,7 @@
             self._post(api.ClientDisconnected(request.id))
 
     def _answer(
-        self, request: _Open | None, status: int, reply: Reply | None = None, retry_after_ms: float = 0.0
+        self, request: _Open | None, status: int, reply: Response | None = None, retry_after_ms: float = 0.0
     ) -> None:
         """The one final answer; a second one is dropped."""
         if request is None or request.client is None:
@@ -295,16 +295,18 @@
         self._close(request)
         if reply is None:
             if request.flow is not None:
-                cast(FlowClient, client).cut()  # it has begun: the client must see that it is not whole
+                cast(
+                    StreamingClient, client
+                ).abort_response()  # it has begun: the client must see that it is not whole
             else:
                 client.answer(status, retry_after_ms=retry_after_ms)
         else:
             self._pass_on(client, reply)
 
-    def _pass_on(self, client: Client, reply: Reply) -> None:
+    def _pass_on(self, client: Client, reply: Response) -> None:
         """A host's good answer goes to the client."""
-        if reply.flowed:
-            cast(FlowClient, client).finish()
+        if reply.streamed:
+            cast(StreamingClient, client).finish_response()
         else:
             client.answer(reply.status, reply.body, reply.headers.get(b"content-type", b""))
 
@@ -342,7 +344,7 @@
             or request.client is None
             or left_s <= 0
             or number >= request.tries
-            or (request.order.upload is not None and not request.order.upload.again())
+            or (request.order.streamed_body is not None and not request.order.streamed_body.can_replay())
         ):
             if request is not None:
                 request.attempts.append(None)
@@ -364,9 +366,9 @@
             act.request_id, number, act.host, order.head, order.body, now, now + act.delivery_window_ms / 1000
         )
         attempt.timeout_s = wait_s
-        if order.upload is not None:
-            attempt.upload = order.upload
-            wait_s = wait_s if order.upload.whole else left_s
+        if order.streamed_body is not None:
+            attempt.streamed_body = order.streamed_body
+            wait_s = wait_s if order.streamed_body.complete else left_s
         request.attempts.append(attempt)
         request.out += 1
         self._hosts.send(attempt, max(wait_s, 0.0))
@@ -381,22 +383,22 @@
         now = time.monotonic()
         return now < request.end_at and not request.client.has_left(self._pulse.behind_ms(now) > 0)
 
-    def _ended(self, attempt: Attempt, result: AttemptResult, reply: Reply | None) -> None:
+    def _ended(self, attempt: Attempt, result: AttemptResult, reply: Response | None) -> None:
         request = self._requests[attempt.request]
         request.out -= 1
         # What lay unread while we stalled is not the host's latency.
         now = time.monotonic()
         took = (now - attempt.sent_at) * 1000
         if reply is not None:
-            if reply.came_at:  # one that comes in pieces tells of its path, not of the host's load
-                took -= (now - reply.came_at) * 1000
+            if reply.first_byte_at:  # one that comes in pieces tells of its path, not of the host's load
+                took -= (now - reply.first_byte_at) * 1000
             behind_ms = self._pulse.behind_ms(now)
             took = max(took - behind_ms, 0.0)
             if behind_ms > OLD_LIST_MS:
                 self._hold()
         units = 0.0
         if result == AttemptResult.OK and reply is not None:
-            units = reply.amount(b"billed-units", self.settings.max_request_units)
+            units = reply.positive_number(b"billed-units", self.settings.max_request_units)
             self._answer(request, reply.status, reply)
         elif request.flow is attempt:
             self._answer(request, 502)
--- a/hillmux/net/counter.py
+++ b/hillmux/net/counter.py
@@ -10,8 +10,8 @@
 
 from hillmux import interface as api
 from hillmux.interface import AttemptResult
-from hillmux.net.http1 import Reply, ReplyProtocol, number
-from hillmux.net.lingering_close import unread
+from hillmux.net.http1 import Response, ResponseProtocol, parse_decimal
+from hillmux.net.lingering_close import has_unread_input
 
 CONNECTIONS: Final = 4  # a slow part of the counter holds up what is written behind it on the same connection
 DIAL_S: Final = 0.25
@@ -163,9 +163,13 @@
 
         Guards the quotas: a call that crosses the counter's close is cut, and may have been added or not.
         """
-        if not self._calls and self._loop.time() - self._heard_at > IDLE_S and unread(connection.transport):
+        if (
+            not self._calls
+            and self._loop.time() - self._heard_at > IDLE_S
+            and has_unread_input(connection.transport)
+        ):
             self._connection = None
-            connection.drop()
+            connection.abort()
 
     def load(self) -> int:
         """Calls out, those on a connection that is not up yet counting for more."""
@@ -226,7 +230,7 @@
     def _dial_ended(self, connection: _Connection, task: asyncio.Task[Any]) -> None:
         failed = task.cancelled() or task.exception() is not None
         if failed:
-            connection.called_off()
+            connection.on_dial_failed()
         if task is self._dial and failed:
             self._dial = None
             self._stop_dial_timer()
@@ -242,7 +246,7 @@
         self._stop_dial_timer()
         self._connection = connection
         if self._retired:
-            connection.drop()
+            connection.abort()
             return
         # A call that has run out while it waited was reported as not added: it must not be written now.
         self._calls = deque(call for call in self._calls if not call.done)
@@ -273,12 +277,12 @@
         if left_s > 0:
             self._check_timer = self._loop.call_later(left_s, self._check)
         else:
-            self._connection.drop()
+            self._connection.abort()
 
-    def replied(self, reply: Reply, reusable: bool) -> None:
+    def replied(self, reply: Response, reusable: bool) -> None:
         """The answer to the oldest call on this connection."""
         self._failures, self._heard_at = 0, self._loop.time()
-        total = number(reply.body.strip()) if reply.status == 200 else None
+        total = parse_decimal(reply.body.strip()) if reply.status == 200 else None
         if total is None and reply.status not in NOTHING_ADDED:
             # Guards the totals: what answers without a number has added, but can be trusted with no more.
             self.spoilt()
@@ -298,7 +302,7 @@
 
     def _drop(self) -> None:
         if self._connection is not None:
-            self._connection.drop()
+            self._connection.abort()
 
     def lost(self, connection: _Connection) -> None:
         """A connection is gone."""
@@ -333,7 +337,7 @@
     return f"{amount:.6f}".rstrip("0").rstrip(".")
 
 
-class _Connection(ReplyProtocol):
+class _Connection(ResponseProtocol):
     """A connection to the counter; what happens on it is told to its slot."""
 
     def __init__(self, slot: _Slot) -> None:
@@ -350,14 +354,14 @@
         super().resume_writing()
         self._slot.flushed()
 
-    def replied(self, reply: Reply, reusable: bool) -> None:
+    def on_response(self, reply: Response, reusable: bool) -> None:
         """An answer came whole; `reusable`: the connection may be written on again."""
         self._slot.replied(reply, reusable)
 
-    def spoilt(self) -> None:
+    def on_malformed_response(self) -> None:
         """What came cannot be read as an answer."""
         self._slot.spoilt()
 
-    def lost(self) -> None:
+    def on_connection_lost(self) -> None:
         """The connection is gone."""
         self._slot.lost(self)
--- a/hillmux/net/deadlines.py
+++ b/hillmux/net/deadlines.py
@@ -16,18 +16,18 @@
 T = TypeVar("T")
 
 TICK_S: Final = 0.004  # finer would keep more slots: one for each tick up to the farthest deadline
-AT_ONCE: Final = 64  # deadlines told of in one turn of the loop
+MAX_EXPIRED_PER_TURN: Final = 64  # deadlines told of in one turn of the loop
 
 
-class Deadlines(Generic[T]):
+class TimingWheel(Generic[T]):
     """Calls `due` with each thing that was added and not cancelled when its time has come."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, due: Callable[[T], None]) -> None:
-        self._loop, self._due = loop, due
+        self._loop, self._on_expired = loop, due
         self._slots: dict[int, dict[T, None]] = {}
-        self._numbers: list[int] = []  # a heap of the slots' keys
-        self._handle: asyncio.TimerHandle | None = None
-        self._wakes_at = 0  # the slot for which the loop wakes us, while there is a handle
+        self._slot_numbers: list[int] = []  # a heap of the slots' keys
+        self._wakeup: asyncio.TimerHandle | None = None
+        self._wakeup_slot = 0  # the slot for which the loop wakes us, while there is a handle
 
     def add(self, thing: T, in_s: float) -> int:
         """Its slot, by which it may be cancelled; the thing may stand in one slot once."""
@@ -35,9 +35,9 @@
         slot = self._slots.get(number)
         if slot is None:
             slot = self._slots[number] = {}
-            heappush(self._numbers, number)
+            heappush(self._slot_numbers, number)
         slot[thing] = None
-        self._see_to(number)
+        self._schedule_wakeup(number)
         return number
 
     def cancel(self, thing: T, number: int) -> None:
@@ -48,41 +48,41 @@
 
     def stop(self) -> None:
         """Tell of nothing any more."""
-        if self._handle is not None:
-            self._handle.cancel()
+        if self._wakeup is not None:
+            self._wakeup.cancel()
         self._slots.clear()
-        self._numbers.clear()
+        self._slot_numbers.clear()
 
-    def _see_to(self, number: int) -> None:
+    def _schedule_wakeup(self, number: int) -> None:
         """Have the loop wake us for a slot, if it does not do so by then."""
-        if self._handle is not None and number >= self._wakes_at:
+        if self._wakeup is not None and number >= self._wakeup_slot:
             return
-        if self._handle is not None:
-            self._handle.cancel()
-        self._wakes_at = number
-        self._handle = self._loop.call_later(max(number * TICK_S - self._loop.time(), 0.0), self._tick)
+        if self._wakeup is not None:
+            self._wakeup.cancel()
+        self._wakeup_slot = number
+        self._wakeup = self._loop.call_later(max(number * TICK_S - self._loop.time(), 0.0), self._expire)
 
-    def _tick(self) -> None:
+    def _expire(self) -> None:
         """Tell of what is due.
 
         Danger: after a stall all is due at once, and answers lie unread that would have cancelled most of it.
         So only some are told of before the loop reads its sockets again.
         """
-        self._handle = None
-        now, left = int(self._loop.time() / TICK_S), AT_ONCE
+        self._wakeup = None
+        now, left = int(self._loop.time() / TICK_S), MAX_EXPIRED_PER_TURN
         try:
-            while self._numbers:
-                number = self._numbers[0]
+            while self._slot_numbers:
+                number = self._slot_numbers[0]
                 slot = self._slots[number]
                 if slot and (number > now or not left):
                     break
                 if not slot:
-                    del self._slots[heappop(self._numbers)]
+                    del self._slots[heappop(self._slot_numbers)]
                     continue
                 thing = next(iter(slot))
                 del slot[thing]
                 left -= 1
-                self._due(thing)
+                self._on_expired(thing)
         finally:  # what `due` raises goes to the loop's handler, the others' deadlines hold
-            if self._numbers:
-                self._see_to(self._numbers[0])
+            if self._slot_numbers:
+                self._schedule_wakeup(self._slot_numbers[0])
--- a/hillmux/net/discovery.py
+++ b/hillmux/net/discovery.py
@@ -12,7 +12,7 @@
 
 from hillmux import interface as api
 from hillmux.interface import HostStatus
-from hillmux.net.http1 import LONGEST_LIST, Reply, ReplyProtocol
+from hillmux.net.http1 import MAX_ENDPOINT_LIST_BYTES, Response, ResponseProtocol
 
 log = logging.getLogger(__name__)
 
@@ -125,7 +125,7 @@
         if self._dial is not None:
             self._dial.cancel()
         if self._connection is not None:
-            self._connection.drop()
+            self._connection.abort()
 
     def move(self, address: tuple[str, int]) -> None:
         """Watch at another address, from the whole list on; the list is kept until that has come."""
@@ -135,7 +135,7 @@
         if dial is not None:
             dial.cancel()
         if connection is not None:
-            connection.drop()
+            connection.abort()
         self._address, self._generation, self._failures = address, None, 0
         self._ask()
 
@@ -161,7 +161,7 @@
         failed = task.cancelled() or task.exception() is not None
         if task is not self._dial:  # the watch has moved on meanwhile
             if not failed:
-                task.result()[1].drop()
+                task.result()[1].abort()
             return
         self._dial = None
         if failed:
@@ -199,9 +199,9 @@
             self._dial.cancel()
         elif self._connection is not None:
             self._slow = not self._slow
-            self._connection.drop()
+            self._connection.abort()
 
-    def replied(self, connection: _Watch, reply: Reply, reusable: bool) -> None:
+    def replied(self, connection: _Watch, reply: Response, reusable: bool) -> None:
         """An answer: hand it on and ask for what comes next at once."""
         if connection is not self._connection:
             return
@@ -209,7 +209,7 @@
             # Turned away: nothing was missed, so what changed is enough the next time, too. A whole list is
             # the dearest call there is, and discovery is short of room already.
             log.warning("discovery: status %d, the list is kept", reply.status)
-            connection.drop()
+            connection.abort()
             return
         try:
             listing = parse_listing(json.loads(reply.body))
@@ -218,13 +218,13 @@
         except ValueError as error:
             log.warning("discovery: bad answer, the list is kept: %s", error)
             self._generation = None  # whatever was missed comes with the whole list
-            connection.drop()
+            connection.abort()
             return
         self._failures, self._generation, self._slow = 0, listing.generation, False
         self.catching_up = self._stalled()
         if not reusable:
             self._connection = None
-            connection.drop()
+            connection.abort()
         self._ask()  # before the list is acted on: a late watch is a new one
         self._told(listing)
 
@@ -245,21 +245,21 @@
         self._timer = self._loop.call_later(wait, self._ask)
 
 
-class _Watch(ReplyProtocol):
+class _Watch(ResponseProtocol):
     """The connection to the agent."""
 
     def __init__(self, owner: Discovery) -> None:
-        super().__init__(LONGEST_LIST)
+        super().__init__(MAX_ENDPOINT_LIST_BYTES)
         self._owner = owner
 
-    def replied(self, reply: Reply, reusable: bool) -> None:
+    def on_response(self, reply: Response, reusable: bool) -> None:
         """Hand an answer to the watch's owner."""
         self._owner.replied(self, reply, reusable)
 
-    def spoilt(self) -> None:
+    def on_malformed_response(self) -> None:
         """Log that an answer could not be read; `lost` follows."""
         log.warning("discovery: an answer that cannot be read, the list is kept")
 
-    def lost(self) -> None:
+    def on_connection_lost(self) -> None:
         """Tell the watch's owner that the connection is gone."""
         self._owner.lost(self)
--- a/hillmux/net/hosts.py
+++ b/hillmux/net/hosts.py
@@ -19,8 +19,8 @@
 from typing import Any, ClassVar, Final, Protocol
 
 from hillmux.interface import AttemptResult
-from hillmux.net.deadlines import Deadlines
-from hillmux.net.http1 import Reply, ReplyProtocol
+from hillmux.net.deadlines import TimingWheel
+from hillmux.net.http1 import Response, ResponseProtocol
 
 # A turn of the loop or two, in which what has arrived is read before a time-out counts
 GRACE_S: Final = 0.002
@@ -49,7 +49,7 @@
         "timer",
         "dial_timer",
         "done",
-        "upload",
+        "streamed_body",
         "timeout_s",
         "coming",
     )
@@ -75,7 +75,7 @@
         self.dial_timer: asyncio.TimerHandle | None = None
         self.done = False
         # Of what is passed on as it comes:
-        self.upload: Upload | None = None  # the rest of its body
+        self.streamed_body: StreamedRequestBody | None = None  # the rest of its body
         self.timeout_s = 0.0  # from the decision on, or from the body's last byte
 
     def payload(self, now: float) -> bytes:
@@ -84,11 +84,11 @@
         return b"%bX-Deadline: %dm\r\n\r\n%b" % (self.head, wait_ms, self.body)
 
 
-class Upload(Protocol):
+class StreamedRequestBody(Protocol):
     """A body that is still coming."""
 
-    whole: bool  # its last byte has come
-    source: Any  # the client's connection, which can be told to `hold` it
+    complete: bool  # its last byte has come
+    client: Any  # the client's connection, which can be told to `hold` it
 
     def attach(self, connection: Any) -> None:
         """Write what has come, and what comes, to a connection."""
@@ -117,7 +117,7 @@
         most: int,
         dial_ms: float,
         idle_ms: float,
-        ended: Callable[[Attempt, AttemptResult, Reply | None], None],
+        ended: Callable[[Attempt, AttemptResult, Response | None], None],
         wanted: Callable[[Attempt], bool] = lambda attempt: True,
     ) -> None:
         """`wanted` is asked right before an attempt's first byte: whether somebody still waits for it."""
@@ -129,7 +129,7 @@
         self._connections: set[_Connection] = set()
         self._idle: dict[_Connection, None] = {}  # of all hosts, the longest idle first
         self._dials = 0
-        self._timeouts = Deadlines(loop, self._overdue)
+        self._timeouts = TimingWheel(loop, self._overdue)
         self._stopped = False
         self._flows: dict[Attempt, Any] = {}  # whose answers are being passed on as they come
 
@@ -141,7 +141,7 @@
         """Close all connections."""
         self._stopped = True
         for connection in list(self._connections):
-            connection.drop()
+            connection.abort()
 
     def update(
         self, addresses: dict[str, tuple[str, int]], gone: set[str], draining: frozenset[str] = frozenset()
@@ -257,7 +257,7 @@
     def _end_idle(self, connection: _Connection) -> None:
         del self._idle[connection]
         connection.host.idle.remove(connection)
-        connection.drop()
+        connection.abort()
 
     def _dialled(self, attempt: Attempt, host: _Host, task: asyncio.Task[Any]) -> None:
         self._dial_over()
@@ -267,7 +267,7 @@
         error = None if task.cancelled() else task.exception()
         coming, attempt.coming = attempt.coming, None
         if coming is not None and (task.cancelled() or error is not None):
-            coming.called_off()
+            coming.on_dial_failed()
         if isinstance(error, OSError) and error.errno in OWN_BOUNDS:
             # Guards the hosts' good name: the last descriptor is our trouble, and a rested host is lost work.
             self._end(attempt, AttemptResult.LOCAL_LIMIT)
@@ -284,7 +284,7 @@
 
     def _up(self, attempt: Attempt, host: _Host, connection: _Connection) -> None:
         if attempt.done or self._stopped:
-            connection.drop()
+            connection.abort()
         elif connection.transport.is_closing():  # it broke before this turn of the loop
             self._end(attempt, AttemptResult.INCOMPLETE_REQUEST)
         elif not self._gate(attempt, host):
@@ -301,7 +301,7 @@
             host.idle.append(connection)
             self._idle[connection] = None
         else:
-            connection.drop()
+            connection.abort()
 
     def _overdue(self, attempt: Attempt) -> None:
         # Guards against our own stall: the answer may be here and unread. Timers run before sockets are read,
@@ -341,11 +341,11 @@
             attempt.connection.attempt = None
             attempt.connection.give_up()
 
-    def _end(self, attempt: Attempt, result: AttemptResult, reply: Reply | None = None) -> None:
+    def _end(self, attempt: Attempt, result: AttemptResult, reply: Response | None = None) -> None:
         if attempt.done:
             return
         attempt.done = True
-        if attempt.upload is not None or self._flows:
+        if attempt.streamed_body is not None or self._flows:
             self._end_flow(attempt)
         attempt.connection = None
         self._timeouts.cancel(attempt, attempt.slot)
@@ -373,19 +373,19 @@
             return
         if connection.unsent:
             self._end(attempt, AttemptResult.INCOMPLETE_REQUEST)
-        elif connection.kept and not connection.begun():
+        elif connection.kept and not connection.response_begun():
             # The freshest one kept was dead, and nobody had said so: the older ones are no better.
             self._close_idle(connection.host)
             self._end(attempt, AttemptResult.STALE_CONNECTION)
         else:
             self._end(attempt, AttemptResult.RESET)
 
-    def replied(self, connection: _Connection, attempt: Attempt, reply: Reply, reusable: bool) -> None:
+    def replied(self, connection: _Connection, attempt: Attempt, reply: Response, reusable: bool) -> None:
         """A whole answer: the connection is free again, the attempt is over."""
         if reusable and not connection.unsent:
             self._keep(connection)
         else:
-            connection.drop()
+            connection.abort()
         self._end(attempt, self.judge(reply), reply)
 
     def spoilt(self, connection: _Connection) -> None:
@@ -394,7 +394,7 @@
         if attempt is not None:
             self._end(attempt, AttemptResult.MALFORMED_RESPONSE)
 
-    def judge(self, reply: Reply) -> AttemptResult:
+    def judge(self, reply: Response) -> AttemptResult:
         """What a whole answer means for its attempt."""
         if reply.status == 200:
             return AttemptResult.OK
@@ -406,7 +406,7 @@
         idle, host.idle = host.idle, []
         for connection in idle:
             del self._idle[connection]
-            connection.drop()
+            connection.abort()
 
     def _sweep(self) -> None:
         # Guards against writing to a connection that the host is about to close: that ends as a reset, after
@@ -423,7 +423,7 @@
             self._end_idle(oldest)
 
 
-class _Connection(ReplyProtocol):
+class _Connection(ResponseProtocol):
     """One connection to a host; carries one attempt at a time."""
 
     def __init__(self, pool: Hosts, host: _Host) -> None:
@@ -440,12 +440,12 @@
         self.kept = self.idle_since > 0
         now = time.monotonic()
         self.write(attempt.payload(now))
-        if attempt.upload is not None:
-            self.upload(attempt)
+        if attempt.streamed_body is not None:
+            self.start_streamed_body(attempt)
         if self.unsent and attempt.valid_until < inf:
             self._loop.call_later(max(attempt.valid_until - now, 0.0), self._pool.expired, attempt)
 
-    def upload(self, attempt: Attempt) -> None:
+    def start_streamed_body(self, attempt: Attempt) -> None:
         """Write the rest of its body as it comes."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -468,24 +468,24 @@
                     own.shutdown(socket.SHUT_WR)
         except OSError:
             pass  # the host was quicker, or no descriptor is left: the attempt has to end all the same
-        self.drop()
+        self.abort()
 
     def quiet(self) -> bool:
         """Whether nothing has come that is still unread: data that would pass for the next answer, or the end
         of the connection, after which what is written may have run."""
         return not self.transport.is_closing() and not self._poll.poll(0)
 
-    def replied(self, reply: Reply, reusable: bool) -> None:
+    def on_response(self, reply: Response, reusable: bool) -> None:
         """Hand a whole answer to the pool, unless its attempt was given up."""
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
             self._pool.replied(self, attempt, reply, reusable)
 
-    def spoilt(self) -> None:
+    def on_malformed_response(self) -> None:
         """Tell the pool that what came cannot be read."""
         self._pool.spoilt(self)
 
-    def lost(self) -> None:
+    def on_connection_lost(self) -> None:
         """Tell the pool that the connection is gone."""
         self._pool.closed(self)
 
--- a/hillmux/net/http1.py
+++ b/hillmux/net/http1.py
@@ -14,37 +14,41 @@
 
 import httptools
 
-LONGEST_BODY: Final = 64 * 1024
-LONGEST_LIST: Final = 4 * 1024 * 1024
-LONGEST_FRAME: Final = 64 * 1024  # heads and interim answers of one answer
-CHUNK_LINES: Final = 16  # bytes of chunk lines for each byte of a body, at most: a chunk may hold one byte
-LONGEST_FLOW: Final = 64 * 1024 * 1024  # an answer that is passed on as it comes
-NUMBER: Final = re.compile(rb"-?[0-9]{1,15}(?:\.[0-9]{1,15})?(?:[eE][+-]?[0-9]{1,2})?")
-BLANKS: Final = b" \t"  # may stand beside a value (RFC 9110 section 5.5); the parser leaves those behind it
-NO_BODY: Final = frozenset((204, 304))
-NOT_UP: Final = cast(asyncio.Transport, None)  # in a transport's place until the connection is up
-
-
-class SpoiltError(Exception):
+MAX_BUFFERED_BODY_BYTES: Final = 64 * 1024
+MAX_ENDPOINT_LIST_BYTES: Final = 4 * 1024 * 1024
+MAX_FRAMING_BYTES: Final = 64 * 1024  # heads and interim answers of one answer
+MAX_CHUNK_OVERHEAD: Final = (
+    16  # bytes of chunk lines for each byte of a body, at most: a chunk may hold one byte
+)
+MAX_STREAMED_BODY_BYTES: Final = 64 * 1024 * 1024  # an answer that is passed on as it comes
+DECIMAL_NUMBER: Final = re.compile(rb"-?[0-9]{1,15}(?:\.[0-9]{1,15})?(?:[eE][+-]?[0-9]{1,2})?")
+OPTIONAL_WHITESPACE: Final = (
+    b" \t"  # may stand beside a value (RFC 9110 section 5.5); the parser leaves those behind it
+)
+BODILESS_STATUSES: Final = frozenset((204, 304))
+NOT_CONNECTED: Final = cast(asyncio.Transport, None)  # in a transport's place until the connection is up
+
+
+class MalformedResponseError(Exception):
     """What has come is no answer that can be passed on."""
 
 
-def number(text: bytes) -> float | None:
+def parse_decimal(text: bytes) -> float | None:
     """A decimal number as it stands on the wire; None where it is none. `float` reads more, such as `1_0`."""
-    return float(text) if NUMBER.fullmatch(text) else None
+    return float(text) if DECIMAL_NUMBER.fullmatch(text) else None
 
 
 @dataclass(slots=True, init=False)
-class Reply:
+class Response:
     """One whole answer."""
 
     status: int
     headers: dict[bytes, bytes]
     body: bytes
     keep_alive: bool
-    flowed: bool = False  # its body was passed on as it came
-    length: int | None = None  # of one that is passed on; None: not told
-    came_at: float = 0.0  # when its first bytes had come, by time.monotonic; 0: all came at once
+    streamed: bool = False  # its body was passed on as it came
+    content_length: int | None = None  # of one that is passed on; None: not told
+    first_byte_at: float = 0.0  # when its first bytes had come, by time.monotonic; 0: all came at once
 
     def __init__(
         self,
@@ -52,20 +56,20 @@
         headers: dict[bytes, bytes],
         body: bytes,
         keep_alive: bool,
-        flowed: bool = False,
-        length: int | None = None,
-        came_at: float = 0.0,
+        streamed: bool = False,
+        content_length: int | None = None,
+        first_byte_at: float = 0.0,
     ) -> None:
         self.status, self.headers, self.body, self.keep_alive = status, headers, body, keep_alive
-        self.flowed, self.length, self.came_at = flowed, length, came_at
+        self.streamed, self.content_length, self.first_byte_at = streamed, content_length, first_byte_at
 
-    def amount(self, name: bytes, most: float) -> float:
+    def positive_number(self, name: bytes, most: float) -> float:
         """A header's figure above 0; 0 where there is none, or none that can be believed."""
-        value = number(self.headers.get(name, b""))
+        value = parse_decimal(self.headers.get(name, b""))
         return value if value is not None and 0 < value <= most else 0.0
 
 
-class ReplyProtocol:
+class ResponseProtocol:
     """Parses the answers to what was written; a subclass says what they and a lost connection mean.
 
     An `asyncio.Protocol` by its methods, not by its base: compiled, a class with a Python base would keep its
@@ -76,71 +80,71 @@
     answer that ends where its connection is closed in good order (RFC 9112 section 6.3, rule 8).
     """
 
-    flows = False
+    accepts_streams = False
 
-    def __init__(self, longest: int = LONGEST_BODY) -> None:
-        self.transport = NOT_UP
-        self._up = False
+    def __init__(self, longest: int = MAX_BUFFERED_BODY_BYTES) -> None:
+        self.transport = NOT_CONNECTED
+        self._connected = False
         self.unsent = False  # part of what we wrote has not left this process
         self._parser = httptools.HttpResponseParser(self)
-        self._longest = longest
-        self._due = 0  # answers that are still to come
-        self._taken = 0  # bytes of the answer that is coming
-        self._whole: list[Reply] = []
+        self._max_body_bytes = longest
+        self._responses_due = 0  # answers that are still to come
+        self._received_bytes = 0  # bytes of the answer that is coming
+        self._complete_responses: list[Response] = []
         self._reset()
 
     def _reset(self) -> None:
         self._headers: dict[bytes, bytes] = {}
         self._body: list[bytes] = []
-        self._size = 0
-        self._begun = False
-        self._odd = False  # any of these was set
-        self._flowing = self._to_end = self._in_trailers = False
-        self._length: int | None = None
-        self._came_at = 0.0
-
-    def _next(self) -> None:
+        self._body_bytes = 0
+        self._response_begun = False
+        self._needs_reset = False  # any of these was set
+        self._streaming = self._ends_with_connection = self._in_trailers = False
+        self._content_length: int | None = None
+        self._first_byte_at = 0.0
+
+    def _prepare_next(self) -> None:
         """Make ready for the next answer; the ordinary one has touched little."""
-        if self._odd:
+        if self._needs_reset:
             self._reset()
             return
         self._headers = {}
         self._body = []
-        self._size = 0
-        self._begun = False
+        self._body_bytes = 0
+        self._response_begun = False
 
-    def replied(self, reply: Reply, reusable: bool) -> None:
+    def on_response(self, reply: Response, reusable: bool) -> None:
         """A whole answer to the oldest request; `reusable` if the connection may carry another."""
         raise NotImplementedError
 
-    def flow(self, reply: Reply) -> bool:
+    def on_stream_start(self, reply: Response) -> bool:
         """The head of a long answer; whether it may be passed on, else the connection is being dropped."""
         return False
 
-    def piece(self, data: bytes) -> None:
+    def on_stream_data(self, data: bytes) -> None:
         """More of an answer that is passed on."""
 
-    def spoilt(self) -> None:
+    def on_malformed_response(self) -> None:
         """What came cannot be read while answers are due; the connection is being dropped."""
         raise NotImplementedError
 
-    def lost(self) -> None:
+    def on_connection_lost(self) -> None:
         """The connection is gone."""
         raise NotImplementedError
 
-    def begun(self) -> bool:
+    def response_begun(self) -> bool:
         """Whether any byte of the answer that is due has come."""
-        return self._taken > 0
+        return self._received_bytes > 0
 
     def write(self, data: bytes) -> None:
         """Write one request, and know whether its last byte has left this process."""
-        self._due += 1
+        self._responses_due += 1
         self.transport.write(data)
         self.unsent = self.transport.get_write_buffer_size() > 0
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """End the connection at once."""
-        if self.transport is not NOT_UP:
+        if self.transport is not NOT_CONNECTED:
             self.transport.abort()
 
     def as_protocol(self) -> asyncio.Protocol:
@@ -152,7 +156,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport; its write buffer is set so that `resume_writing` means that all has left."""
         self.transport = cast(asyncio.Transport, transport)
-        self._up = True
+        self._connected = True
         self.transport.set_write_buffer_limits(high=0)  # so that resume_writing tells of the last byte
 
     def pause_writing(self) -> None:
@@ -167,44 +171,47 @@
         if self.transport.is_closing():
             return
         try:
-            if self._due:
-                self._taken += len(data)
+            if self._responses_due:
+                self._received_bytes += len(data)
                 self._parser.feed_data(data)
-            sound = self._due > 0 and self._taken <= LONGEST_FRAME + (CHUNK_LINES + 1) * self._size
+            sound = (
+                self._responses_due > 0
+                and self._received_bytes <= MAX_FRAMING_BYTES + (MAX_CHUNK_OVERHEAD + 1) * self._body_bytes
+            )
         except httptools.HttpParserError:
             sound = False
         # Guards against an answer that was not asked for: a second copy or noise behind a good one would be
         # read as the answer to what is written next. So answers are handed on only when all that came with
         # them has been looked at.
-        replies, self._whole = self._whole, []
-        asked = replies[: self._due]
-        self._due -= len(asked)
-        if len(replies) > len(asked) or (self._begun and not self._due):
+        replies, self._complete_responses = self._complete_responses, []
+        asked = replies[: self._responses_due]
+        self._responses_due -= len(asked)
+        if len(replies) > len(asked) or (self._response_begun and not self._responses_due):
             sound = False
         for reply in asked:
-            self.replied(reply, sound and reply.keep_alive)
+            self.on_response(reply, sound and reply.keep_alive)
         if not sound:
-            if self._due:
-                self.spoilt()
-            self.drop()
-        elif self._taken and not self._came_at and self._due:
-            self._came_at, self._odd = time.monotonic(), True
+            if self._responses_due:
+                self.on_malformed_response()
+            self.abort()
+        elif self._received_bytes and not self._first_byte_at and self._responses_due:
+            self._first_byte_at, self._needs_reset = time.monotonic(), True
 
     def eof_received(self) -> None:
         """End an answer that is framed by the connection's close, if one is due."""
-        if self._to_end and self._due == 1 and not self.transport.is_closing():
-            self._due = 0
-            reply = self._reply(False)
+        if self._ends_with_connection and self._responses_due == 1 and not self.transport.is_closing():
+            self._responses_due = 0
+            reply = self._make_response(False)
             self._reset()
-            self.replied(reply, False)
+            self.on_response(reply, False)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Tell the subclass by `lost`, once."""
-        if self._up:
-            self._up = False
-            self.lost()
+        if self._connected:
+            self._connected = False
+            self.on_connection_lost()
 
-    def called_off(self) -> None:
+    def on_dial_failed(self) -> None:
         """Its dial failed or was cancelled.
 
         Guards the descriptors' account: when that comes in the turn of the loop in which the connection came
@@ -216,41 +223,45 @@
 
     def on_message_begin(self) -> None:
         """An answer begins, be it an interim one."""
-        self._begun = True
+        self._response_begun = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header under its name in lower case; SpoiltError on a second Content-Length."""
+        """Keep a header under its name in lower case; MalformedResponseError on a second Content-Length."""
         name = name.lower()
         if self._in_trailers:
             return  # they come too late to say anything of the answer
         if name == b"content-length" and name in self._headers:
-            raise SpoiltError("two lengths: one of them cuts the answer")
-        self._headers[name] = value.strip(BLANKS)
+            raise MalformedResponseError("two lengths: one of them cuts the answer")
+        self._headers[name] = value.strip(OPTIONAL_WHITESPACE)
 
     def on_headers_complete(self) -> None:
-        """Decide how the body is framed; SpoiltError if that is unclear or the body is too long."""
+        """Decide how the body is framed.
+
+        Raises:
+            MalformedResponseError: the framing is ambiguous, or the body is too long.
+        """
         length, coding = self._headers.get(b"content-length"), self._headers.get(b"transfer-encoding")
         status = self._parser.get_status_code()
-        if status < 200 or status in NO_BODY:
+        if status < 200 or status in BODILESS_STATUSES:
             return
         if coding is not None and (length is not None or coding.strip().lower() != b"chunked"):
-            raise SpoiltError("framing")
+            raise MalformedResponseError("framing")
         if coding is not None:
-            self._in_trailers = self._odd = True  # the next header stands behind the body
+            self._in_trailers = self._needs_reset = True  # the next header stands behind the body
             return
-        if length is None and self.flows and self._closes():
-            self._to_end = self._odd = True
+        if length is None and self.accepts_streams and self._announces_close():
+            self._ends_with_connection = self._needs_reset = True
             return
         # Guards against a cut answer: one with neither length nor chunks ends where its connection breaks.
         if length is None or not length.isdigit():
-            raise SpoiltError("no length")
-        if int(length) > self._longest:
-            if not self.flows or int(length) > LONGEST_FLOW:
-                raise SpoiltError("more than may be passed on")
-            self._length = int(length)
-            self._flow()
-
-    def _closes(self) -> bool:
+            raise MalformedResponseError("no length")
+        if int(length) > self._max_body_bytes:
+            if not self.accepts_streams or int(length) > MAX_STREAMED_BODY_BYTES:
+                raise MalformedResponseError("more than may be passed on")
+            self._content_length = int(length)
+            self._start_stream()
+
+    def _announces_close(self) -> bool:
         """Whether the head says that the connection ends with the answer.
 
         Guards against waiting for a close that never comes, behind a head that lost its length on the way.
@@ -260,49 +271,53 @@
             or self._parser.get_http_version() == "1.0"
         )
 
-    def _flow(self) -> None:
+    def _start_stream(self) -> None:
         """Begin to pass the answer on."""
-        self._flowing = self._odd = True
-        if not self.flow(self._reply(False)):
-            raise SpoiltError("it may not be passed on")
+        self._streaming = self._needs_reset = True
+        if not self.on_stream_start(self._make_response(False)):
+            raise MalformedResponseError("it may not be passed on")
 
-    def _reply(self, keep_alive: bool) -> Reply:
-        body = b"" if self._flowing else b"".join(self._body)
-        return Reply(
+    def _make_response(self, keep_alive: bool) -> Response:
+        body = b"" if self._streaming else b"".join(self._body)
+        return Response(
             self._parser.get_status_code(),
             self._headers,
             body,
             keep_alive,
-            self._flowing,
-            self._length,
-            self._came_at,
+            self._streaming,
+            self._content_length,
+            self._first_byte_at,
         )
 
     def on_body(self, data: bytes) -> None:
-        """Gather the body or pass it on; SpoiltError beyond `longest` bytes, or LONGEST_FLOW if it flows."""
-        self._size += len(data)
-        if self._flowing:
-            if self._size > LONGEST_FLOW:
-                raise SpoiltError("too long")
-            self.piece(data)
-        elif self._size <= self._longest:
+        """Buffer the body, or forward it where the response is streamed.
+
+        Raises:
+            MalformedResponseError: the body exceeds its limit.
+        """
+        self._body_bytes += len(data)
+        if self._streaming:
+            if self._body_bytes > MAX_STREAMED_BODY_BYTES:
+                raise MalformedResponseError("too long")
+            self.on_stream_data(data)
+        elif self._body_bytes <= self._max_body_bytes:
             self._body.append(data)
-        elif self.flows:
-            self._flow()
-            self.piece(b"".join(self._body) + data)
+        elif self.accepts_streams:
+            self._start_stream()
+            self.on_stream_data(b"".join(self._body) + data)
             self._body.clear()
         else:
-            raise SpoiltError("too long")
+            raise MalformedResponseError("too long")
 
     def on_message_complete(self) -> None:
         """An answer is whole; an interim one (1xx) is left out."""
         status = self._parser.get_status_code()
         if status >= 200:  # interim answers are not the answer, but count for its bound
-            self._taken = 0
+            self._received_bytes = 0
             keep_alive = self._parser.should_keep_alive()
-            self._whole.append(
-                self._reply(keep_alive)
-                if self._odd
-                else Reply(status, self._headers, b"".join(self._body), keep_alive)
+            self._complete_responses.append(
+                self._make_response(keep_alive)
+                if self._needs_reset
+                else Response(status, self._headers, b"".join(self._body), keep_alive)
             )
-        self._next()
+        self._prepare_next()
--- a/hillmux/net/lingering_close.py
+++ b/hillmux/net/lingering_close.py
@@ -17,11 +17,13 @@
 import select
 from typing import Final, Protocol
 
-LINGER_S: Final = 1.0  # how long after the shut the client is waited for
-LINGER_BYTES: Final = 1024 * 1024  # how much is read and forgotten meanwhile
-HANG_UP_S: Final = 0.04  # spacing of the looks: an attempt for a client that left 0.1 s ago breaks a rule
-HANG_UP: Final = getattr(select, "POLLRDHUP", 0)  # where the system has none, a reset alone shows
-GONE: Final = HANG_UP | select.POLLHUP | select.POLLERR
+LINGER_TIMEOUT_S: Final = 1.0  # how long after the shut the client is waited for
+MAX_LINGER_BYTES: Final = 1024 * 1024  # how much is read and forgotten meanwhile
+HANG_UP_CHECK_INTERVAL_S: Final = (
+    0.04  # spacing of the looks: an attempt for a client that left 0.1 s ago breaks a rule
+)
+PEER_SHUTDOWN_EVENT: Final = getattr(select, "POLLRDHUP", 0)  # where the system has none, a reset alone shows
+HANG_UP_EVENTS: Final = PEER_SHUTDOWN_EVENT | select.POLLHUP | select.POLLERR
 
 
 def _poll(transport: asyncio.Transport, events: int) -> int:
@@ -31,50 +33,50 @@
     return found[0][1] if found else 0
 
 
-def unread(transport: asyncio.Transport) -> bool:
+def has_unread_input(transport: asyncio.Transport) -> bool:
     """Whether anything has come, or the end has, that the loop has not read yet."""
     return not transport.is_closing() and _poll(transport, select.POLLIN) != 0
 
 
-def hung_up(transport: asyncio.Transport) -> bool:
+def peer_has_closed(transport: asyncio.Transport) -> bool:
     """Whether the other side has closed or reset, though something may lie unread before that."""
-    return not transport.is_closing() and _poll(transport, HANG_UP) & GONE != 0
+    return not transport.is_closing() and _poll(transport, PEER_SHUTDOWN_EVENT) & HANG_UP_EVENTS != 0
 
 
-class Deaf(Protocol):
+class PausedConnection(Protocol):
     """A connection that is not being read."""
 
     transport: asyncio.Transport
 
-    def hung_up(self) -> None:
+    def on_hang_up(self) -> None:
         """Its client has gone."""
 
 
-class HangUps:
+class HangUpDetector:
     """Looks after the connections that are not being read."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self._deaf: dict[Deaf, None] = {}
-        self._handle: asyncio.TimerHandle | None = None
+        self._connections: dict[PausedConnection, None] = {}
+        self._timer: asyncio.TimerHandle | None = None
 
-    def watch(self, connection: Deaf) -> None:
+    def watch(self, connection: PausedConnection) -> None:
         """It is read no more for now."""
-        self._deaf[connection] = None
-        if self._handle is None:
-            self._handle = self._loop.call_later(HANG_UP_S, self._look)
+        self._connections[connection] = None
+        if self._timer is None:
+            self._timer = self._loop.call_later(HANG_UP_CHECK_INTERVAL_S, self._check)
 
-    def forget(self, connection: Deaf) -> None:
+    def forget(self, connection: PausedConnection) -> None:
         """It is read again, or gone."""
-        self._deaf.pop(connection, None)
+        self._connections.pop(connection, None)
 
-    def _look(self) -> None:
-        self._handle = None
-        for connection in list(self._deaf):
+    def _check(self) -> None:
+        self._timer = None
+        for connection in list(self._connections):
             if connection.transport.is_closing():
-                del self._deaf[connection]
-            elif hung_up(connection.transport):
-                del self._deaf[connection]
-                connection.hung_up()
-        if self._deaf:
-            self._handle = self._loop.call_later(HANG_UP_S, self._look)
+                del self._connections[connection]
+            elif peer_has_closed(connection.transport):
+                del self._connections[connection]
+                connection.on_hang_up()
+        if self._connections:
+            self._timer = self._loop.call_later(HANG_UP_CHECK_INTERVAL_S, self._check)
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -15,14 +15,14 @@
 from hillmux.hot_restart.service import HandOver, Heir, TakeOver
 from hillmux.hot_restart.state_codec import StateError, export, restore
 from hillmux.interface import ListKind
-from hillmux.net.clients import Server
+from hillmux.net.clients import Listener
 from hillmux.net.config import Config
 from hillmux.net.core import _Open
 from hillmux.net.discovery import Listing
 from hillmux.net.hosts import Attempt
-from hillmux.net.http1 import Reply
+from hillmux.net.http1 import Response
 from hillmux.net.platform_gateway import Node
-from hillmux.net.streaming import FlowHostConnection, FlowHosts
+from hillmux.net.streaming import StreamingUpstreamConnection, StreamingUpstreamPool
 
 log = logging.getLogger(__name__)
 
@@ -31,29 +31,29 @@
 LOOK_S = 0.2  # spacing of the looks at the hosts out by hand: a call to another process binds within a second
 
 
-class _CountedConnection(FlowHostConnection):
+class _CountedConnection(StreamingUpstreamConnection):
     """Tells its pool when an attempt's last byte has left."""
 
     def begin(self, attempt: Attempt) -> None:
         """Write an attempt's request, and report it if all of it has left at once."""
         super().begin(attempt)
-        if not self.unsent and attempt.upload is None:  # one that flows tells by itself
-            self._flow_pool.written(attempt)
+        if not self.unsent and attempt.streamed_body is None:  # one that flows tells by itself
+            self._streaming_pool.on_body_written(attempt)
 
     def resume_writing(self) -> None:
         """All that was written has left: report the attempt."""
         super().resume_writing()
         if self.attempt is not None and not self.unsent:
-            self._flow_pool.written(self.attempt)
+            self._streaming_pool.on_body_written(self.attempt)
 
 
-class _CountedHosts(FlowHosts):
+class _CountedHosts(StreamingUpstreamPool):
     """Hosts whose attempts are counted."""
 
     connection: ClassVar[type[Any]] = _CountedConnection
     node: OperatedNode
 
-    def written(self, attempt: Attempt) -> None:
+    def on_body_written(self, attempt: Attempt) -> None:
         """An attempt is whole on its connection."""
         self.node.tried(attempt)
 
@@ -61,7 +61,7 @@
 class OperatedNode(Node):
     """A node with figures, with hosts out by hand, and with a way to hand over to a next version."""
 
-    hosts: ClassVar[type[FlowHosts]] = _CountedHosts
+    hosts: ClassVar[type[StreamingUpstreamPool]] = _CountedHosts
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config, loop)
@@ -72,7 +72,7 @@
         self._held_out: set[str] = set()
         self._operators = OperatorServer(self, loop)
         self._folder = config.folder
-        self._server: Server[Any] | None = None  # once clients are let in
+        self._server: Listener[Any] | None = None  # once clients are let in
         self._hand_over = HandOver(self, loop)
         self._take_over: TakeOver | None = None
 
@@ -118,10 +118,10 @@
 
     # One process after another
 
-    async def open(self, server: Server[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
+    async def open(self, server: Listener[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
         """Take over from the process that serves here already, if there is one; else listen."""
         if self._folder is not None:
-            self._take_over = TakeOver.find(self._folder, self._loop, server.adopt)
+            self._take_over = TakeOver.find(self._folder, self._loop, server.adopt_connection)
         listening = await self._inherit(server) if self._take_over is not None else None
         if listening is None:
             listening = server.start(address, shared=True)
@@ -132,7 +132,7 @@
             self._take_over.serving()
         return listening
 
-    async def _inherit(self, server: Server[Any]) -> list[tuple[str, int]] | None:
+    async def _inherit(self, server: Listener[Any]) -> list[tuple[str, int]] | None:
         """What the old process hands over, once we could serve; None where it does not."""
         assert self._take_over is not None
         end = self._loop.time() + START_S
@@ -156,7 +156,7 @@
         except StateError as error:  # another version's, perhaps: its clients are worth more
             log.warning("hand-over: what the old process knew is left: %s", error)
         log.info("took over from the process that served here")
-        return server.inherit(descriptor)
+        return server.inherit_socket(descriptor)
 
     def give(self) -> tuple[int, Iterable[dict[str, Any]]]:
         """Stop accepting and deciding: a descriptor of the listening socket, and what is known."""
@@ -166,23 +166,23 @@
         seen = [
             {"t": SEEN, "names": names[at : at + SEEN_AT_ONCE]} for at in range(0, len(names), SEEN_AT_ONCE)
         ]
-        return self._server.lend(), chain(export(self._gateway), seen)
+        return self._server.lend_socket(), chain(export(self._gateway), seen)
 
     def keep(self) -> None:
         """Go on after all: the successor ended before it served."""
         assert self._server is not None
         self._post(api.TakenOver(False))
-        self._server.take_back()
+        self._server.take_back_socket()
 
     def gone(self, heir: Heir) -> None:
         """The successor serves."""
         assert self._server is not None
-        self._server.succeeded_by(heir)
+        self._server.hand_over_to(heir)
 
     def alone(self) -> None:
         """The successor that served is gone; connections cannot be passed on any more."""
         assert self._server is not None
-        self._server.heir = None
+        self._server.successor = None
 
     # Operators' calls
 
@@ -226,7 +226,7 @@
         super()._apply(listing, kind)
 
     def _answer(
-        self, request: _Open | None, status: int, reply: Reply | None = None, retry_after_ms: float = 0.0
+        self, request: _Open | None, status: int, reply: Response | None = None, retry_after_ms: float = 0.0
     ) -> None:
         if request is not None and request.client is not None:
             self.figures_kept.answered(request.order.class_name, status)
--- a/hillmux/net/platform_gateway.py
+++ b/hillmux/net/platform_gateway.py
@@ -9,14 +9,19 @@
 
 from hillmux import interface as api
 from hillmux.interface import ListKind
-from hillmux.net.clients import Server
+from hillmux.net.clients import Listener
 from hillmux.net.config import Config
 from hillmux.net.core import GUARD_MS, OLD_LIST_MS, TRANSIT_MS, Core, Pulse, _Open
 from hillmux.net.counter import Counter
 from hillmux.net.discovery import Discovery, Listing
 from hillmux.net.hosts import Attempt
-from hillmux.net.http1 import Reply
-from hillmux.net.streaming import UPLOAD_S, FlowConnection, FlowHostConnection, FlowHosts
+from hillmux.net.http1 import Response
+from hillmux.net.streaming import (
+    STREAMED_REQUEST_TIMEOUT_S,
+    StreamingClientConnection,
+    StreamingUpstreamConnection,
+    StreamingUpstreamPool,
+)
 
 UPSTREAM_SHARE = 0.36  # of the descriptors
 LIST_WAIT_S = 0.25  # how long a start waits for discovery before it serves with the list it was given: it
@@ -26,13 +31,13 @@
 class Node(Core):
     """A core whose hosts come from discovery and whose counts go to the platform's counter."""
 
-    hosts: ClassVar[type[FlowHosts]] = FlowHosts  # what sends its attempts
+    hosts: ClassVar[type[StreamingUpstreamPool]] = StreamingUpstreamPool  # what sends its attempts
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config.settings, config.seed, loop, Pulse(loop))
         most = int(UPSTREAM_SHARE * config.sockets)
         self._flow_hosts = self.hosts(loop, most, config.dial_ms, config.idle_ms, self._ended, self._wanted)
-        self._flow_hosts.begun = self._begun
+        self._flow_hosts.on_stream_started = self._begun
         self._hosts = self._flow_hosts
         self._discovery = Discovery(
             loop, config.discovery, self._listed, config.known.generation, config.seed, self._stood_still
@@ -79,7 +84,7 @@
     async def listen(self, address: tuple[str, int] | None) -> None:
         """Take operators' calls at an address, where there is one; OSError where that fails."""
 
-    async def open(self, server: Server[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
+    async def open(self, server: Listener[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
         """Let clients in at an address; the addresses that are listened on. OSError where that fails."""
         return server.start(address)
 
@@ -106,8 +111,8 @@
     # --- What is passed on as it comes ---
 
     def _uploads(self, request: _Open) -> None:
-        request.end_at = time.monotonic() + UPLOAD_S
-        request.order.upload.came = partial(self._whole, request)
+        request.end_at = time.monotonic() + STREAMED_REQUEST_TIMEOUT_S
+        request.order.streamed_body.on_complete = partial(self._whole, request)
 
     def _whole(self, request: _Open) -> None:
         if request.client is None or request.flow is not None:
@@ -117,17 +122,19 @@
         request.guard = self._guards.add(request, max(left_s, 0.0))
         for attempt in request.attempts:
             if attempt is not None:
-                self._flow_hosts.came(attempt)
+                self._flow_hosts.on_body_complete(attempt)
 
-    def _begun(self, attempt: Attempt, reply: Reply, source: FlowHostConnection) -> FlowConnection | None:
+    def _begun(
+        self, attempt: Attempt, reply: Response, source: StreamingUpstreamConnection
+    ) -> StreamingClientConnection | None:
         request = self._requests[attempt.request]
-        client = cast(FlowConnection | None, request.client)
+        client = cast(StreamingClientConnection | None, request.client)
         if client is None:
             return None
         request.flow = attempt
         self._guards.cancel(request, request.guard)
         self._post(api.ResponseStarted(request.id, attempt.number))
-        client.begin(reply, source)
+        client.start_response(reply, source)
         return client
 
     def left(self, rid: str) -> None:
@@ -146,8 +153,8 @@
 
     def _call_off(self, request: _Open) -> None:
         """End the attempts that can come to nothing: on an answer that nobody reads, or on half a body."""
-        upload = request.order.upload
-        if request.flow is not None or (upload is not None and not upload.whole):
+        upload = request.order.streamed_body
+        if request.flow is not None or (upload is not None and not upload.complete):
             for attempt in request.attempts:
                 if attempt is not None:
                     self._hosts.cancel(attempt)
--- a/hillmux/net/streaming.py
+++ b/hillmux/net/streaming.py
@@ -1,14 +1,14 @@
-"""Bodies and answers that are passed on as they come, since they are too long to be gathered.
+"""Streaming of request and response bodies that are too long to be buffered.
 
-Theory of operation. What fits into `LONGEST_BODY` is gathered, judged and repeated as ever. A longer
-request is decided once so much of it has come; from then on its body goes to the host piece by piece
-(`Body`). A longer answer begins at the client with its first bytes, and nothing can take it back: the
-module hears of it (StreamStarted), its deadline no longer holds, and only a side that stands still ends it.
-In both directions reading stops while the other side is full, so a flow holds two pieces and one buffer of
-the transport, however long it is.
+A body of up to `MAX_BUFFERED_BODY_BYTES` is buffered, judged and retried as a whole. A longer request is
+decided on once that much of it has arrived; from then on its body is forwarded to the host piece by piece
+(`StreamedBody`). A longer response is forwarded to the client from its first bytes on and cannot be taken
+back: the decision module is told (`ResponseStarted`), the deadline no longer applies, and only a stalled side
+ends it. In both directions reading pauses while the other side's write buffer is full, so a stream holds two
+pieces and one transport buffer, whatever its length.
 
-An attempt whose body is on its way has not run before its last byte has left (the host begins then). It can
-go again while the body is still kept whole, which is up to KEPT bytes.
+An attempt whose body is still being sent has not run before its last byte has left, because the host begins
+then. It can be retried as long as the whole body is still in the replay buffer (`MAX_REPLAYABLE_BYTES`).
 """
 
 from __future__ import annotations
@@ -19,184 +19,190 @@
 from typing import Any, ClassVar, Final
 
 from hillmux.interface import AttemptResult
-from hillmux.net.clients import ClientConnection, Server
+from hillmux.net.clients import ClientConnection, Listener
 from hillmux.net.hosts import Attempt, Hosts, _Connection
-from hillmux.net.http1 import LONGEST_BODY, NO_BODY, Reply
+from hillmux.net.http1 import BODILESS_STATUSES, MAX_BUFFERED_BODY_BYTES, Response
 from hillmux.net.requests import BadRequestError
 
-LONGEST_UPLOAD: Final = 33 * 1024 * 1024
-KEPT: Final = 128 * 1024  # of a body, for a further attempt
-WINDOW: Final = 64 * 1024  # of a body that no host takes yet; beyond it nothing more is read
-STANDS_S: Final = 15.0  # how long a flow may stand still; a slow client empties our buffers every 5 s
-UPLOAD_S: Final = 600.0  # how long a body may take to come at all
+MAX_STREAMED_REQUEST_BYTES: Final = 33 * 1024 * 1024
+MAX_REPLAYABLE_BYTES: Final = 128 * 1024  # of a body, for a further attempt
+UNCLAIMED_WINDOW_BYTES: Final = 64 * 1024  # of a body that no host takes yet; beyond it nothing more is read
+STREAM_STALL_TIMEOUT_S: Final = (
+    15.0  # how long a flow may stand still; a slow client empties our buffers every 5 s
+)
+STREAMED_REQUEST_TIMEOUT_S: Final = 600.0  # how long a body may take to come at all
 
 
-class Body:
+class StreamedBody:
     """A request's body that is still coming: from one client, to one host at a time."""
 
-    def __init__(self, source: FlowConnection, length: int | None) -> None:
-        self.source, self.length = source, length
-        self.whole = self.unwanted = False
-        self.came: Callable[[], None] | None = None  # told of the last byte
-        self._kept: list[bytes] = []
-        self._kept_size = 0
-        self._gone = False  # some of it is kept no more: no further attempt can have it
-        self._sink: FlowHostConnection | None = None
+    def __init__(self, client: StreamingClientConnection, length: int | None) -> None:
+        self.client, self.length = client, length
+        self.complete = self.discarded = False
+        self.on_complete: Callable[[], None] | None = None  # told of the last byte
+        self._replay_buffer: list[bytes] = []
+        self._replay_bytes = 0
+        self._replay_dropped = False  # some of it is kept no more: no further attempt can have it
+        self._upstream: StreamingUpstreamConnection | None = None
 
-    def again(self) -> bool:
+    def can_replay(self) -> bool:
         """Whether an attempt can have all of it."""
-        return not self._gone
+        return not self._replay_dropped
 
-    def framing(self) -> bytes:
+    def framing_line(self) -> bytes:
         """How its end is told to a host."""
         if self.length is None:
             return b"Transfer-Encoding: chunked\r\n"
         return b"Content-Length: %d\r\n" % self.length
 
-    def add(self, data: bytes) -> None:
+    def add_data(self, data: bytes) -> None:
         """More of it has come."""
-        if self.unwanted:
+        if self.discarded:
             return
-        if not self._gone:
-            self._kept.append(data)
-            self._kept_size += len(data)
-        if self._sink is not None:
-            self._sink.send(self._framed(data))
-            if self._kept_size > KEPT:
-                self._gone = True
-                self._kept.clear()
-        elif self._kept_size > LONGEST_BODY + WINDOW:
-            self.source.hold(True)
-
-    def end(self) -> None:
+        if not self._replay_dropped:
+            self._replay_buffer.append(data)
+            self._replay_bytes += len(data)
+        if self._upstream is not None:
+            self._upstream.write_body_data(self._framed(data))
+            if self._replay_bytes > MAX_REPLAYABLE_BYTES:
+                self._replay_dropped = True
+                self._replay_buffer.clear()
+        elif self._replay_bytes > MAX_BUFFERED_BODY_BYTES + UNCLAIMED_WINDOW_BYTES:
+            self.client.pause_body(True)
+
+    def finish(self) -> None:
         """Its last byte has come; what follows on its connection is no part of it."""
-        self.whole = True
-        self.source.hold(False)
-        if self._sink is not None:
-            self._sink.send_last(self._last())
-        if self.came is not None and not self.unwanted:
-            self.came()
-
-    def attach(self, connection: FlowHostConnection) -> None:
+        self.complete = True
+        self.client.pause_body(False)
+        if self._upstream is not None:
+            self._upstream.finish_body(self._terminator())
+        if self.on_complete is not None and not self.discarded:
+            self.on_complete()
+
+    def attach(self, connection: StreamingUpstreamConnection) -> None:
         """Write what has come, and what comes, to a connection."""
-        self._sink = connection
-        for data in self._kept:
-            connection.send(self._framed(data))
-        if self._kept_size > KEPT:
-            self._gone = True
-            self._kept.clear()
-        if self.whole:
-            connection.send_last(self._last())
-        elif not connection.full:
-            self.source.hold(False)
-
-    def detach(self, connection: FlowHostConnection) -> None:
+        self._upstream = connection
+        for data in self._replay_buffer:
+            connection.write_body_data(self._framed(data))
+        if self._replay_bytes > MAX_REPLAYABLE_BYTES:
+            self._replay_dropped = True
+            self._replay_buffer.clear()
+        if self.complete:
+            connection.finish_body(self._terminator())
+        elif not connection.write_paused:
+            self.client.pause_body(False)
+
+    def detach(self, connection: StreamingUpstreamConnection) -> None:
         """Write no more to it."""
-        if self._sink is connection:
-            self._sink = None
+        if self._upstream is connection:
+            self._upstream = None
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """Nobody wants it any more: what still comes is read and forgotten."""
-        self.unwanted = True
-        self._kept.clear()
-        self.source.hold(False)
+        self.discarded = True
+        self._replay_buffer.clear()
+        self.client.pause_body(False)
 
     def _framed(self, data: bytes) -> bytes:
         return data if self.length is not None else b"%x\r\n%b\r\n" % (len(data), data)
 
-    def _last(self) -> bytes:
+    def _terminator(self) -> bytes:
         return b"" if self.length is not None else b"0\r\n\r\n"
 
 
-class FlowConnection(ClientConnection):
+class StreamingClientConnection(ClientConnection):
     """A client's connection whose long bodies and answers flow."""
 
-    longest = LONGEST_UPLOAD
-    longest_read = 4 * LONGEST_UPLOAD  # small chunks have long lines
+    max_body_bytes = MAX_STREAMED_REQUEST_BYTES
+    max_request_bytes = 4 * MAX_STREAMED_REQUEST_BYTES  # small chunks have long lines
 
-    def __init__(self, server: FlowServer) -> None:
+    def __init__(self, server: StreamingListener) -> None:
         super().__init__(server)
-        self._uploads: set[FlowConnection] = server.uploads
-        self._upload: Body | None = None  # of the request that is being read
-        self._source: FlowHostConnection | None = None  # of the answer that is being passed on
-        self._chunked = False
+        self._receiving: set[StreamingClientConnection] = server.receiving
+        self._incoming_body: StreamedBody | None = None  # of the request that is being read
+        self._upstream: StreamingUpstreamConnection | None = None  # of the answer that is being passed on
+        self._response_chunked = False
 
     # A body on its way to a host
 
-    def beyond(self, data: bytes) -> None:
-        """Pass the body on from here; BadRequestError (413) once it exceeds LONGEST_UPLOAD bytes."""
+    def on_oversized_body(self, data: bytes) -> None:
+        """Pass the body on from here; BadRequestError (413) beyond MAX_STREAMED_REQUEST_BYTES."""
         message = self._message
         assert message is not None
-        if self._upload is None:
+        if self._incoming_body is None:
             length = message.headers.get(b"content-length")
-            self._upload = message.upload = Body(self, None if length is None else int(length))
+            self._incoming_body = message.streamed_body = StreamedBody(
+                self, None if length is None else int(length)
+            )
             for piece in message.body:
-                self._upload.add(piece)
+                self._incoming_body.add_data(piece)
             message.body.clear()
             message.read_at = time.monotonic()
             message.keep_alive = self._parser.should_keep_alive()
             self._queue.append(message)  # it has its turn like a whole one
-            self._uploads.add(self)
-        if message.size > LONGEST_UPLOAD:
-            self._status = 413
+            self._receiving.add(self)
+        if message.body_bytes > MAX_STREAMED_REQUEST_BYTES:
+            self._parse_error_status = 413
             raise BadRequestError("body", 413)
-        self._upload.add(data)
+        self._incoming_body.add_data(data)
 
-    def uploaded(self) -> None:
+    def on_streamed_body_complete(self) -> None:
         """The last byte of a body that is passed on has come."""
-        upload = self._upload
+        upload = self._incoming_body
         assert upload is not None
-        self._message = self._upload = None
-        self._taken = 0
-        self._uploads.discard(self)
-        if not self._busy and not self._ending:
-            self._server.waits(self)  # its answer went out before its end had come
-        upload.end()
-
-    def hold(self, wait: bool) -> None:
+        self._message = self._incoming_body = None
+        self._received_bytes = 0
+        self._receiving.discard(self)
+        if not self._answer_due and not self._closing:
+            self._listener.mark_idle(self)  # its answer went out before its end had come
+        upload.finish()
+
+    def pause_body(self, wait: bool) -> None:
         """Read no more of a body while no host takes it, or go on."""
-        self._held = wait
-        if not self._pumping:
-            self._read_or_wait()
+        self._body_paused = wait
+        if not self._taking_requests:
+            self._update_reading()
 
     def _reject(self, status: int) -> None:
         """Also a request that waits for its turn, or was taken already: its body cannot be had."""
-        upload, self._upload = self._upload, None
-        if upload is None or self._ending:
+        upload, self._incoming_body = self._incoming_body, None
+        if upload is None or self._closing:
             super()._reject(status)
             return
-        self._uploads.discard(self)
+        self._receiving.discard(self)
         message, self._message = self._message, None
         if message is not None and message in self._queue:
             self._queue.remove(message)
             super()._reject(status)
-        elif upload.unwanted or self._open is None:
-            self._end()  # it has had its answer
+        elif upload.discarded or self._request_id is None:
+            self._close_gracefully()  # it has had its answer
         else:
             self._keep_alive = False
-            self._core.broken(self._open, status)
-        upload.drop()
+            self._handler.broken(self._request_id, status)
+        upload.discard()
 
-    def check_upload(self, now: float) -> None:
+    def check_body_timeout(self, now: float) -> None:
         """Turn away a body that stands still, unless it waits for a host."""
         message = self._message
-        if message is not None and not self._held and self._stands(now):
+        if message is not None and not self._body_paused and self._read_timed_out(now):
             self._reject(408)
-            self._pump()
+            self._take_requests()
 
     # An answer on its way to the client
 
-    def begin(self, reply: Reply, source: FlowHostConnection) -> None:
+    def start_response(self, reply: Response, source: StreamingUpstreamConnection) -> None:
         """Write the head of a long answer; the rest follows by `piece` and `finish`, or `cut`."""
-        self._source = source
-        keep = self._keep_alive and (self._server.heir is not None or not self._core.draining or self._more())
+        self._upstream = source
+        keep = self._keep_alive and (
+            self._listener.successor is not None or not self._handler.draining or self._has_more_input()
+        )
         old = self._parser.get_http_version() == "1.0"
-        self._chunked = reply.length is None and not old
-        self._keep_alive = keep and (reply.length is not None or self._chunked)
+        self._response_chunked = reply.content_length is None and not old
+        self._keep_alive = keep and (reply.content_length is not None or self._response_chunked)
         lines = [b"HTTP/1.1 %d OK\r\n" % reply.status]
-        if reply.length is not None:
-            lines.append(b"Content-Length: %d\r\n" % reply.length)
-        elif self._chunked:
+        if reply.content_length is not None:
+            lines.append(b"Content-Length: %d\r\n" % reply.content_length)
+        elif self._response_chunked:
             lines.append(b"Transfer-Encoding: chunked\r\n")
         kind = reply.headers.get(b"content-type")
         if kind:
@@ -204,155 +210,163 @@
         lines.append(b"\r\n" if self._keep_alive else b"Connection: close\r\n\r\n")
         self.transport.write(b"".join(lines))
 
-    def piece(self, data: bytes) -> None:
+    def write_response_data(self, data: bytes) -> None:
         """Write more of it."""
         if not self.transport.is_closing():
-            self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
+            self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self._response_chunked else data)
 
-    def finish(self) -> None:
+    def finish_response(self) -> None:
         """It is whole."""
-        self._source = None
-        self._open, self._busy, self.answered, self._serving = None, False, True, None
+        self._upstream = None
+        self._request_id, self._answer_due, self.answered, self._streamed_body = None, False, True, None
         if self.transport.is_closing():
             return
-        self._server.waits(self)
-        if self._chunked:
+        self._listener.mark_idle(self)
+        if self._response_chunked:
             self.transport.write(b"0\r\n\r\n")
         if not self._keep_alive:
-            self._end()
-        elif self._server.heir is not None:
-            self._server.loop.call_soon(self.hand_on)
-        self._pump()
+            self._close_gracefully()
+        elif self._listener.successor is not None:
+            self._listener.loop.call_soon(self.migrate)
+        self._take_requests()
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """It cannot be had whole: the client can tell by the connection's end."""
-        self._source = self._open = None
-        self._ending = True
+        self._upstream = self._request_id = None
+        self._closing = True
         self.transport.abort()
 
     def pause_writing(self) -> None:
         """The client reads too slowly: also read no more of its answer from the host."""
         super().pause_writing()
-        if self._source is not None:
-            self._source.hold(True)
+        if self._upstream is not None:
+            self._upstream.pause_response(True)
 
     def resume_writing(self) -> None:
         """The client reads again: also read on from the host."""
-        if self._source is not None:
-            self._source.hold(False)
+        if self._upstream is not None:
+            self._upstream.pause_response(False)
         super().resume_writing()
 
-    def _gone(self) -> None:
-        self._uploads.discard(self)
-        upload, self._upload = self._upload, None
+    def _on_client_disconnected(self) -> None:
+        self._receiving.discard(self)
+        upload, self._incoming_body = self._incoming_body, None
         if upload is not None:
-            upload.unwanted = True
-        super()._gone()
+            upload.discarded = True
+        super()._on_client_disconnected()
 
 
-class FlowServer(Server[FlowConnection]):
+class StreamingListener(Listener[StreamingClientConnection]):
     """Accepts clients whose long bodies and answers flow."""
 
-    connection: ClassVar[type[Any]] = FlowConnection
+    connection_type: ClassVar[type[Any]] = StreamingClientConnection
 
-    def __init__(self, core: Any, loop: asyncio.AbstractEventLoop, sockets: int) -> None:
-        super().__init__(core, loop, sockets)
-        self.uploads: set[FlowConnection] = set()  # whose request is taken and not yet whole
+    def __init__(self, handler: Any, loop: asyncio.AbstractEventLoop, sockets: int) -> None:
+        super().__init__(handler, loop, sockets)
+        self.receiving: set[StreamingClientConnection] = set()  # whose request is taken and not yet whole
 
-    def _sweep(self) -> None:
+    def _check_timeouts(self) -> None:
         now = self.loop.time()
-        for connection in list(self.uploads):
-            connection.check_upload(now)
-        super()._sweep()
+        for connection in list(self.receiving):
+            connection.check_body_timeout(now)
+        super()._check_timeouts()
 
 
-class FlowHostConnection(_Connection):
+class StreamingUpstreamConnection(_Connection):
     """A connection to a host whose long bodies and answers flow."""
 
-    flows = True
+    accepts_streams = True
 
-    def __init__(self, pool: FlowHosts, host: Any) -> None:
+    def __init__(self, pool: StreamingUpstreamPool, host: Any) -> None:
         super().__init__(pool, host)
-        self._flow_pool = pool
-        self.flowing: FlowConnection | None = None  # the client that the answer goes to
-        self.full = False  # the host does not read what we write
-        self.moved_at = 0.0
-        self._last_sent = True
+        self._streaming_pool = pool
+        self.client: StreamingClientConnection | None = None  # the client that the answer goes to
+        self.write_paused = False  # the host does not read what we write
+        self.last_data_at = 0.0
+        self._body_written = True
 
-    def upload(self, attempt: Attempt) -> None:
+    def start_streamed_body(self, attempt: Attempt) -> None:
         """Attach the attempt's body; `unsent` holds until its last byte has left."""
-        self._last_sent = False
+        self._body_written = False
         self.unsent = True
-        if attempt.upload is not None:
-            attempt.upload.attach(self)
+        if attempt.streamed_body is not None:
+            attempt.streamed_body.attach(self)
 
-    def send(self, data: bytes) -> None:
+    def write_body_data(self, data: bytes) -> None:
         """More of a body."""
         self.transport.write(data)
 
-    def send_last(self, data: bytes) -> None:
+    def finish_body(self, data: bytes) -> None:
         """The end of a body."""
         if data:
             self.transport.write(data)
-        self._last_sent = True
+        self._body_written = True
         self.unsent = self.transport.get_write_buffer_size() > 0
         if not self.unsent and self.attempt is not None:
-            self._flow_pool.written(self.attempt)
+            self._streaming_pool.on_body_written(self.attempt)
 
     def pause_writing(self) -> None:
         """The host reads too slowly: read no more of the body from the client."""
-        self.full = True
-        if self.attempt is not None and self.attempt.upload is not None and not self.attempt.upload.whole:
-            self.attempt.upload.source.hold(True)
+        self.write_paused = True
+        if (
+            self.attempt is not None
+            and self.attempt.streamed_body is not None
+            and not self.attempt.streamed_body.complete
+        ):
+            self.attempt.streamed_body.client.pause_body(True)
 
     def resume_writing(self) -> None:
         """The write buffer has drained: read on from the client, or all of the request has left."""
-        self.full = False
-        if self._last_sent:
+        self.write_paused = False
+        if self._body_written:
             super().resume_writing()
-        elif self.attempt is not None and self.attempt.upload is not None:
-            self.attempt.upload.source.hold(False)
+        elif self.attempt is not None and self.attempt.streamed_body is not None:
+            self.attempt.streamed_body.client.pause_body(False)
 
-    def flow(self, reply: Reply) -> bool:
+    def on_stream_start(self, reply: Response) -> bool:
         """Begin a long answer at the client; False where it may not be passed on."""
         attempt = self.attempt
-        self.flowing = self._flow_pool.began(self, attempt, reply) if attempt is not None else None
-        self.moved_at = asyncio.get_running_loop().time()
-        return self.flowing is not None
+        self.client = self._streaming_pool.start_stream(self, attempt, reply) if attempt is not None else None
+        self.last_data_at = asyncio.get_running_loop().time()
+        return self.client is not None
 
-    def piece(self, data: bytes) -> None:
+    def on_stream_data(self, data: bytes) -> None:
         """Pass more of a long answer on to the client, and note when it came."""
-        self.moved_at = asyncio.get_running_loop().time()
-        if self.flowing is not None:
-            self.flowing.piece(data)
+        self.last_data_at = asyncio.get_running_loop().time()
+        if self.client is not None:
+            self.client.write_response_data(data)
 
-    def hold(self, wait: bool) -> None:
+    def pause_response(self, wait: bool) -> None:
         """Read no more of an answer while its client is full, or go on."""
         if not self.transport.is_closing():
             (self.transport.pause_reading if wait else self.transport.resume_reading)()
 
 
-class FlowHosts(Hosts):
+class StreamingUpstreamPool(Hosts):
     """Sends attempts whose bodies and answers may flow."""
 
-    connection: ClassVar[type[Any]] = FlowHostConnection
-    begun: Callable[[Attempt, Reply, FlowHostConnection], FlowConnection | None]
+    connection: ClassVar[type[Any]] = StreamingUpstreamConnection
+    on_stream_started: Callable[
+        [Attempt, Response, StreamingUpstreamConnection], StreamingClientConnection | None
+    ]
 
-    def came(self, attempt: Attempt) -> None:
+    def on_body_complete(self, attempt: Attempt) -> None:
         """Its body's last byte has come: its time runs from now on."""
         if not attempt.done:
             attempt.sent_at = time.monotonic()
             self._timeouts.cancel(attempt, attempt.slot)
             attempt.slot = self._timeouts.add(attempt, attempt.timeout_s)
 
-    def written(self, attempt: Attempt) -> None:
+    def on_body_written(self, attempt: Attempt) -> None:
         """An attempt whose body flowed is whole on its connection."""
 
-    def began(self, connection: FlowHostConnection, attempt: Attempt, reply: Reply) -> FlowConnection | None:
+    def start_stream(
+        self, connection: StreamingUpstreamConnection, attempt: Attempt, reply: Response
+    ) -> StreamingClientConnection | None:
         """A long answer begins; the client that it goes to, if it may."""
-        if attempt.done or self.judge(reply) != AttemptResult.OK or reply.status in NO_BODY:
+        if attempt.done or self.judge(reply) != AttemptResult.OK or reply.status in BODILESS_STATUSES:
             return None
-        client = self.begun(attempt, reply, connection)
+        client = self.on_stream_started(attempt, reply, connection)
         if client is not None:
             self._timeouts.cancel(attempt, attempt.slot)
             self._flows[attempt] = connection
@@ -365,15 +379,15 @@
     def _end_flow(self, attempt: Attempt) -> None:
         connection = self._flows.pop(attempt, None)
         if connection is not None:
-            connection.flowing = None
-        if attempt.upload is not None:
-            attempt.upload.detach(attempt.connection)
+            connection.client = None
+        if attempt.streamed_body is not None:
+            attempt.streamed_body.detach(attempt.connection)
 
     def retire(self) -> None:
         """Also end as timed out the answers of which nothing has come for STANDS_S."""
         super().retire()
-        before = self._loop.time() - STANDS_S
+        before = self._loop.time() - STREAM_STALL_TIMEOUT_S
         for attempt, connection in list(self._flows.items()):
-            if connection.moved_at < before:
+            if connection.last_data_at < before:
                 self._abandon(attempt)
                 self._end(attempt, AttemptResult.TIMED_OUT)
--- a/hillmux/recovery/snapshotting_gateway.py
+++ b/hillmux/recovery/snapshotting_gateway.py
@@ -12,7 +12,7 @@
 from hillmux import interface as api
 from hillmux.hot_restart.service import Heir
 from hillmux.hot_restart.state_codec import StateError, export, restore
-from hillmux.net.clients import Server
+from hillmux.net.clients import Listener
 from hillmux.net.config import Config
 from hillmux.net.managed_gateway import START_S, OperatedNode
 from hillmux.quotas.throttle import SILENT_RATE
@@ -57,7 +57,7 @@
             self._gateway, lambda state: worth_leaving(state.seen_at, rests[state.plan.name], now, exact)
         )
 
-    async def open(self, server: Server[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
+    async def open(self, server: Listener[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
         """As before; what was left by the process before is gone on from, where none hands over."""
         snapshot = self._snapshots.take()
         if snapshot is not None:
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -9,7 +9,7 @@
 from conftest import message, on_loop
 from fakes.desk import Desk, ends, reads
 
-from hillmux.net.clients import ACCEPTS, HEAR_S, IDLE_S
+from hillmux.net.clients import FIRST_REQUEST_GRACE_S, KEEP_ALIVE_TIMEOUT_S, MAX_ACCEPTS_PER_TURN
 from hillmux.net.shutdown import Shutdown
 
 
@@ -19,13 +19,13 @@
 
 def sweep(desk: Desk) -> None:
     for connection in list(desk.server.connections):
-        connection.check(asyncio.get_running_loop().time() + IDLE_S + 1)
+        connection.check_timeouts(asyncio.get_running_loop().time() + KEEP_ALIVE_TIMEOUT_S + 1)
 
 
 def another(desk: Desk) -> None:
     """There is no descriptor for one more."""
-    desk.server._most = len(desk.server.connections)
-    desk.server._room()
+    desk.server.max_connections = len(desk.server.connections)
+    desk.server.ensure_capacity()
 
 
 CLOSES = [drain, sweep, another]
@@ -166,7 +166,7 @@
         desk.answer_all()
         assert await reads(client, 2) == [b"first"]
         while not desk.server.close_idle():
-            await asyncio.sleep(HEAR_S / 10)
+            await asyncio.sleep(FIRST_REQUEST_GRACE_S / 10)
             client.close()
         assert await ends(silent)
         silent.close()
@@ -177,7 +177,7 @@
 def test_the_end_of_listening_takes_all_that_has_come() -> None:
     async def scenario() -> None:
         desk = Desk()
-        clients = [desk.connect() for _ in range(3 * ACCEPTS)]
+        clients = [desk.connect() for _ in range(3 * MAX_ACCEPTS_PER_TURN)]
         for i, client in enumerate(clients):
             client.sendall(message(rid=b"%d" % i))
         desk.server.stop_accepting()
@@ -200,9 +200,9 @@
         for sock in (client, never):
             sock.sendall(message(rid=b"open"))
         await desk.takes(2)
-        shutdown._core.draining = desk.draining = True
+        shutdown._gateway.draining = desk.draining = True
         shutdown._stop_accepting()
-        shutdown._end()
+        shutdown._fail_open_requests()
         client.sendall(message(rid=b"behind"))  # unread when the answers are written
         assert not shutdown.done.is_set()
         await asyncio.sleep(0.04)
--- a/tests/crossings/test_descriptors.py
+++ b/tests/crossings/test_descriptors.py
@@ -59,14 +59,14 @@
 
     async def scenario() -> None:
         desk = Desk()
-        desk.server._most = 10
+        desk.server.max_connections = 10
         held = [desk.connect() for _ in range(10)]
         while len(desk.server.connections) < 10:
             await asyncio.sleep(0)
         more = [desk.connect() for _ in range(5)]
         before = sockets()
-        (listener,) = desk.server._listeners
-        desk.server._accept(listener)
+        (listener,) = desk.server.sockets
+        desk.server.accept(listener)
         assert sockets() == before
         for i, client in enumerate(more):
             client.sendall(message(rid=b"%d" % i))
--- a/tests/crossings/test_sending.py
+++ b/tests/crossings/test_sending.py
@@ -20,7 +20,7 @@
 from hillmux.net.core import Core
 from hillmux.net.counter import CONNECTIONS, Counter
 from hillmux.net.discovery import parse_listing
-from hillmux.net.streaming import FlowServer
+from hillmux.net.streaming import StreamingListener
 
 LONG_MS = 5000.0
 
@@ -303,7 +303,7 @@
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
-        server = FlowServer(core, core._loop, 1024)
+        server = StreamingListener(core, core._loop, 1024)
         ((_, port),) = server.start((LOOP, 0))
         client = socket.create_connection((LOOP, port))
         client.sendall(message("pay", rid=b"first"))
@@ -334,7 +334,7 @@
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
-        server = FlowServer(core, core._loop, 1024)
+        server = StreamingListener(core, core._loop, 1024)
         ((_, port),) = server.start((LOOP, 0))
         before = Answers()
         script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
--- a/tests/fakes/desk.py
+++ b/tests/fakes/desk.py
@@ -9,7 +9,7 @@
 
 from hillmux.net.config import parse
 from hillmux.net.core import Client, Order
-from hillmux.net.streaming import FlowServer
+from hillmux.net.streaming import StreamingListener
 
 
 class Desk:
@@ -30,7 +30,7 @@
         self.open: dict[str, tuple[Client, Order]] = {}
         self.gone: list[str] = []
         self.taken: list[bytes] = []
-        self.server = FlowServer(self, asyncio.get_running_loop(), sockets)
+        self.server = StreamingListener(self, asyncio.get_running_loop(), sockets)
         ((_, self.port),) = self.server.start((LOOP, 0))
 
     def request(self, client: Client, order: Order) -> str | None:
--- a/tests/hosted/test_isolation.py
+++ b/tests/hosted/test_isolation.py
@@ -261,7 +261,7 @@
 
 
 def test_a_client_that_never_reads_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "IDLE_S", 0.1)
+    monkeypatch.setattr(front, "KEEP_ALIVE_TIMEOUT_S", 0.1)
 
     async def scenario() -> None:
         body = b"x" * 64 * 1024
@@ -508,13 +508,13 @@
             for client in clients:
                 assert status(await client.ask(request("a"))) == 200
             taken: list[str] = []
-            serve_one = front.TenantConnection._serve
+            serve_one = front.TenantConnection._route
 
             def noted(self: front.TenantConnection, message: object) -> None:
                 taken.append(message.headers[b"host"].decode()[0])
                 serve_one(self, message)
 
-            front.TenantConnection._serve = noted
+            front.TenantConnection._route = noted
             try:
                 for client in clients:
                     client.writer.write(request("a") + request("a", "/api/x", "PUT"))
@@ -523,7 +523,7 @@
                 for client in clients:
                     assert [status(await client.read()) for _ in range(2)] == [200, 405]
             finally:
-                front.TenantConnection._serve = serve_one
+                front.TenantConnection._route = serve_one
             assert taken.count("a") == 40 and taken.count("b") == 1
             assert taken.index("b") < 20  # not behind the whole burst, though it was written last
             assert not rig.server._deferred
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hillmux.net.deadlines import AT_ONCE, TICK_S, Deadlines
+from hillmux.net.deadlines import MAX_EXPIRED_PER_TURN, TICK_S, TimingWheel
 
 
 class Loop:
@@ -46,9 +46,9 @@
             self.loop.timers.remove(self)
 
 
-def make() -> tuple[Loop, list[Any], Deadlines[Any]]:
+def make() -> tuple[Loop, list[Any], TimingWheel[Any]]:
     loop, told = Loop(), []
-    return loop, told, Deadlines(loop, told.append)  # type: ignore[arg-type]
+    return loop, told, TimingWheel(loop, told.append)  # type: ignore[arg-type]
 
 
 def test_deadlines_come_in_their_time_and_once() -> None:
@@ -80,7 +80,7 @@
         assert len(loop.timers) <= 1
     assert loop.made < 30 and len(deadlines._slots) <= 5.1 / TICK_S
     loop.turn(10.0)
-    assert not told and not deadlines._slots and not deadlines._numbers and not loop.timers
+    assert not told and not deadlines._slots and not deadlines._slot_numbers and not loop.timers
 
 
 def test_after_a_stall_what_is_read_meanwhile_is_not_told_of() -> None:
@@ -88,12 +88,12 @@
     loop, told, deadlines = make()
     slots = {i: deadlines.add(i, 0.2) for i in range(1000)}
     loop.turn(1.2)
-    assert len(told) == AT_ONCE
+    assert len(told) == MAX_EXPIRED_PER_TURN
     for i in range(900):
         deadlines.cancel(i, slots[i])  # their answers were read
     for _ in range(3):
         loop.turn()
-    assert sorted(told) == [*range(AT_ONCE), *range(900, 1000)] and not loop.timers
+    assert sorted(told) == [*range(MAX_EXPIRED_PER_TURN), *range(900, 1000)] and not loop.timers
 
 
 def test_an_earlier_deadline_wakes_us_earlier() -> None:
@@ -114,7 +114,7 @@
         if thing == 1:
             raise RuntimeError("broken")
 
-    deadlines = Deadlines[int](loop, due)  # type: ignore[arg-type]
+    deadlines = TimingWheel[int](loop, due)  # type: ignore[arg-type]
     for i in range(3):
         deadlines.add(i, 0.1)
     with pytest.raises(RuntimeError):
@@ -131,7 +131,7 @@
         if thing < 3:
             deadlines.add(thing + 1, 0.0)
 
-    deadlines = Deadlines[int](loop, due)  # type: ignore[arg-type]
+    deadlines = TimingWheel[int](loop, due)  # type: ignore[arg-type]
     deadlines.add(0, 0.0)
     for _ in range(8):
         loop.turn(TICK_S)
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -11,8 +11,8 @@
 from conftest import Rig, instance, message, on_loop, read_message
 from fakes.raw import Peer, RawHost, Script
 
-from hillmux.net.http1 import LONGEST_BODY
-from hillmux.net.streaming import KEPT, LONGEST_UPLOAD
+from hillmux.net.http1 import MAX_BUFFERED_BODY_BYTES
+from hillmux.net.streaming import MAX_REPLAYABLE_BYTES, MAX_STREAMED_REQUEST_BYTES
 
 LONG = 300_000
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: x/y\r\n\r\n"
@@ -84,7 +84,9 @@
     on_loop(scenario)
 
 
-@pytest.mark.parametrize("size", [10, LONGEST_BODY - 1, LONGEST_BODY, LONGEST_BODY + 1, LONG])
+@pytest.mark.parametrize(
+    "size", [10, MAX_BUFFERED_BODY_BYTES - 1, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, LONG]
+)
 @pytest.mark.parametrize("form", ["chunks", "bytes", "close", "old"])
 def test_every_form_of_an_answer_comes_whole(tmp_path: Path, size: int, form: str) -> None:
     """In chunks with extensions and trailers, in chunks of a byte, up to the close, as HTTP/1.0 has it."""
@@ -262,7 +264,9 @@
     return script
 
 
-@pytest.mark.parametrize("size", [LONGEST_BODY, LONGEST_BODY + 1, KEPT + 70_000, 5_000_000])
+@pytest.mark.parametrize(
+    "size", [MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, MAX_REPLAYABLE_BYTES + 70_000, 5_000_000]
+)
 @pytest.mark.parametrize("form", ["length", "chunks"])
 def test_every_form_of_a_body_arrives_whole(tmp_path: Path, size: int, form: str) -> None:
     async def scenario() -> None:
@@ -389,8 +393,8 @@
                 await served(peer)
                 return
             first.append(await peer.head())
-            if size > KEPT:
-                await peer.reader.readexactly(2 * KEPT)
+            if size > MAX_REPLAYABLE_BYTES:
+                await peer.reader.readexactly(2 * MAX_REPLAYABLE_BYTES)
             if turns_away:
                 await peer.write(b"HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
                 await peer.closed()
@@ -426,7 +430,7 @@
 
             async def flood() -> None:
                 with contextlib.suppress(ConnectionError):
-                    for _ in range(LONGEST_UPLOAD // 65536 + 100):
+                    for _ in range(MAX_STREAMED_REQUEST_BYTES // 65536 + 100):
                         writer.write(piece)
                         await writer.drain()
 
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -20,7 +20,7 @@
 from hillmux.net.core import Core
 from hillmux.net.counter import Counter
 from hillmux.net.discovery import WAIT_MS
-from hillmux.net.http1 import Reply
+from hillmux.net.http1 import Response
 
 
 def test_guard_answers_in_time_and_nothing_follows(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -111,9 +111,9 @@
     on_loop(scenario)
 
 
-def reply_of(raw: dict[str, object]) -> Reply:
+def reply_of(raw: dict[str, object]) -> Response:
     """An answer of discovery, read whole."""
-    return Reply(200, {}, json.dumps(raw).encode(), True)
+    return Response(200, {}, json.dumps(raw).encode(), True)
 
 
 def test_a_module_that_raises_loses_one_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
