--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -2,6 +2,7 @@
 
     python benchmarks/path.py [--hosts 10 1000] [--customers 20000] [--system-calls] [--flame FILE.svg]
     python benchmarks/path.py --base REVISION     # this tree and one before, in turn
+    python benchmarks/path.py --base FOLDER       # another checkout's build/run and ours, compiled
 
 The gateway as the platform starts it (from build/run), with counter and registry; gateway and proxies
 share one core in turn, load, hosts and the other stand-ins have a core each. CPU is what the kernel
@@ -309,7 +310,7 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("--base", help="a revision to compare with")
+    parser.add_argument("--base", help="a revision, or a folder with a compiled package, to compare with")
     parser.add_argument("--hosts", type=int, nargs="*", default=[10, 100, 1000, 5000])
     parser.add_argument("--customers", type=int, nargs="*", default=[20_000, 200_000])
     parser.add_argument("--blocks", type=int, default=30)
@@ -329,9 +330,11 @@
         try:
             if args.base:
                 old = Tree(args.base)
+                # A folder holds a compiled package (another checkout's build/run): compare it with ours.
+                new = Tree.built() if Path(args.base).is_dir() else tree
                 subjects = [
                     start("before", old, folder, 10, 200, back),
-                    start("now", tree, folder, 10, 200, back),
+                    start("now", new, folder, 10, 200, back),
                 ]
             else:
                 sizes = [(h, 200) for h in args.hosts] + [(10, c) for c in args.customers]
