--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -9,7 +9,7 @@
 from typing import NoReturn
 
 from benchmarks.capacity import runner
-from benchmarks.capacity.measurement import MeasurementError, Measurements
+from benchmarks.capacity.measurement import Figure, MeasurementError, Measurements
 from benchmarks.capacity.probes import PROBES, chosen
 from benchmarks.capacity.size import SizeError, check_number
 
@@ -100,7 +100,7 @@
                   f"{figure.residual:.1%}, spread {figure.spread:.1%}", flush=True)  # fmt: skip
 
 
-def _merged(figures: list[runner.Figure], seeds: list[int]) -> None:
+def _merged(figures: list[Figure], seeds: list[int]) -> None:
     try:
         before = Measurements.read()
     except MeasurementError:
--- a/benchmarks/capacity/anchors.py
+++ b/benchmarks/capacity/anchors.py
@@ -8,9 +8,10 @@
 
 from benchmarks.capacity.hosts import CUSTOMERS
 from benchmarks.capacity.probe import DISCOVERY, GATEWAY, Probe, Values
-from benchmarks.capacity.processes import Gateway, Process, Surroundings
+from benchmarks.capacity.processes import Gateway, Surroundings
 from benchmarks.capacity.resources import core_wait_s, process_cpu_s, proportional_mb, resident_mb
 from benchmarks.capacity.size import FULL
+from benchmarks.path import Process
 
 CONNECTIONS = 32  # of the load
 BLOCKS = 3  # through the gateway and at the host, by turns
--- a/benchmarks/capacity/hosts.py
+++ b/benchmarks/capacity/hosts.py
@@ -12,6 +12,7 @@
 from benchmarks.module_worker import Play, settings
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
+from hillmux.interface import ListKind
 from hillmux.net.discovery import Listing, parse_listing
 
 CUSTOMERS = 700  # 62,000 tenants over 710 gateways, eight gateways each
@@ -36,7 +37,7 @@
     def take(self, listing: Listing) -> None:
         """Have the module take an answer in."""
         self.now_ms += 1.0
-        kind = "full" if listing.whole else "changes"
+        kind = ListKind.FULL if listing.whole else ListKind.CHANGES
         self._gateway.handle(self.now_ms, api.EndpointList(kind, listing.servers))
 
 
--- a/benchmarks/capacity/measurement.py
+++ b/benchmarks/capacity/measurement.py
@@ -127,5 +127,5 @@
 
 
 def _figure(row: dict[str, object]) -> Figure:
-    points = tuple(Point(**point) for point in row.pop("points"))  # type: ignore[attr-defined, arg-type]
+    points = tuple(Point(**point) for point in row.pop("points"))  # type: ignore[attr-defined]
     return Figure(points=points, **row)  # type: ignore[arg-type]
--- a/benchmarks/capacity/processes.py
+++ b/benchmarks/capacity/processes.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import subprocess
-import sys
 import tempfile
 import time
 from http.client import HTTPConnection
@@ -13,11 +12,8 @@
 
 from benchmarks.capacity import listings
 from benchmarks.capacity.size import FULL
-
-sys.path.append(str(Path(__file__).resolve().parents[1]))  # where the other benchmarks find one another
-
-from path import PORTS, Process, configuration, launch  # noqa: E402
-from trees import Tree  # noqa: E402
+from benchmarks.path import PORTS, Process, configuration, launch
+from benchmarks.trees import Tree
 
 LOOP = "127.0.0.1"
 POLL_S = 0.002
@@ -87,11 +83,10 @@
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        for running in (*self._gateways, *self._processes):
-            if isinstance(running, Gateway):
-                running.stop()
-            else:
-                running.close()
+        for gateway in self._gateways:
+            gateway.stop()
+        for process in self._processes:
+            process.close()
         self._folder.cleanup()
 
     def _stand_in(self, role: str, **arguments: Any) -> Process:
--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -9,7 +9,7 @@
 import concurrent.futures
 import statistics
 
-from trees import Tree, Worker
+from benchmarks.trees import Tree, Worker
 
 CASES = [
     ("even", 10, 1),
@@ -37,7 +37,14 @@
     def one(tree: Tree, kind: str, hosts: int, gateways: int, seed: int) -> dict[str, float]:
         worker = Worker(tree, "choice_worker.py")
         try:
-            return worker.play(hosts=hosts, gateways=gateways, requests=args.requests, kind=kind, seed=seed)
+            case = {
+                "hosts": hosts,
+                "gateways": gateways,
+                "requests": args.requests,
+                "kind": kind,
+                "seed": seed,
+            }
+            return worker.play(**case, kind=kind, seed=seed)
         finally:
             worker.close()
 
--- a/benchmarks/choice_worker.py
+++ b/benchmarks/choice_worker.py
@@ -47,7 +47,8 @@
     listed = tuple(api.Endpoint(h.name, capacity=float(h.slots)) for h in fleet)
     modules = [Gateway(given, seed * 100 + i) for i in range(gateways)]
     now, serial = 1e6, 0
-    events: list[tuple[float, int, int, object]] = []  # time, tie, gateway, event
+    # Time, tie breaker, gateway, and a timer or the request, host and start of an attempt that ends.
+    events: list[tuple[float, int, int, api.TimerFired | tuple[str, Host, float]]] = []
 
     def give(g: int, event: api.Event) -> None:
         nonlocal serial
--- a/benchmarks/coming_back.py
+++ b/benchmarks/coming_back.py
@@ -13,14 +13,13 @@
 from pathlib import Path
 from typing import Any
 
-ROOT = Path(__file__).resolve().parents[1]
-sys.path.insert(0, str(ROOT))
+from hillmux.lab import scenario as sc
+from hillmux.lab.checks import Verdict
+from hillmux.lab.measures import Figures
+from hillmux.lab.run import play
+from hillmux.lab.virtual.play import judged, not_modelled
 
-from hillmux.lab import scenario as sc  # noqa: E402
-from hillmux.lab.checks import Verdict  # noqa: E402
-from hillmux.lab.measures import Figures  # noqa: E402
-from hillmux.lab.run import play  # noqa: E402
-from hillmux.lab.virtual.play import judged, not_modelled  # noqa: E402
+ROOT = Path(__file__).resolve().parents[1]
 
 AT = 9.0
 KILL = {"at_s": AT, "what": "kill", "who": "70% of gateways", "name": "herd"}
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -18,7 +18,7 @@
 import statistics
 from pathlib import Path
 
-from trees import WORSE, Tree, Worker, ratio, worse
+from benchmarks.trees import WORSE, Tree, Worker, ratio, worse
 
 HOSTS = [(n, 200) for n in (10, 100, 1000, 5000)]
 CUSTOMERS = [(10, n) for n in (200, 20_000, 200_000)]
--- a/benchmarks/module_worker.py
+++ b/benchmarks/module_worker.py
@@ -45,7 +45,6 @@
         api.Plan("wide", rate=500, burst=1000, over_quota_weight=0.5, over_quota_cost=0.2),
         api.Plan("open"),
     )
-    more = {"max_customers": customers} if "max_customers" in api.Settings.__dataclass_fields__ else {}
     return api.Settings(
         classes=CLASSES,
         plans=plans,
@@ -61,7 +60,7 @@
         slow_start_ms=10_000,
         overload_multiple=3,
         overload_after_ms=2000,
-        **more,
+        max_customers=customers,
     )
 
 
@@ -103,18 +102,17 @@
         self.events += 1
         self.actions += len(actions)
         for act in actions:
-            kind = type(act)
-            if kind is api.SendAttempt:
+            if isinstance(act, api.SendAttempt):
                 number = self.tries.get(act.request_id, -1) + 1
                 self.tries[act.request_id] = number
                 self.sent += number == 0
                 self.out.append((act.request_id, number, act.host, self.now))
-            elif kind is api.IncrementCounter:
+            elif isinstance(act, api.IncrementCounter):
                 total = self.counts[act.name] = self.counts.get(act.name, 0.0) + act.amount
                 if len(self.counts) > 400_000:
                     self.counts.pop(next(iter(self.counts)))
                 self.give(api.CounterReply(act.name, AttemptResult.OK, total, 1.0))
-            elif kind is api.SetTimer:
+            elif isinstance(act, api.SetTimer):
                 self.timers.append((self.now + act.delay_ms, act.name))
 
     def end(self) -> None:
--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -18,11 +18,10 @@
 from pathlib import Path
 from typing import Any
 
-ROOT = Path(__file__).resolve().parents[1]
-sys.path.insert(0, str(ROOT))
+from hillmux.lab.run import play
+from hillmux.lab.scenario import Scenario
 
-from hillmux.lab.run import play  # noqa: E402
-from hillmux.lab.scenario import Scenario  # noqa: E402
+ROOT = Path(__file__).resolve().parents[1]
 
 PLAN = {"name": "capped", "share": 1.0, "rate": 6.0, "burst": 12.0, "ceiling": 1.5, "width": 4}
 READ = {"name": "read", "share": 0.5, "work_ms": 20, "aim_ms": 2000, "deadline_ms": 3000, "worth": 3.0}
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -25,7 +25,7 @@
 from pathlib import Path
 from typing import Any
 
-from trees import ROOT, WORSE, Tree, ratio, worse
+from benchmarks.trees import ROOT, WORSE, Tree, ratio, worse
 
 CORE, LOAD_CORE, HOSTS_CORE, OTHERS_CORE = 2, 3, 4, 5
 PORTS = 8  # of the hosts: many hosts share them
--- a/benchmarks/snapshots.py
+++ b/benchmarks/snapshots.py
@@ -22,17 +22,16 @@
 import lmdb
 import orjson
 
+from hillmux import interface as api
+from hillmux.decision.gateway import Gateway
+from hillmux.hot_restart.state_codec import export
+from hillmux.lab import record
+from hillmux.lab.run import play
+from hillmux.lab.scenario import load
+from hillmux.recovery.snapshot_format import Builder, Head, Identity
+from hillmux.recovery.snapshot_store import Folder
+
 ROOT = Path(__file__).resolve().parents[1]
-sys.path.insert(0, str(ROOT))
-
-from hillmux import interface as api  # noqa: E402
-from hillmux.decision.gateway import Gateway  # noqa: E402
-from hillmux.hot_restart.state_codec import export  # noqa: E402
-from hillmux.lab import record  # noqa: E402
-from hillmux.lab.run import play  # noqa: E402
-from hillmux.lab.scenario import load  # noqa: E402
-from hillmux.recovery.snapshot_format import Builder, Head, Identity  # noqa: E402
-from hillmux.recovery.snapshot_store import Folder  # noqa: E402
 
 HEAD = Head(Identity("g1", "bench", "p", "f"), "i", 1, 1e12, False)
 MAP_BYTES = 1 << 30
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -15,12 +15,9 @@
 from pathlib import Path
 from statistics import median
 
-ROOT = Path(__file__).resolve().parents[1]
-sys.path.insert(0, str(ROOT))
-
-from hillmux.lab import record  # noqa: E402
-from hillmux.lab.run import play  # noqa: E402
-from hillmux.lab.scenario import Scenario  # noqa: E402
+from hillmux.lab import record
+from hillmux.lab.run import play
+from hillmux.lab.scenario import Scenario
 
 GROWTH = 0.03
 LOOKS = 10  # samples whose median is compared
--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -15,15 +15,13 @@
 import sys
 import time
 from collections import deque
-from pathlib import Path
+from collections.abc import Awaitable, Callable
 from typing import Any
 
 import httptools
 import uvloop
 
-sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
-
-from hillmux.lab.standins.instant import LOOP, counter, hosts, registry  # noqa: E402
+from hillmux.lab.standins.instant import LOOP, counter, hosts, registry
 
 FRESH_S = 1.5  # a connection unused for longer may be closed by the other side just as we write to it
 MOST_WAITING = 10_000  # requests of an open loop that wait for a connection
@@ -241,10 +239,10 @@
     await runner.setup()
     site = web.TCPSite(runner, LOOP, 0)
     await site.start()
-    return {"ports": [site._server.sockets[0].getsockname()[1]]}  # type: ignore[union-attr]
+    return {"ports": [site._server.sockets[0].getsockname()[1]]}
 
 
-ROLES = {
+ROLES: dict[str, Callable[..., Awaitable[dict[str, Any]]]] = {
     "hosts": hosts,
     "counter": counter,
     "registry": registry,
--- a/benchmarks/thousand.py
+++ b/benchmarks/thousand.py
@@ -11,15 +11,11 @@
 import argparse
 import sys
 import time
-from pathlib import Path
 
-ROOT = Path(__file__).resolve().parents[1]
-sys.path.insert(0, str(ROOT))
-
-from hillmux.lab.scenario import Scenario  # noqa: E402
-from hillmux.lab.virtual.play import play  # noqa: E402
-from hillmux.lab.virtual.world import Figures  # noqa: E402
-from hillmux.recovery import full  # noqa: E402
+from hillmux.lab.scenario import Scenario
+from hillmux.lab.virtual.play import play
+from hillmux.lab.virtual.world import Figures
+from hillmux.recovery import full_service
 
 CEILING = 1.9
 
@@ -63,8 +59,12 @@
 
 def back(figures: Figures, middle: int, seconds: float) -> float | None:
     """Seconds from the herd's last start until service is full."""
-    windows = [full.Window(*figures.windows.get(s, [0.0, 0.0])) for s in range(int(seconds))]
-    return full.time_to_full(windows[middle + 1 :], full.before(windows[middle // 2 : middle]))
+    windows = []
+    for second in range(int(seconds)):
+        asked, served = figures.windows.get(second, [0.0, 0.0])
+        windows.append(full_service.Window(asked, served))
+    baseline = full_service.before(windows[middle // 2 : middle])
+    return full_service.time_to_full(windows[middle + 1 :], baseline)
 
 
 def main() -> int:
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -13,7 +13,8 @@
 
 import pytest
 from conftest import Rig, message, on_loop, read_message, reply
-from module_worker import Play
+
+from benchmarks.module_worker import Play
 
 OPCODES = 2042  # of the decision module for a request with its outcome, 10 hosts and 200 customers
 SLACK = 1.05
