--- a/hillmux/hosted/core.py
+++ b/hillmux/hosted/core.py
@@ -273,7 +273,7 @@
 
     def _pass_on(self, client: Client, reply: Response) -> None:
         cast(Any, client).passing = True
-        cast(Any, client).more = reply.headers.get(LINES_KEPT, b"")
+        cast(Any, client).extra_header_lines = reply.headers.get(LINES_KEPT, b"")
         super()._pass_on(client, reply)
 
     def _refuse(self, act: api.Reject) -> None:
