--- a/benchmarks/capacity/hosts.py
+++ b/benchmarks/capacity/hosts.py
@@ -12,7 +12,7 @@
 from benchmarks.module_worker import Play, settings
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
-from hillmux.net.discovery import Listing, parse_listing
+from hillmux.net.discovery import DiscoveryResponse, parse_discovery_response
 
 CUSTOMERS = 700  # 62,000 tenants over 710 gateways, eight gateways each
 REPEATS = 7
@@ -21,9 +21,9 @@
 AS_SOURCE = "the module as source; the compiled build, which the platform runs, costs about half"
 
 
-def read(body: bytes) -> Listing:
+def read(body: bytes) -> DiscoveryResponse:
     """An answer's body as a listing, in the way of `hillmux.net.discovery.Discovery`."""
-    return parse_listing(json.loads(body))
+    return parse_discovery_response(json.loads(body))
 
 
 class Reader:
@@ -33,11 +33,11 @@
         self.now_ms = 1e6
         self._gateway = Gateway(settings(CUSTOMERS), seed)
 
-    def take(self, listing: Listing) -> None:
+    def take(self, listing: DiscoveryResponse) -> None:
         """Have the module take an answer in."""
         self.now_ms += 1.0
-        kind = "full" if listing.whole else "changes"
-        self._gateway.handle(self.now_ms, api.EndpointList(kind, listing.servers))
+        kind = "full" if listing.is_full else "changes"
+        self._gateway.handle(self.now_ms, api.EndpointList(kind, listing.endpoints))
 
 
 def measure_list(size: int, seed: int) -> Values:
--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -116,7 +116,7 @@
         'self.up = server.status != "removed"',
         "drains",
         day(*DRAIN),
-        (("hillmux/net/hosts.py", "host.drains = name in draining", "host.drains = False"),),
+        (("hillmux/net/hosts.py", "host.draining = name in draining", "host.draining = False"),),
     ),
     Planted(
         "a cold host is taken for warm",
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -28,7 +28,7 @@
 from hillmux.hosted.config import load as load_config
 from hillmux.hosted.service import Service
 from hillmux.lab.standins.alone import booking_nodes
-from hillmux.net.core import Order
+from hillmux.net.core import ForwardRequest
 from hillmux.tenants import Router
 from hillmux.tenants.model import Pool, Route, Tenant
 from hillmux.tenants.target import read_target
@@ -252,7 +252,7 @@
     for i in range(100):
         for j in range(partners):
             head = b"GET /api/slots/p HTTP/1.1\r\n"
-            order = Order(
+            order = ForwardRequest(
                 b"%d" % j,
                 "read",
                 "team",
--- a/hillmux/__main__.py
+++ b/hillmux/__main__.py
@@ -12,34 +12,34 @@
 import uvloop
 
 from hillmux.decision import gateway as policy
-from hillmux.net.config import Config, ConfigError, load
-from hillmux.net.platform_gateway import Node
+from hillmux.net.config import ConfigError, GatewayConfig, load
+from hillmux.net.platform_gateway import PlatformGateway
 from hillmux.net.shutdown import Shutdown, set_up_log
 from hillmux.net.streaming import FlowServer
 
 GC_ALLOCATIONS = 20_000
 
 
-def _node(config: Config, loop: asyncio.AbstractEventLoop) -> Node:
+def _node(config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> PlatformGateway:
     """The node that a configuration asks for; operators' calls and snapshots cost nothing where off."""
-    if config.keep is not None:
+    if config.snapshots is not None:
         from hillmux.recovery.snapshotting_gateway import KeptNode
 
         return KeptNode(config, loop)
-    if config.operator is None:
-        return Node(config, loop)
-    from hillmux.net.managed_gateway import OperatedNode
+    if config.operator_address is None:
+        return PlatformGateway(config, loop)
+    from hillmux.net.managed_gateway import ManagedGateway
 
-    return OperatedNode(config, loop)
+    return ManagedGateway(config, loop)
 
 
-def _reload(core: Node, server: FlowServer, started: Config) -> None:
+def _reload(core: PlatformGateway, server: FlowServer, started: GatewayConfig) -> None:
     """SIGHUP: a file that is no good changes nothing."""
     try:
         config = load(os.environ, before=started)
     except ConfigError as error:
         logging.error("reload: the configuration is kept: %s", error)
-        core.not_reloaded()
+        core.reload_rejected()
         return
     core.reload(config)
     server.read_terms()
@@ -51,17 +51,17 @@
     )
 
 
-async def serve(config: Config) -> None:
+async def serve(config: GatewayConfig) -> None:
     """Run until SIGTERM or SIGINT has been served."""
     loop = asyncio.get_running_loop()
     core = _node(config, loop)
-    server = FlowServer(core, loop, config.sockets)
+    server = FlowServer(core, loop, config.max_sockets)
     shutdown = Shutdown(core, server, loop)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, shutdown.begin)
     loop.add_signal_handler(signal.SIGHUP, _reload, core, server, config)
     core.start()
-    await core.listen(config.operator)
+    await core.listen(config.operator_address)
     ((host, port),) = await core.open(server, config.listen)
     compiled = not str(policy.__file__).endswith(".py")
     logging.info("the decision module runs %s", "compiled" if compiled else "as Python source")
--- a/hillmux/hosted/core.py
+++ b/hillmux/hosted/core.py
@@ -13,9 +13,9 @@
 from hillmux.hosted.resources import SHARE, Resources
 from hillmux.hosted.stats import Stats
 from hillmux.interface import AttemptResult, Idempotency, ListKind, RejectReason
-from hillmux.net.core import Client, Core, CounterClient, Order, Pulse, _Open
-from hillmux.net.discovery import Listing
-from hillmux.net.hosts import Attempt, Hosts, _Connection
+from hillmux.net.core import Client, CounterClient, ForwardRequest, GatewayCore, LoopLagMonitor, OpenRequest
+from hillmux.net.discovery import DiscoveryResponse
+from hillmux.net.hosts import Attempt, UpstreamConnection, UpstreamPool
 from hillmux.net.http1 import Reply
 from hillmux.tenants.model import Tenant
 
@@ -55,7 +55,7 @@
         """Reply no more."""
 
 
-class TenantHostConnection(_Connection):
+class TenantHostConnection(UpstreamConnection):
     """One connection to a tenant's host; keeps the header lines that the client gets, too."""
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -70,10 +70,10 @@
         self._headers[b":done"] = b""  # what still comes are trailers
 
 
-class TenantHosts(Hosts):
+class TenantHosts(UpstreamPool):
     """A tenant's connections, held against its shares."""
 
-    connection = TenantHostConnection
+    connection_class = TenantHostConnection
 
     def __init__(
         self,
@@ -87,17 +87,17 @@
         super().__init__(loop, int(resources.hosts.whole), tenant.dial_ms, tenant.idle_ms, ended, wanted)
         self._tenant, self._resources, self._make_room = tenant.id, resources, make_room
 
-    def judge(self, reply: Reply) -> AttemptResult:
+    def classify(self, reply: Reply) -> AttemptResult:
         """An answer that is the tenant's own business, a 404 as much as a 201, was served."""
         if 200 <= reply.status < 500 and reply.status not in (408, 429):
             return AttemptResult.OK
-        return super().judge(reply)
+        return super().classify(reply)
 
     def empty(self) -> bool:
         """Whether no connection is left, nor a dial."""
-        return not self._connections and not self._dials
+        return not self.connections and not self.dials
 
-    def _may_dial(self) -> bool:
+    def reserve_dial(self) -> bool:
         # Guards the descriptors and the dials of the others.
         if not self._resources.dials.take(self._tenant):
             return False
@@ -111,24 +111,24 @@
         self._resources.dials.give(self._tenant)
         return False
 
-    def _dial_over(self) -> None:
-        super()._dial_over()
+    def release_dial(self) -> None:
+        super().release_dial()
         self._resources.dials.give(self._tenant)
         self._resources.hosts.give(self._tenant)  # it stands for itself now, if it is up
 
-    def opened(self, connection: _Connection) -> None:
+    def connection_opened(self, connection: UpstreamConnection) -> None:
         """Also charge the connection to the tenant's share."""
-        super().opened(connection)
+        super().connection_opened(connection)
         self._resources.hosts.charge(self._tenant, 1.0)
 
-    def closed(self, connection: _Connection) -> None:
+    def connection_closed(self, connection: UpstreamConnection) -> None:
         """Also give the connection back to the tenant's share, if it was up."""
-        if connection in self._connections:
+        if connection in self.connections:
             self._resources.hosts.give(self._tenant)
-        super().closed(connection)
+        super().connection_closed(connection)
 
 
-class TenantCore(Core):
+class TenantCore(GatewayCore):
     """Events of a tenant's requests and hosts in, actions of its module out.
 
     Awake, the module has its timer as often as it asks. With nothing open and no pressure left it dozes: the
@@ -140,7 +140,7 @@
         self,
         tenant: Tenant,
         loop: asyncio.AbstractEventLoop,
-        pulse: Pulse,
+        pulse: LoopLagMonitor,
         resources: Resources,
         stats: Stats,
         seed: int,
@@ -149,9 +149,11 @@
     ) -> None:
         super().__init__(tenant.settings, seed, loop, pulse)
         self.tenant = tenant
-        self._clock = resources.clock
+        self.clock = resources.clock
         self._resources, self.stats, self._settled = resources, stats, settled
-        self._hosts: TenantHosts = TenantHosts(tenant, loop, resources, self._ended, make_room, self._wanted)
+        self.upstreams: TenantHosts = TenantHosts(
+            tenant, loop, resources, self.attempt_ended, make_room, self.is_wanted
+        )
         self._timers: dict[str, asyncio.TimerHandle] = {}
         self._dozing = False
         self._busy_at = loop.time()
@@ -160,17 +162,17 @@
         self._counts: TenantCounter | None = None
         self.cause = ""  # of the refusal that is being answered
 
-    def start(self, born_ms: float, listing: Listing, counter: TenantCounter) -> None:
+    def start(self, born_ms: float, listing: DiscoveryResponse, counter: TenantCounter) -> None:
         """Begin as one that was born then and idle since: its ceilings have earned what they could."""
-        self._counter = self._counts = counter
-        for act in self._gateway.handle(born_ms, api.EndpointList(ListKind.CACHED, ())):
-            self._act(act)
-        self._apply(listing, ListKind.FULL)
+        self.counter = self._counts = counter
+        for act in self.decision_module.handle(born_ms, api.EndpointList(ListKind.CACHED, ())):
+            self.execute(act)
+        self.apply_endpoints(listing, ListKind.FULL)
 
-    def update(self, tenant: Tenant, listing: Listing) -> None:
+    def update(self, tenant: Tenant, listing: DiscoveryResponse) -> None:
         """Go on under a changed configuration whose settings are the same."""
         self.tenant = tenant
-        self._apply(listing, ListKind.FULL)
+        self.apply_endpoints(listing, ListKind.FULL)
 
     def leave(self) -> None:
         """Take nothing new; close once the last request has its answer and its attempts are over."""
@@ -180,15 +182,15 @@
 
     def empty(self) -> bool:
         """Whether nothing is left: no request, timer or connection."""
-        return self._closed and not self._requests and not self._timers and self._hosts.empty()
+        return self._closed and not self.requests and not self._timers and self.upstreams.empty()
 
     def open_requests(self) -> int:
         """Requests that are owed an answer, or whose attempts are out."""
-        return len(self._requests)
+        return len(self.requests)
 
     # Requests
 
-    def take(self, client: Client, order: Order, make_room: Callable[[str], bool]) -> str | None:
+    def take(self, client: Client, order: ForwardRequest, make_room: Callable[[str], bool]) -> str | None:
         """Take a request; None: it was refused at once, for the cause in `cause`."""
         tenant, size = self.tenant.id, len(order.head) + len(order.body)
         shares = self._resources.open
@@ -209,125 +211,131 @@
 
     def give_way(self) -> bool:
         """Answer one request early, the newest that was never sent or may be repeated if there is one."""
-        newest = [r for r in islice(reversed(self._requests.values()), LOOKED_AT) if r.client is not None]
+        newest = [r for r in islice(reversed(self.requests.values()), LOOKED_AT) if r.client is not None]
         for request in newest:
             harmless = all(a is None for a in request.attempts) or self._safe(request)
             if harmless:
                 self.cause = SHARE
-                self._answer(request, 503, retry_after_ms=NO_MODULE_MS)
-                self._post(api.ClientDisconnected(request.id))
+                self.answer(request, 503, retry_after_ms=NO_MODULE_MS)
+                self.post(api.ClientDisconnected(request.id))
                 return True
         if newest:
-            self._answer(newest[0], 502)
-            self._post(api.ClientDisconnected(newest[0].id))
+            self.answer(newest[0], 502)
+            self.post(api.ClientDisconnected(newest[0].id))
         return bool(newest)
 
     def drop_idle(self) -> bool:
         """End an idle connection to a host, if there is one."""
-        return self._hosts.drop_idle()
+        return self.upstreams.drop_idle()
 
-    def _safe(self, request: _Open) -> bool:
+    def _safe(self, request: OpenRequest) -> bool:
         return any(
-            c.name == request.order.class_name and c.idempotency == Idempotency.IDEMPOTENT
+            c.name == request.forward_request.class_name and c.idempotency == Idempotency.IDEMPOTENT
             for c in self.settings.classes
         )
 
     def _wake(self) -> None:
-        self._busy_at = self._loop.time()
+        self._busy_at = self.loop.time()
         if self._dozing:
             self._dozing = False
             handle = self._timers.pop("sweep", None)
             if handle is not None:
                 handle.cancel()
-            self._post(api.TimerFired("sweep"))
+            self.post(api.TimerFired("sweep"))
 
-    def _forget(self, request: _Open) -> None:
-        held = request.id in self._requests
-        super()._forget(request)
-        if held and request.id not in self._requests:
+    def forget_if_finished(self, request: OpenRequest) -> None:
+        held = request.id in self.requests
+        super().forget_if_finished(request)
+        if held and request.id not in self.requests:
             self._resources.open.give(self.tenant.id)
-            self._resources.buffer.give(self.tenant.id, len(request.order.head) + len(request.order.body))
+            self._resources.buffer.give(
+                self.tenant.id, len(request.forward_request.head) + len(request.forward_request.body)
+            )
             if self._leaving:
-                self._loop.call_soon(self._close_if_done)
+                self.loop.call_soon(self._close_if_done)
 
     def left(self, rid: str) -> None:
         """Also count a request whose client left before its answer."""
-        request = self._requests.get(rid)
+        request = self.requests.get(rid)
         if request is not None and request.client is not None:
             self.stats.left += 1
         super().left(rid)
 
-    def _answer(
-        self, request: _Open | None, status: int, reply: Reply | None = None, retry_after_ms: float = 0.0
+    def answer(
+        self,
+        request: OpenRequest | None,
+        status: int,
+        reply: Reply | None = None,
+        retry_after_ms: float = 0.0,
     ) -> None:
         if request is not None and request.client is not None:
             if reply is not None:
                 self.stats.served += 1
-                self.stats.times.add((time.monotonic() - request.order.read_at) * 1000)
+                self.stats.times.add((time.monotonic() - request.forward_request.read_at) * 1000)
             elif status in (429, 503):
                 self.stats.refuse(self.cause)
             else:
                 self.stats.failed += 1
                 self.cause = "failed"
-        super()._answer(request, status, reply, retry_after_ms)
+        super().answer(request, status, reply, retry_after_ms)
 
-    def _pass_on(self, client: Client, reply: Reply) -> None:
+    def pass_on_response(self, client: Client, reply: Reply) -> None:
         cast(Any, client).passing = True
         cast(Any, client).more = reply.headers.get(LINES_KEPT, b"")
-        super()._pass_on(client, reply)
+        super().pass_on_response(client, reply)
 
-    def _refuse(self, act: api.Reject) -> None:
+    def reject(self, act: api.Reject) -> None:
         self.cause = act.reason
         status = 429 if act.reason in (RejectReason.QUOTA, RejectReason.CEILING) else 503
-        self._answer(self._requests.get(act.request_id), status, retry_after_ms=act.retry_after_ms)
+        self.answer(self.requests.get(act.request_id), status, retry_after_ms=act.retry_after_ms)
 
-    def _send(self, act: api.SendAttempt) -> None:
-        request = self._requests.get(act.request_id)
+    def send_attempt(self, act: api.SendAttempt) -> None:
+        request = self.requests.get(act.request_id)
         first = request is not None and not request.attempts
-        super()._send(act)
+        super().send_attempt(act)
         if first and request is not None and request.attempts and request.attempts[0] is not None:
-            self.stats.units += request.order.units
+            self.stats.units += request.forward_request.units
 
     # The module
 
-    def _module_failed(self, event: api.Event) -> None:
+    def decision_failed(self, event: api.Event) -> None:
         self.stats.faults += 1
-        super()._module_failed(event)
+        super().decision_failed(event)
         if isinstance(event, api.TimerFired):
             # Guards the tenant against its own fault: without its timer the module would never see f rise.
-            self._timer(api.SetTimer(event.name, RETRY_TIMER_MS))
+            self.set_timer(api.SetTimer(event.name, RETRY_TIMER_MS))
 
-    def _note(self, level: int, text: str, trace: bool = False) -> None:
+    def log_message(self, level: int, text: str, trace: bool = False) -> None:
         if self._resources.may_log(self.tenant.id):
             log.log(level, "tenant %s: %s", self.tenant.id, text, exc_info=trace)
 
-    def _timer(self, act: api.SetTimer) -> None:
+    def set_timer(self, act: api.SetTimer) -> None:
         delay_s = max(act.delay_ms, 0.0) / 1000
         if act.name == "sweep":
             self._sweeps += 1
-            idle = self._loop.time() - self._busy_at > DOZE_AFTER_S and not self._requests
-            self._dozing = idle and self._gateway.idle()
+            idle = self.loop.time() - self._busy_at > DOZE_AFTER_S and not self.requests
+            self._dozing = idle and self.decision_module.idle()
             if self._dozing:
                 delay_s = min(DOZE_S, self.tenant.idle_ms / 2000)
             if self._dozing or self._sweeps % RETIRE_EVERY == 0:
-                self._hosts.retire()
+                self.upstreams.close_expired()
         if self._closed:
             return
         old = self._timers.get(act.name)
         if old is not None:
             old.cancel()
-        self._timers[act.name] = self._loop.call_later(delay_s, self._timer_due, act.name)
+        self._timers[act.name] = self.loop.call_later(delay_s, self._timer_due, act.name)
 
     def _timer_due(self, name: str) -> None:
         self._timers.pop(name, None)
-        self._post(api.TimerFired(name))
-        if self._dozing and name == "sweep" and self._gateway.settled() and not self._requests:
+        self.post(api.TimerFired(name))
+        if self._dozing and name == "sweep" and self.decision_module.settled() and not self.requests:
             self._settled(self)
 
     # The end
 
     def _close_if_done(self) -> None:
-        if self._leaving and not self._requests:
+        if self._leaving and not self.requests:
             self.close()
 
     def close(self) -> None:
@@ -338,7 +346,7 @@
         for handle in self._timers.values():
             handle.cancel()
         self._timers.clear()
-        self._hosts.stop()
+        self.upstreams.stop()
         if self._counts is not None:
             self._counts.close()
         self._settled(self)
--- a/hillmux/hosted/counts.py
+++ b/hillmux/hosted/counts.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from hillmux import interface as api
-from hillmux.net.counter import Counter
+from hillmux.net.counter import HttpCounterClient
 
 Replied = Callable[[api.CounterReply], None]
 
@@ -16,7 +16,7 @@
     """One client for all; each reply goes to who made the call."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], wait_ms: float) -> None:
-        self._client = Counter(loop, address, wait_ms, self._replied)
+        self._client = HttpCounterClient(loop, address, wait_ms, self._replied)
         self.waiting: dict[str, deque[Replied]] = {}  # by full name, the call made first first
 
     def start(self) -> None:
--- a/hillmux/hosted/front.py
+++ b/hillmux/hosted/front.py
@@ -23,7 +23,7 @@
     ClientConnection,
     Server,
 )
-from hillmux.net.core import Order
+from hillmux.net.core import ForwardRequest
 from hillmux.net.requests import DEADLINE, WANTED, WORD, BadRequestError, Message, Terms
 from hillmux.tenants import model
 from hillmux.tenants.router import Entry, Router
@@ -355,7 +355,7 @@
         else:
             self._hand_over(slot, order)
 
-    def _hand_over(self, slot: Slot, order: Order) -> None:
+    def _hand_over(self, slot: Slot, order: ForwardRequest) -> None:
         core = self._service.core(slot.tenant.id)
         self._core = cast(Any, core)
         rid = core.take(self, order, self._service.make_room)
@@ -374,7 +374,7 @@
         self._title = cause
         self.answer(503, retry_after_ms=NO_MODULE_MS)
 
-    def _order(self, message: Message, target: Target, entry: Entry, slot: Slot) -> Order:
+    def _order(self, message: Message, target: Target, entry: Entry, slot: Slot) -> ForwardRequest:
         """The request as its tenant's module and hosts are told of it; BadRequestError where it is none."""
         headers, tenant = message.headers, entry.tenant
         route = Router.route(entry, message.method, target.path, headers)
@@ -406,7 +406,7 @@
         if b"quota-info" in headers:
             units, width, first = terms.quota_info(headers[b"quota-info"])
         rid = headers.get(b"x-request-id") or secrets.token_hex(16).encode()
-        return Order(
+        return ForwardRequest(
             rid,
             cls.name,
             plan,
--- a/hillmux/hosted/service.py
+++ b/hillmux/hosted/service.py
@@ -17,8 +17,8 @@
 from hillmux.hosted.hostfiles import HostFiles
 from hillmux.hosted.resources import TURN_S, Resources
 from hillmux.hosted.stats import Stats
-from hillmux.net.core import Pulse
-from hillmux.net.discovery import Listing
+from hillmux.net.core import LoopLagMonitor
+from hillmux.net.discovery import DiscoveryResponse
 from hillmux.net.requests import Terms
 from hillmux.tenants import model, router
 from hillmux.tenants.addresses import AddressBook
@@ -101,7 +101,7 @@
         # Counts by tenant, where they are embedded; they outlive removals.
         self._stores: dict[str, Store] = {}
         self._unowned: set[str] = set()  # removed, and their accounts not yet closed
-        self._pulse = Pulse(loop)
+        self._pulse = LoopLagMonitor(loop)
         self._random = random.Random(secrets.randbits(64) if seed is None else seed)
         self._book = AddressBook()
         self._files = HostFiles(loop, self._book, self._hosts_changed)
@@ -277,14 +277,14 @@
         self._leaving.add(core)
         core.leave()
 
-    def _listing(self, tenant: model.Tenant) -> Listing:
+    def _listing(self, tenant: model.Tenant) -> DiscoveryResponse:
         servers: list[api.Endpoint] = []
         addresses: dict[str, model.Address] = {}
         for pool in tenant.pools:
             found = self._files.hosts(tenant.id, pool.name) if pool.hosts_file else None
             servers += found[0] if found is not None else pool.servers
             addresses.update(found[1] if found is not None else pool.addresses)
-        return Listing(0, True, tuple(servers), addresses)
+        return DiscoveryResponse(0, True, tuple(servers), addresses)
 
     def _hosts_changed(self, tenant_id: str) -> None:
         slot = self._slots.get(tenant_id)
@@ -337,10 +337,10 @@
         )
         counter: TenantCounter
         if self._shared is not None:
-            counter = ScopedCounter(self._shared, model.scope_of(tenant.id), core._post)
+            counter = ScopedCounter(self._shared, model.scope_of(tenant.id), core.post)
         else:
             store = self._stores.setdefault(tenant.id, Store(MOST_NAMES))
-            counter = EmbeddedCounter(store, self.resources.clock.now_ms, core._post)
+            counter = EmbeddedCounter(store, self.resources.clock.now_ms, core.post)
         core.start(slot.born_ms, self._listing(tenant), counter)
         return core
 
--- a/hillmux/net/clients.py
+++ b/hillmux/net/clients.py
@@ -18,7 +18,7 @@
 import httptools
 
 from hillmux import interface as api
-from hillmux.net.core import Client, Order
+from hillmux.net.core import Client, ForwardRequest
 from hillmux.net.http1 import BLANKS, LONGEST_BODY, NO_BODY, NOT_UP
 from hillmux.net.lingering_close import LINGER_BYTES, LINGER_S, HangUps, hung_up, unread
 from hillmux.net.requests import WANTED, BadRequestError, Message, Terms, check_framing, order
@@ -72,7 +72,7 @@
     draining: bool
     settings: api.Settings
 
-    def request(self, client: Client, order: Order) -> str | None:
+    def request(self, client: Client, order: ForwardRequest) -> str | None:
         """Take one; None if its own id is in use."""
 
     def left(self, rid: str) -> None:
--- a/hillmux/net/config.py
+++ b/hillmux/net/config.py
@@ -8,14 +8,17 @@
 from dataclasses import dataclass, replace
 
 from hillmux import interface as api
-from hillmux.net.discovery import Listing, parse_listing
+from hillmux.net.discovery import DiscoveryResponse, parse_discovery_response
 from hillmux.simulator import codec as wire
 
 Address = tuple[str, int]
-COUNT_PATIENCE = 3.0  # how long a counter call is waited for, in the time that the settings give it
-DEFAULT_SOCKETS = 1024
-EVERY_MS, LEAST_EVERY_MS = 2000.0, 200.0  # between two snapshots: usual, and least
-LEAST_SOCKETS = 128  # leaves a reserve beside clients, hosts, counter, discovery and the loop's own
+COUNTER_TIMEOUT_FACTOR = 3.0  # how long a counter call is waited for, in the time that the settings give it
+DEFAULT_MAX_SOCKETS = 1024
+DEFAULT_SNAPSHOT_INTERVAL_MS, MIN_SNAPSHOT_INTERVAL_MS = (
+    2000.0,
+    200.0,
+)  # between two snapshots: usual, and least
+MIN_SOCKETS = 128  # leaves a reserve beside clients, hosts, counter, discovery and the loop's own
 
 
 class ConfigError(ValueError):
@@ -23,16 +26,16 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Keep:
+class SnapshotSettings:
     """Where snapshots are kept, for installations whose disk lasts."""
 
-    folder: str
-    every_s: float
+    directory: str
+    interval_s: float
     fleet: str  # a name for the tier: a snapshot of another one is left
 
 
 @dataclass(slots=True, frozen=True)
-class Config:
+class GatewayConfig:
     """What one gateway is told when it starts."""
 
     name: str
@@ -40,18 +43,18 @@
     discovery: Address
     counter: Address | None
     seed: int
-    sockets: int
+    max_sockets: int
     settings: api.Settings
-    known: Listing
-    dial_ms: float
-    idle_ms: float
-    operator: Address | None = None  # where operators call, if they do
-    folder: str | None = None  # kept while one process follows another, and theirs alone
-    keep: Keep | None = None  # snapshots, where there are any
-    shape: frozenset[str] = frozenset()  # the fields that the file has
+    known_endpoints: DiscoveryResponse
+    dial_timeout_ms: float
+    idle_timeout_ms: float
+    operator_address: Address | None = None  # where operators call, if they do
+    state_directory: str | None = None  # kept while one process follows another, and theirs alone
+    snapshots: SnapshotSettings | None = None  # snapshots, where there are any
+    present_fields: frozenset[str] = frozenset()  # the fields that the file has
 
 
-def load(environ: Mapping[str, str], before: Config | None = None) -> Config:
+def load(environ: Mapping[str, str], before: GatewayConfig | None = None) -> GatewayConfig:
     """The configuration that `ROUTER_CONFIG` names; the single variables go before the file.
 
     When it is read again, after `before`, the file has the news: the environment tells where discovery was at
@@ -69,7 +72,7 @@
     if not isinstance(raw, dict):
         raise ConfigError("ROUTER_CONFIG: must hold a JSON object")
     shape = frozenset(_shape("", raw))
-    missing = sorted(before.shape - shape) if before is not None else ()
+    missing = sorted(before.present_fields - shape) if before is not None else ()
     if missing:
         raise ConfigError(f"{missing[0]}: is missing, and was there before")
     for field, variable in (
@@ -83,37 +86,39 @@
     config = parse(raw)
     if before is not None and config.settings.plans != before.settings.plans:
         raise ConfigError("settings: packages: plans cannot change in service")
-    return replace(config, shape=shape, folder=environ.get("TMPDIR") or None)
+    return replace(config, present_fields=shape, state_directory=environ.get("TMPDIR") or None)
 
 
-def parse(raw: dict[str, object]) -> Config:
+def parse(raw: dict[str, object]) -> GatewayConfig:
     """The object of the file as a `Config`."""
     pairs = dict(_flatten("", _object(raw, "settings")))
     _positive(pairs, "bounds.try_limit", 1.0)
     settings = _settings(pairs)
     # The counter answers however late, and what it says is true then, too: given up at the bound, one call in
     # seven of a busy counter taught nothing, and the module took it for silent.
-    settings = replace(settings, counter_timeout_ms=COUNT_PATIENCE * settings.counter_timeout_ms)
+    settings = replace(settings, counter_timeout_ms=COUNTER_TIMEOUT_FACTOR * settings.counter_timeout_ms)
     counter = raw.get("counter")
     if settings.counter_available and not counter:
         raise ConfigError("counter: is missing, though the settings allow calls")
     try:
-        known = parse_listing(raw["known"]) if raw.get("known") else Listing(0, True, (), {})
+        known = (
+            parse_discovery_response(raw["known"]) if raw.get("known") else DiscoveryResponse(0, True, (), {})
+        )
     except ValueError as error:
         raise ConfigError(f"known: {error}") from None
-    return Config(
+    return GatewayConfig(
         name=str(raw.get("name", "")),
         listen=address(raw, "listen"),
         discovery=address(raw, "discovery"),
         counter=address(raw, "counter") if counter else None,
         seed=_seed(raw),
-        sockets=_sockets(raw),
+        max_sockets=_sockets(raw),
         settings=settings,
-        known=known,
-        dial_ms=_positive(pairs, "bounds.dial_timeout_ms", 250.0),
-        idle_ms=_positive(pairs, "bounds.conn_idle_ms", 15000.0),
-        operator=address(raw, "operator") if raw.get("operator") else None,
-        keep=_keep(_object(raw, "snapshots")) if raw.get("snapshots") is not None else None,
+        known_endpoints=known,
+        dial_timeout_ms=_positive(pairs, "bounds.dial_timeout_ms", 250.0),
+        idle_timeout_ms=_positive(pairs, "bounds.conn_idle_ms", 15000.0),
+        operator_address=address(raw, "operator") if raw.get("operator") else None,
+        snapshots=_keep(_object(raw, "snapshots")) if raw.get("snapshots") is not None else None,
     )
 
 
@@ -125,19 +130,25 @@
     return host.strip("[]"), int(port)
 
 
-def _keep(raw: dict[str, object]) -> Keep:
+def _keep(raw: dict[str, object]) -> SnapshotSettings:
     """The object `snapshots`: `folder`, and where they are given `every_ms` and `fleet`."""
     unknown = sorted(set(raw) - {"folder", "every_ms", "fleet"})
     if unknown:
         raise ConfigError(f"snapshots.{unknown[0]}: is not folder, every_ms or fleet")
-    folder, every, fleet = raw.get("folder"), raw.get("every_ms", EVERY_MS), raw.get("fleet", "")
+    folder, every, fleet = (
+        raw.get("folder"),
+        raw.get("every_ms", DEFAULT_SNAPSHOT_INTERVAL_MS),
+        raw.get("fleet", ""),
+    )
     if not isinstance(folder, str) or not folder.startswith("/"):
         raise ConfigError(f"snapshots.folder: found {folder!r}, expected a path that begins with /")
-    if isinstance(every, bool) or not isinstance(every, int | float) or not every >= LEAST_EVERY_MS:
-        raise ConfigError(f"snapshots.every_ms: found {every!r}, expected {LEAST_EVERY_MS:g} or more")
+    if isinstance(every, bool) or not isinstance(every, int | float) or not every >= MIN_SNAPSHOT_INTERVAL_MS:
+        raise ConfigError(
+            f"snapshots.every_ms: found {every!r}, expected {MIN_SNAPSHOT_INTERVAL_MS:g} or more"
+        )
     if not isinstance(fleet, str):
         raise ConfigError(f"snapshots.fleet: found {fleet!r}, expected a name")
-    return Keep(folder, every / 1000, fleet)
+    return SnapshotSettings(folder, every / 1000, fleet)
 
 
 def _object(raw: Mapping[str, object], field: str) -> dict[str, object]:
@@ -204,10 +215,10 @@
 
 def _sockets(raw: Mapping[str, object]) -> int:
     limits = raw.get("limits") or {}
-    value = limits.get("sockets", DEFAULT_SOCKETS) if isinstance(limits, dict) else None
-    if not isinstance(value, int) or value < LEAST_SOCKETS:
+    value = limits.get("sockets", DEFAULT_MAX_SOCKETS) if isinstance(limits, dict) else None
+    if not isinstance(value, int) or value < MIN_SOCKETS:
         raise ConfigError(
-            f"limits.sockets: found {value!r}, expected a whole number of {LEAST_SOCKETS} or more"
+            f"limits.sockets: found {value!r}, expected a whole number of {MIN_SOCKETS} or more"
         )
     allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]  # the system's own limit may be lower
     return value if allowed == resource.RLIM_INFINITY else min(value, allowed)
--- a/hillmux/net/counter.py
+++ b/hillmux/net/counter.py
@@ -14,12 +14,16 @@
 from hillmux.net.lingering_close import unread
 
 CONNECTIONS: Final = 4  # a slow part of the counter holds up what is written behind it on the same connection
-DIAL_S: Final = 0.25
-BACKOFF_S, BACKOFF_MAX_S = 0.05, 1.0
-SILENT_S: Final = 1.0  # an answer this late is not coming: the counter's machine is gone
-NOTHING_ADDED: Final = frozenset((400, 404, 503))
-IDLE_S: Final = 0.1  # after that the counter may have closed a connection without our having read so
-GRACE_S: Final = 0.001  # one turn of the loop, in which what has arrived is read before a time-out counts
+DIAL_TIMEOUT_S: Final = 0.25
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 1.0
+SILENCE_TIMEOUT_S: Final = 1.0  # an answer this late is not coming: the counter's machine is gone
+STATUSES_NOTHING_ADDED: Final = frozenset((400, 404, 503))
+IDLE_CHECK_AFTER_S: Final = (
+    0.1  # after that the counter may have closed a connection without our having read so
+)
+READ_GRACE_S: Final = (
+    0.001  # one turn of the loop, in which what has arrived is read before a time-out counts
+)
 
 
 def request_bytes(act: api.IncrementCounter) -> bytes:
@@ -30,17 +34,17 @@
     )
 
 
-class _Call:
-    __slots__ = ("act", "sent_at", "timer", "slot", "written", "done")
+class PendingCall:
+    __slots__ = ("request", "sent_at", "timer", "channel", "written", "done")
 
-    def __init__(self, act: api.IncrementCounter, now: float) -> None:
-        self.act, self.sent_at = act, now
+    def __init__(self, request: api.IncrementCounter, now: float) -> None:
+        self.request, self.sent_at = request, now
         self.timer: asyncio.TimerHandle | None = None
-        self.slot: _Slot | None = None  # once it has a connection to wait for
+        self.channel: CounterChannel | None = None  # once it has a connection to wait for
         self.written = self.done = False
 
 
-class Counter:
+class HttpCounterClient:
     """Calls to the counter, each of which gets exactly one `CountReply`.
 
     `wait_ms` is how long an answer is waited for; `replied` is called with the end of each call.
@@ -53,47 +57,47 @@
         wait_ms: float,
         replied: Callable[[api.CounterReply], None],
     ) -> None:
-        self._loop, self._wait_s, self._replied = loop, wait_ms / 1000, replied
-        self._slots = self._open(address)
+        self._loop, self._timeout_s, self._on_reply = loop, wait_ms / 1000, replied
+        self._channels = self._new_channels(address)
 
-    def _open(self, address: tuple[str, int]) -> list[_Slot]:
-        return [_Slot(self, self._loop, address) for _ in range(CONNECTIONS)]
+    def _new_channels(self, address: tuple[str, int]) -> list[CounterChannel]:
+        return [CounterChannel(self, self._loop, address) for _ in range(CONNECTIONS)]
 
     def start(self) -> None:
         """Open the connections before the first call needs one."""
-        for slot in self._slots:
+        for slot in self._channels:
             slot.dial()
 
     def stop(self) -> None:
         """Close all connections."""
-        for slot in self._slots:
+        for slot in self._channels:
             slot.stop()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Call at another address from now on; what is out on the old connections finishes there."""
-        old, self._slots = self._slots, self._open(address)
+        old, self._channels = self._channels, self._new_channels(address)
         self.start()
         for slot in old:
             for call in slot.retire():
-                self._place(call)
+                self._assign(call)
 
     def call(self, act: api.IncrementCounter) -> None:
         """Write one call on the connection with the fewest calls out.
 
         With no connection to write on, the call ends at once as `connect_failed`.
         """
-        call = _Call(act, self._loop.time())
-        call.timer = self._loop.call_later(self._wait_s, self._overdue, call)
-        self._place(call)
+        call = PendingCall(act, self._loop.time())
+        call.timer = self._loop.call_later(self._timeout_s, self._timeout_due, call)
+        self._assign(call)
 
-    def _place(self, call: _Call) -> None:
-        up = [slot for slot in self._slots if slot.usable()]
+    def _assign(self, call: PendingCall) -> None:
+        up = [slot for slot in self._channels if slot.usable()]
         if up:
-            min(up, key=_Slot.load).write(call)
+            min(up, key=CounterChannel.pending_calls).write(call)
         else:
             self.end(call, AttemptResult.CONNECT_FAILED)
 
-    def end(self, call: _Call, result: AttemptResult, total: float = 0.0) -> None:
+    def end(self, call: PendingCall, result: AttemptResult, total: float = 0.0) -> None:
         """Report what a call came to, once."""
         if call.done:
             return
@@ -101,49 +105,51 @@
         if call.timer is not None:
             call.timer.cancel()
         took = (self._loop.time() - call.sent_at) * 1000
-        self._replied(api.CounterReply(call.act.name, result, total, took))
+        self._on_reply(api.CounterReply(call.request.name, result, total, took))
 
-    def _overdue(self, call: _Call) -> None:
+    def _timeout_due(self, call: PendingCall) -> None:
         # Guards against our own stall: the answer may be here and unread.
-        call.timer = self._loop.call_later(GRACE_S, self._time_out, call)
+        call.timer = self._loop.call_later(READ_GRACE_S, self._time_out, call)
 
-    def _time_out(self, call: _Call) -> None:
-        if call.written and call.slot is not None and self._alone_silent(call, call.slot):
-            call.slot.give_up()
+    def _time_out(self, call: PendingCall) -> None:
+        if call.written and call.channel is not None and self._only_channel_silent(call, call.channel):
+            call.channel.abort_calls()
             return
         # The call stays in its connection's line, so that its late answer is not taken for the next one's.
         self.end(call, AttemptResult.TIMED_OUT if call.written else AttemptResult.CONNECT_FAILED)
 
-    def _alone_silent(self, call: _Call, its: _Slot) -> bool:
+    def _only_channel_silent(self, call: PendingCall, its: CounterChannel) -> bool:
         """Whether the call's connection has gone silent and the counter has not.
 
         Guards the quotas against a path that drops one connection, or a stuck worker behind a proxy: the
         calls in that line would make the module think that nobody answers. A slow part of the counter shows
         on more than one connection, a slow or silent counter on all. Hurts: a lone late call costs a dial.
         """
-        others = [slot for slot in self._slots if slot is not its]
-        late = self._loop.time() - self._wait_s / 2
+        others = [slot for slot in self._channels if slot is not its]
+        late = self._loop.time() - self._timeout_s / 2
         return (
             its.silent_since(call.sent_at)
             and any(not slot.silent_since(call.sent_at) for slot in others)
-            and not any(slot.waits_since(late) for slot in others)
+            and not any(slot.has_call_since(late) for slot in others)
         )
 
 
-class _Slot:
+class CounterChannel:
     """One kept connection: calls out on it in order, and its redialling."""
 
-    def __init__(self, counter: Counter, loop: asyncio.AbstractEventLoop, address: tuple[str, int]) -> None:
+    def __init__(
+        self, counter: HttpCounterClient, loop: asyncio.AbstractEventLoop, address: tuple[str, int]
+    ) -> None:
         self._counter, self._loop, self._address = counter, loop, address
-        self._connection: _Connection | None = None
+        self._connection: CounterConnection | None = None
         self._dial: asyncio.Task[Any] | None = None
         self._dial_timer: asyncio.TimerHandle | None = None
         self._check_timer: asyncio.TimerHandle | None = None
         self._redial_timer: asyncio.TimerHandle | None = None
-        self._calls: deque[_Call] = deque()
+        self._calls: deque[PendingCall] = deque()
         self._failures = 0
-        self._heard_at = 0.0
-        self._rests_until = 0.0
+        self._last_reply_at = 0.0
+        self._backoff_until = 0.0
         self._retired = False  # closes with its last call
 
     def usable(self) -> bool:
@@ -153,21 +159,25 @@
         and what is written to it until then fails.
         """
         if self._connection is not None:
-            self._leave_if_ended(self._connection)
+            self._drop_if_closed_by_peer(self._connection)
         if self._connection is not None:
             return not self._connection.transport.is_closing()
-        return self._dial is not None or self._loop.time() >= self._rests_until
+        return self._dial is not None or self._loop.time() >= self._backoff_until
 
-    def _leave_if_ended(self, connection: _Connection) -> None:
+    def _drop_if_closed_by_peer(self, connection: CounterConnection) -> None:
         """Leave a connection that stood idle and that the counter has closed; the next call dials.
 
         Guards the quotas: a call that crosses the counter's close is cut, and may have been added or not.
         """
-        if not self._calls and self._loop.time() - self._heard_at > IDLE_S and unread(connection.transport):
+        if (
+            not self._calls
+            and self._loop.time() - self._last_reply_at > IDLE_CHECK_AFTER_S
+            and unread(connection.transport)
+        ):
             self._connection = None
             connection.drop()
 
-    def load(self) -> int:
+    def pending_calls(self) -> int:
         """Calls out, those on a connection that is not up yet counting for more."""
         return len(self._calls) + (0 if self._connection is not None else CONNECTIONS)
 
@@ -180,7 +190,7 @@
             self._dial.cancel()
         self._drop()
 
-    def retire(self) -> list[_Call]:
+    def retire(self) -> list[PendingCall]:
         """Close once the calls that are out are answered; returns those that were never written."""
         self._retired = True
         if self._connection is not None:
@@ -194,21 +204,21 @@
 
     def silent_since(self, then: float) -> bool:
         """Whether no answer has come on this connection since."""
-        return self._heard_at < then
+        return self._last_reply_at < then
 
-    def waits_since(self, then: float) -> bool:
+    def has_call_since(self, then: float) -> bool:
         """Whether a call made before that is still out on it."""
         return bool(self._calls) and self._calls[0].sent_at < then
 
-    def give_up(self) -> None:
+    def abort_calls(self) -> None:
         """Close a connection that has gone silent."""
         self._drop()
         self._end_all(AttemptResult.CONNECTION_LOST)
 
-    def write(self, call: _Call) -> None:
+    def write(self, call: PendingCall) -> None:
         """Write a call behind those that are out; without a connection it waits for a dial."""
         self._calls.append(call)
-        call.slot = self
+        call.channel = self
         if self._connection is not None:
             self._send(call, self._connection)
         elif self._dial is None:
@@ -216,23 +226,23 @@
 
     def dial(self) -> None:
         """Open the connection."""
-        connection = _Connection(self)
+        connection = CounterConnection(self)
         self._dial = self._loop.create_task(
             self._loop.create_connection(connection.as_protocol, *self._address)
         )
         self._dial.add_done_callback(partial(self._dial_ended, connection))
-        self._dial_timer = self._loop.call_later(DIAL_S, self._dial.cancel)
+        self._dial_timer = self._loop.call_later(DIAL_TIMEOUT_S, self._dial.cancel)
 
-    def _dial_ended(self, connection: _Connection, task: asyncio.Task[Any]) -> None:
+    def _dial_ended(self, connection: CounterConnection, task: asyncio.Task[Any]) -> None:
         failed = task.cancelled() or task.exception() is not None
         if failed:
             connection.called_off()
         if task is self._dial and failed:
             self._dial = None
             self._stop_dial_timer()
-            self._broken()
+            self._connection_failed()
 
-    def opened(self, connection: _Connection) -> None:
+    def opened(self, connection: CounterConnection) -> None:
         """The dial has come up.
 
         Guards against a connection that is reset as soon as it is up: it is lost before the dial's task tells
@@ -253,35 +263,35 @@
         if self._dial_timer is not None:
             self._dial_timer.cancel()
 
-    def _send(self, call: _Call, connection: _Connection) -> None:
-        connection.write(request_bytes(call.act))
+    def _send(self, call: PendingCall, connection: CounterConnection) -> None:
+        connection.write(request_bytes(call.request))
         call.written = not connection.unsent
         if self._check_timer is None:
-            self._check_timer = self._loop.call_later(SILENT_S, self._check)
+            self._check_timer = self._loop.call_later(SILENCE_TIMEOUT_S, self._check_silence)
 
     def flushed(self) -> None:
         """All that was written has left this process."""
         for call in self._calls:
             call.written = True
 
-    def _check(self) -> None:
+    def _check_silence(self) -> None:
         # Guards against a counter that is cut off: its open connections stay open and silent for good.
         self._check_timer = None
         if not self._calls or self._connection is None:
             return
-        left_s = self._calls[0].sent_at + SILENT_S - self._loop.time()
+        left_s = self._calls[0].sent_at + SILENCE_TIMEOUT_S - self._loop.time()
         if left_s > 0:
-            self._check_timer = self._loop.call_later(left_s, self._check)
+            self._check_timer = self._loop.call_later(left_s, self._check_silence)
         else:
             self._connection.drop()
 
     def replied(self, reply: Reply, reusable: bool) -> None:
         """The answer to the oldest call on this connection."""
-        self._failures, self._heard_at = 0, self._loop.time()
+        self._failures, self._last_reply_at = 0, self._loop.time()
         total = number(reply.body.strip()) if reply.status == 200 else None
-        if total is None and reply.status not in NOTHING_ADDED:
+        if total is None and reply.status not in STATUSES_NOTHING_ADDED:
             # Guards the totals: what answers without a number has added, but can be trusted with no more.
-            self.spoilt()
+            self.malformed_response()
             return
         call = self._calls.popleft()
         if not reusable or (self._retired and not self._calls):
@@ -291,7 +301,7 @@
         else:
             self._counter.end(call, AttemptResult.OK, total)
 
-    def spoilt(self) -> None:
+    def malformed_response(self) -> None:
         """Noise where answers should be: no call behind it will be told its total either."""
         self._drop()
         self._end_all(AttemptResult.MALFORMED_RESPONSE)
@@ -300,19 +310,19 @@
         if self._connection is not None:
             self._connection.drop()
 
-    def lost(self, connection: _Connection) -> None:
+    def lost(self, connection: CounterConnection) -> None:
         """A connection is gone."""
         if connection is self._connection:
             self._connection = None
-            self._broken()
+            self._connection_failed()
 
-    def _broken(self) -> None:
+    def _connection_failed(self) -> None:
         """Report what was out, and dial again, after a rest if this goes on."""
         self._failures += 1
         rest = 0.0
         if self._failures > 1:
-            rest = min(BACKOFF_S * 2 ** min(self._failures - 2, 10), BACKOFF_MAX_S)
-            self._rests_until = self._loop.time() + rest
+            rest = min(MIN_BACKOFF_S * 2 ** min(self._failures - 2, 10), MAX_BACKOFF_S)
+            self._backoff_until = self._loop.time() + rest
         if not self._retired:
             self._redial_timer = self._loop.call_later(rest, self._redial)
         self._end_all(AttemptResult.CONNECTION_LOST)
@@ -333,31 +343,31 @@
     return f"{amount:.6f}".rstrip("0").rstrip(".")
 
 
-class _Connection(ReplyProtocol):
+class CounterConnection(ReplyProtocol):
     """A connection to the counter; what happens on it is told to its slot."""
 
-    def __init__(self, slot: _Slot) -> None:
+    def __init__(self, slot: CounterChannel) -> None:
         super().__init__()
-        self._slot = slot
+        self._channel = slot
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The connection is up."""
         super().connection_made(transport)
-        self._slot.opened(self)
+        self._channel.opened(self)
 
     def resume_writing(self) -> None:
         """All that was written has left this process."""
         super().resume_writing()
-        self._slot.flushed()
+        self._channel.flushed()
 
     def replied(self, reply: Reply, reusable: bool) -> None:
         """An answer came whole; `reusable`: the connection may be written on again."""
-        self._slot.replied(reply, reusable)
+        self._channel.replied(reply, reusable)
 
     def spoilt(self) -> None:
         """What came cannot be read as an answer."""
-        self._slot.spoilt()
+        self._channel.malformed_response()
 
     def lost(self) -> None:
         """The connection is gone."""
-        self._slot.lost(self)
+        self._channel.lost(self)
--- a/hillmux/net/discovery.py
+++ b/hillmux/net/discovery.py
@@ -18,15 +18,22 @@
 
 # A change that discovery has and can tell is known within 6 s, whatever happened to the watch before
 # (docs/platform.md, Discovery's clock): the sum of the longest wait, its silence, and two more tries.
-WAIT_MS: Final = 1500.0  # a watch waits so long for something newer, or less (SPREAD)
-SILENT_S: Final = 1.0  # how long an answer may be overdue before the connection is given up
-PATIENT_S: Final = 2.0  # the same after that: an agent that needs longer must not be asked forever
-DIAL_S: Final = 0.5  # to the agent on our own machine
-BACKOFF_S, BACKOFF_MAX_S = 0.05, 0.5  # to turn a call away costs discovery little, a late list costs us much
+MAX_WATCH_MS: Final = 1500.0  # a watch waits so long for something newer, or less (SPREAD)
+SILENCE_TIMEOUT_S: Final = 1.0  # how long an answer may be overdue before the connection is given up
+PATIENT_SILENCE_TIMEOUT_S: Final = (
+    2.0  # the same after that: an agent that needs longer must not be asked forever
+)
+DIAL_TIMEOUT_S: Final = 0.5  # to the agent on our own machine
+MIN_BACKOFF_S, MAX_BACKOFF_S = (
+    0.05,
+    0.5,
+)  # to turn a call away costs discovery little, a late list costs us much
 # Part of a rest, or of a wait, that is left to chance: a herd that starts at once must not ask at once again
-SPREAD: Final = 0.5
-GRACE_S: Final = 0.002  # a turn of the loop or two, in which what has arrived is read before a silence counts
-STATES: Final = {
+JITTER: Final = 0.5
+READ_GRACE_S: Final = (
+    0.002  # a turn of the loop or two, in which what has arrived is read before a silence counts
+)
+LIFECYCLES: Final = {
     "ready": HostStatus.UP,
     "draining": HostStatus.DRAINING,
     "gone": HostStatus.REMOVED,
@@ -34,17 +41,17 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listing:
+class DiscoveryResponse:
     """One answer of discovery: hosts by instance id, and where to dial them."""
 
     generation: int
-    whole: bool
-    servers: tuple[api.Endpoint, ...]
+    is_full: bool
+    endpoints: tuple[api.Endpoint, ...]
     addresses: dict[str, tuple[str, int]]
 
 
-def parse_listing(raw: object) -> Listing:
-    """Discovery's JSON as a `Listing`; ValueError where it is not one."""
+def parse_discovery_response(raw: object) -> DiscoveryResponse:
+    """Discovery's JSON as a `DiscoveryResponse`; ValueError where it is not one."""
     if not isinstance(raw, dict) or not isinstance(raw.get("instances"), list):
         raise ValueError("is no list of instances")
     generation = raw.get("generation")
@@ -56,7 +63,7 @@
         servers.append(server)
         if address is not None:
             addresses[server.name] = address
-    return Listing(generation, bool(raw.get("reset")), tuple(servers), addresses)
+    return DiscoveryResponse(generation, bool(raw.get("reset")), tuple(servers), addresses)
 
 
 def _instance(entry: object) -> tuple[api.Endpoint, tuple[str, int] | None]:
@@ -64,7 +71,7 @@
         raise ValueError("an instance without instanceId")
     name = entry["instanceId"]
     # Guards against a state that a later discovery may add: what is not known to be ready gets no new work.
-    status = STATES.get(str(entry.get("lifecycle")), HostStatus.DRAINING)
+    status = LIFECYCLES.get(str(entry.get("lifecycle")), HostStatus.DRAINING)
     host, _, port = str(entry.get("hostPort", "")).rpartition(":")
     if status != HostStatus.REMOVED and not (
         host and port.isascii() and port.isdigit() and int(port) < 65536
@@ -85,14 +92,14 @@
     return server, ((host.strip("[]"), int(port)) if status != HostStatus.REMOVED else None)
 
 
-class Discovery:
+class DiscoveryWatch:
     """Keeps one watch going and hands on each answer."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         address: tuple[str, int],
-        told: Callable[[Listing], None],
+        told: Callable[[DiscoveryResponse], None],
         generation: int = 0,
         seed: int = 0,
         stalled: Callable[[], bool] = lambda: False,
@@ -101,21 +108,21 @@
 
         `stalled` says whether what is read now may have waited for long: more may have come after it.
         """
-        self._loop, self._address, self._told = loop, address, told
+        self._loop, self._address, self._on_response = loop, address, told
         self._rng = random.Random(seed)
         self._generation: int | None = generation or None  # None: the whole list is wanted
-        self._connection: _Watch | None = None
+        self._connection: DiscoveryConnection | None = None
         self._dial: asyncio.Task[Any] | None = None
         self._timer: asyncio.TimerHandle | None = None  # the end of our patience, or of a rest
         self._failures = 0
-        self._slow = False  # the last answer was given up: the next may take longer
+        self._patient = False  # the last answer was given up: the next may take longer
         self._stopped = False
-        self._stalled = stalled
+        self._is_stalled = stalled
         self.catching_up = False  # a call is out that is answered at once, with all that there is
 
     def start(self) -> None:
         """Ask for the whole list, then for what changes."""
-        self._ask()
+        self._poll()
 
     def stop(self) -> None:
         """End the watch for good."""
@@ -127,7 +134,7 @@
         if self._connection is not None:
             self._connection.drop()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Watch at another address, from the whole list on; the list is kept until that has come."""
         if self._stopped:
             return
@@ -137,9 +144,9 @@
         if connection is not None:
             connection.drop()
         self._address, self._generation, self._failures = address, None, 0
-        self._ask()
+        self._poll()
 
-    def _ask(self) -> None:
+    def _poll(self) -> None:
         if self._stopped:
             return
         if self._connection is not None:
@@ -149,15 +156,15 @@
             # Guards the watch itself: a connection that broke before this turn of the loop, as by an agent
             # that is short of room, would be written to in vain, and nobody would ask again.
             self._connection = None
-            self._retry()
+            self._poll_after_backoff()
             return
-        self._watch_silence(DIAL_S)
+        self._arm_silence_timer(DIAL_TIMEOUT_S)
         self._dial = self._loop.create_task(
-            self._loop.create_connection(lambda: _Watch(self).as_protocol(), *self._address)
+            self._loop.create_connection(lambda: DiscoveryConnection(self).as_protocol(), *self._address)
         )
-        self._dial.add_done_callback(self._dialled)
+        self._dial.add_done_callback(self._dial_ended)
 
-    def _dialled(self, task: asyncio.Task[Any]) -> None:
+    def _dial_ended(self, task: asyncio.Task[Any]) -> None:
         failed = task.cancelled() or task.exception() is not None
         if task is not self._dial:  # the watch has moved on meanwhile
             if not failed:
@@ -165,43 +172,45 @@
             return
         self._dial = None
         if failed:
-            self._retry()
+            self._poll_after_backoff()
             return
         self._connection = task.result()[1]
         # Danger: of a connection that has just come up we don't know that anybody answers on it, and what we
         # missed before may be all there is to tell. A call that is answered at once shows both.
         self.catching_up = self._generation is not None
-        self._ask()
+        self._poll()
 
-    def _write(self, connection: _Watch) -> None:
+    def _write(self, connection: DiscoveryConnection) -> None:
         wait_ms = 0 if self.catching_up or self._generation is None else self.wait_ms()
         query = "" if self._generation is None else f"?after={self._generation}&wait_ms={wait_ms}"
-        self._watch_silence(wait_ms / 1000 + (PATIENT_S if self._slow else SILENT_S))
+        self._arm_silence_timer(
+            wait_ms / 1000 + (PATIENT_SILENCE_TIMEOUT_S if self._patient else SILENCE_TIMEOUT_S)
+        )
         connection.write(f"GET /v1/endpoints{query} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode())
 
     def wait_ms(self) -> int:
         """How long the next watch waits. Left to chance: a fleet's watches must not fall into step."""
-        return int(WAIT_MS * (1 - SPREAD * self._rng.random()))
+        return int(MAX_WATCH_MS * (1 - JITTER * self._rng.random()))
 
-    def _watch_silence(self, seconds: float) -> None:
+    def _arm_silence_timer(self, seconds: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._loop.call_later(seconds, self._overdue)
+        self._timer = self._loop.call_later(seconds, self._silence_due)
 
-    def _overdue(self) -> None:
+    def _silence_due(self) -> None:
         # Guards against our own stall: the answer may be here and unread, and is no silence of the agent's.
-        self._timer = self._loop.call_later(GRACE_S, self._given_up)
+        self._timer = self._loop.call_later(READ_GRACE_S, self._silence_timed_out)
 
-    def _given_up(self) -> None:
+    def _silence_timed_out(self) -> None:
         # Guards against an agent that is silent for good: without this the watch would hang on one socket.
         log.warning("discovery: no answer, asking again; the list is kept")
         if self._dial is not None:
             self._dial.cancel()
         elif self._connection is not None:
-            self._slow = not self._slow
+            self._patient = not self._patient
             self._connection.drop()
 
-    def replied(self, connection: _Watch, reply: Reply, reusable: bool) -> None:
+    def replied(self, connection: DiscoveryConnection, reply: Reply, reusable: bool) -> None:
         """An answer: hand it on and ask for what comes next at once."""
         if connection is not self._connection:
             return
@@ -212,43 +221,43 @@
             connection.drop()
             return
         try:
-            listing = parse_listing(json.loads(reply.body))
-            if not listing.whole and (self._generation is None or listing.generation < self._generation):
+            listing = parse_discovery_response(json.loads(reply.body))
+            if not listing.is_full and (self._generation is None or listing.generation < self._generation):
                 raise ValueError("changes to a list that was never sent")
         except ValueError as error:
             log.warning("discovery: bad answer, the list is kept: %s", error)
             self._generation = None  # whatever was missed comes with the whole list
             connection.drop()
             return
-        self._failures, self._generation, self._slow = 0, listing.generation, False
-        self.catching_up = self._stalled()
+        self._failures, self._generation, self._patient = 0, listing.generation, False
+        self.catching_up = self._is_stalled()
         if not reusable:
             self._connection = None
             connection.drop()
-        self._ask()  # before the list is acted on: a late watch is a new one
-        self._told(listing)
+        self._poll()  # before the list is acted on: a late watch is a new one
+        self._on_response(listing)
 
-    def lost(self, connection: _Watch) -> None:
+    def lost(self, connection: DiscoveryConnection) -> None:
         """The agent closed or reset the connection."""
         if connection is self._connection:
             self._connection = None
-            self._retry()
+            self._poll_after_backoff()
 
-    def _retry(self) -> None:
+    def _poll_after_backoff(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
         if self._stopped:
             return
         self._failures += 1
-        wait = min(BACKOFF_S * 2 ** min(self._failures - 1, 10), BACKOFF_MAX_S)
-        wait *= 1 - SPREAD * self._rng.random()
-        self._timer = self._loop.call_later(wait, self._ask)
+        wait = min(MIN_BACKOFF_S * 2 ** min(self._failures - 1, 10), MAX_BACKOFF_S)
+        wait *= 1 - JITTER * self._rng.random()
+        self._timer = self._loop.call_later(wait, self._poll)
 
 
-class _Watch(ReplyProtocol):
+class DiscoveryConnection(ReplyProtocol):
     """The connection to the agent."""
 
-    def __init__(self, owner: Discovery) -> None:
+    def __init__(self, owner: DiscoveryWatch) -> None:
         super().__init__(LONGEST_LIST)
         self._owner = owner
 
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -16,27 +16,29 @@
 from hillmux.hot_restart.state_codec import StateError, export, restore
 from hillmux.interface import ListKind
 from hillmux.net.clients import Server
-from hillmux.net.config import Config
-from hillmux.net.core import _Open
-from hillmux.net.discovery import Listing
+from hillmux.net.config import GatewayConfig
+from hillmux.net.core import OpenRequest
+from hillmux.net.discovery import DiscoveryResponse
 from hillmux.net.hosts import Attempt
 from hillmux.net.http1 import Reply
-from hillmux.net.platform_gateway import Node
+from hillmux.net.platform_gateway import PlatformGateway
 from hillmux.net.streaming import FlowHostConnection, FlowHosts
 
 log = logging.getLogger(__name__)
 
-START_S = 4.0  # how long a new process waits to be able to serve before it takes over all the same
+READY_TIMEOUT_S = 4.0  # how long a new process waits to be able to serve before it takes over all the same
 SEEN, SEEN_AT_ONCE = "seen", 512  # the hosts that may be taken out by hand
-LOOK_S = 0.2  # spacing of the looks at the hosts out by hand: a call to another process binds within a second
+OVERRIDE_POLL_INTERVAL_S = (
+    0.2  # spacing of the looks at the hosts out by hand: a call to another process binds within a second
+)
 
 
-class _CountedConnection(FlowHostConnection):
+class CountedConnection(FlowHostConnection):
     """Tells its pool when an attempt's last byte has left."""
 
-    def begin(self, attempt: Attempt) -> None:
+    def start_attempt(self, attempt: Attempt) -> None:
         """Write an attempt's request, and report it if all of it has left at once."""
-        super().begin(attempt)
+        super().start_attempt(attempt)
         if not self.unsent and attempt.upload is None:  # one that flows tells by itself
             self._flow_pool.written(attempt)
 
@@ -47,62 +49,62 @@
             self._flow_pool.written(self.attempt)
 
 
-class _CountedHosts(FlowHosts):
+class CountedPool(FlowHosts):
     """Hosts whose attempts are counted."""
 
-    connection: ClassVar[type[Any]] = _CountedConnection
-    node: OperatedNode
+    connection_class: ClassVar[type[Any]] = CountedConnection
+    gateway: ManagedGateway
 
     def written(self, attempt: Attempt) -> None:
         """An attempt is whole on its connection."""
-        self.node.tried(attempt)
+        self.gateway.attempt_sent(attempt)
 
 
-class OperatedNode(Node):
+class ManagedGateway(PlatformGateway):
     """A node with figures, with hosts out by hand, and with a way to hand over to a next version."""
 
-    hosts: ClassVar[type[FlowHosts]] = _CountedHosts
+    pool_class: ClassVar[type[FlowHosts]] = CountedPool
 
-    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config, loop)
-        cast(_CountedHosts, self._flow_hosts).node = self
-        self.figures_kept = Figures()
-        self._seen = Listed()
-        self._hand_file = HandFile(config.folder)
-        self._held_out: set[str] = set()
-        self._operators = OperatorServer(self, loop)
-        self._folder = config.folder
+        cast(CountedPool, self.streaming_pool).gateway = self
+        self.metrics = Figures()
+        self.known_hosts = Listed()
+        self._override_file = HandFile(config.state_directory)
+        self._disabled: set[str] = set()
+        self._operator_server = OperatorServer(self, loop)
+        self._state_directory = config.state_directory
         self._server: Server[Any] | None = None  # once clients are let in
-        self._hand_over = HandOver(self, loop)
-        self._take_over: TakeOver | None = None
+        self._hot_restart_server = HandOver(self, loop)
+        self._hot_restart_client: TakeOver | None = None
 
     def start(self) -> None:
         """Also begin to look for hosts that are taken out by hand, every LOOK_S."""
         super().start()
-        self._look()
+        self._poll_override_file()
 
     async def listen(self, address: tuple[str, int] | None) -> None:
         """Take operators' calls at an address, where there is one; OSError if that cannot be listened on."""
         if address is not None:
-            host, port = await self._operators.start(address)
+            host, port = await self._operator_server.start(address)
             log.info("operators call at %s:%d", host, port)
 
     def stop(self) -> None:
         """Also close the operators' connections and those for a hand-over."""
         super().stop()
-        self._operators.stop()
-        self._hand_over.stop()
-        if self._take_over is not None:
-            self._take_over.close()
+        self._operator_server.stop()
+        self._hot_restart_server.stop()
+        if self._hot_restart_client is not None:
+            self._hot_restart_client.close()
 
-    def reload(self, config: Config) -> None:
+    def reload(self, config: GatewayConfig) -> None:
         """Also count the reload."""
         super().reload(config)
-        self.figures_kept.loads += 1
+        self.metrics.loads += 1
 
-    def not_reloaded(self) -> None:
+    def reload_rejected(self) -> None:
         """Count a new configuration that was turned down."""
-        self.figures_kept.load_errors += 1
+        self.metrics.load_errors += 1
 
     def ready(self) -> bool:
         """Whether requests can be served: False until clients are let in."""
@@ -120,39 +122,41 @@
 
     async def open(self, server: Server[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
         """Take over from the process that serves here already, if there is one; else listen."""
-        if self._folder is not None:
-            self._take_over = TakeOver.find(self._folder, self._loop, server.adopt)
-        listening = await self._inherit(server) if self._take_over is not None else None
+        if self._state_directory is not None:
+            self._hot_restart_client = TakeOver.find(self._state_directory, self.loop, server.adopt)
+        listening = await self._inherit(server) if self._hot_restart_client is not None else None
         if listening is None:
             listening = server.start(address, shared=True)
         self._server = server
-        if self._folder is not None:
-            self._hand_over.start(self._folder)  # in the old one's place: the next version finds us
-        if self._take_over is not None:
-            self._take_over.serving()
+        if self._state_directory is not None:
+            self._hot_restart_server.start(
+                self._state_directory
+            )  # in the old one's place: the next version finds us
+        if self._hot_restart_client is not None:
+            self._hot_restart_client.serving()
         return listening
 
     async def _inherit(self, server: Server[Any]) -> list[tuple[str, int]] | None:
         """What the old process hands over, once we could serve; None where it does not."""
-        assert self._take_over is not None
-        end = self._loop.time() + START_S
-        while not self.could_serve() and self._loop.time() < end:
+        assert self._hot_restart_client is not None
+        end = self.loop.time() + READY_TIMEOUT_S
+        while not self.could_serve() and self.loop.time() < end:
             await asyncio.sleep(0.02)
         try:
-            descriptor, documents = await self._take_over.ask()
+            descriptor, documents = await self._hot_restart_client.ask()
         except OSError as error:
             log.warning("hand-over: %s; serving beside it, if it still does", error)
-            self._take_over = None
+            self._hot_restart_client = None
             return None
         try:
-            restore(self._gateway, documents)
+            restore(self.decision_module, documents)
             names = [
                 n
                 for d in documents
                 if d.get("t") == SEEN and isinstance(d.get("names"), list)
                 for n in d["names"]
             ]
-            self._seen.add(n for n in names if isinstance(n, str))
+            self.known_hosts.add(n for n in names if isinstance(n, str))
         except StateError as error:  # another version's, perhaps: its clients are worth more
             log.warning("hand-over: what the old process knew is left: %s", error)
         log.info("took over from the process that served here")
@@ -161,17 +165,17 @@
     def give(self) -> tuple[int, Iterable[dict[str, Any]]]:
         """Stop accepting and deciding: a descriptor of the listening socket, and what is known."""
         assert self._server is not None
-        self._post(api.TakenOver(True))
-        names = self._seen.all()
+        self.post(api.TakenOver(True))
+        names = self.known_hosts.all()
         seen = [
             {"t": SEEN, "names": names[at : at + SEEN_AT_ONCE]} for at in range(0, len(names), SEEN_AT_ONCE)
         ]
-        return self._server.lend(), chain(export(self._gateway), seen)
+        return self._server.lend(), chain(export(self.decision_module), seen)
 
     def keep(self) -> None:
         """Go on after all: the successor ended before it served."""
         assert self._server is not None
-        self._post(api.TakenOver(False))
+        self.post(api.TakenOver(False))
         self._server.take_back()
 
     def gone(self, heir: Heir) -> None:
@@ -188,52 +192,56 @@
 
     def figures(self) -> dict[str, object]:
         """All figures, as JSON holds them."""
-        open_now = sum(request.client is not None for request in self._requests.values())
-        fleet = self._gateway.fleet
-        return self.figures_kept.shown(
+        open_now = sum(request.client is not None for request in self.requests.values())
+        fleet = self.decision_module.fleet
+        return self.metrics.shown(
             [c.name for c in self.settings.classes], open_now, len(fleet.hosts), fleet.skipped()
         )
 
     def hand(self, host: str, out: bool) -> str:
         """Take a host out by hand, or put it back; "" once that holds, else why not."""
-        wrong = refused(host, out, self._seen, self._held_out)
+        wrong = refused(host, out, self.known_hosts, self._disabled)
         if wrong:
             return wrong
         try:
-            self._hand_file.change(host, out)
+            self._override_file.change(host, out)
         except HandError as error:
             return str(error)
-        self._hold_out(self._hand_file.out)
+        self._disable_hosts(self._override_file.out)
         return ""
 
-    def _look(self) -> None:
+    def _poll_override_file(self) -> None:
         """Take over what another process of this gateway was told."""
-        names = self._hand_file.refresh()
+        names = self._override_file.refresh()
         if names is not None:
-            self._hold_out(names)
-        self._loop.call_later(LOOK_S, self._look)
+            self._disable_hosts(names)
+        self.loop.call_later(OVERRIDE_POLL_INTERVAL_S, self._poll_override_file)
 
-    def _hold_out(self, names: set[str]) -> None:
-        self._hosts.hold_out(frozenset(names))
-        for name in names ^ self._held_out:
-            self._post(api.HostDisabled(name, name in names))
-        self._held_out = set(names)
+    def _disable_hosts(self, names: set[str]) -> None:
+        self.upstreams.set_disabled(frozenset(names))
+        for name in names ^ self._disabled:
+            self.post(api.HostDisabled(name, name in names))
+        self._disabled = set(names)
 
     # What is counted
 
-    def _apply(self, listing: Listing, kind: ListKind) -> None:
-        self._seen.add(server.name for server in listing.servers)
-        super()._apply(listing, kind)
+    def apply_endpoints(self, listing: DiscoveryResponse, kind: ListKind) -> None:
+        self.known_hosts.add(server.name for server in listing.endpoints)
+        super().apply_endpoints(listing, kind)
 
-    def _answer(
-        self, request: _Open | None, status: int, reply: Reply | None = None, retry_after_ms: float = 0.0
+    def answer(
+        self,
+        request: OpenRequest | None,
+        status: int,
+        reply: Reply | None = None,
+        retry_after_ms: float = 0.0,
     ) -> None:
         if request is not None and request.client is not None:
-            self.figures_kept.answered(request.order.class_name, status)
-        super()._answer(request, status, reply, retry_after_ms)
+            self.metrics.answered(request.forward_request.class_name, status)
+        super().answer(request, status, reply, retry_after_ms)
 
-    def tried(self, attempt: Attempt) -> None:
+    def attempt_sent(self, attempt: Attempt) -> None:
         """An attempt has left whole."""
-        request = self._requests.get(attempt.request)
+        request = self.requests.get(attempt.request_id)
         if request is not None:
-            self.figures_kept.tried(request.order.class_name)
+            self.metrics.tried(request.forward_request.class_name)
--- a/hillmux/net/requests.py
+++ b/hillmux/net/requests.py
@@ -1,4 +1,4 @@
-"""What a client's request may say: its framing, its headers, and the `Order` that they make. Free of I/O."""
+"""What a client's request may say: its framing, its headers and the `ForwardRequest` made of them; no I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from hillmux import interface as api
 from hillmux.interface import Idempotency
-from hillmux.net.core import Order
+from hillmux.net.core import ForwardRequest
 from hillmux.net.http1 import LONGEST_BODY
 
 WANTED: Final = frozenset(
@@ -99,8 +99,8 @@
         return float(units), int(spread), int(first)
 
 
-def order(message: Message, terms: Terms) -> Order:
-    """A request for `/api/` as an `Order`; BadRequestError where it breaks the protocol."""
+def order(message: Message, terms: Terms) -> ForwardRequest:
+    """A request for `/api/` as a `ForwardRequest`; BadRequestError where it breaks the protocol."""
     headers = message.headers
     path, _, _ = message.url.partition(b"?")
     customer = path.rpartition(b"/")[2]
@@ -116,7 +116,7 @@
     time_left_ms = float(deadline[1]) / (1 if deadline[2] == b"m" else 1000)
     units, width, first = terms.quota_info(headers.get(b"quota-info", b""))
     # No client of a class waits for longer than its deadline, whatever it says.
-    return Order(
+    return ForwardRequest(
         headers.get(b"x-request-id", b""),
         cls.name,
         plan,
--- a/hillmux/net/streaming.py
+++ b/hillmux/net/streaming.py
@@ -20,7 +20,7 @@
 
 from hillmux.interface import AttemptResult
 from hillmux.net.clients import ClientConnection, Server
-from hillmux.net.hosts import Attempt, Hosts, _Connection
+from hillmux.net.hosts import Attempt, UpstreamConnection, UpstreamPool
 from hillmux.net.http1 import LONGEST_BODY, NO_BODY, Reply
 from hillmux.net.requests import BadRequestError
 
@@ -266,7 +266,7 @@
         super()._sweep()
 
 
-class FlowHostConnection(_Connection):
+class FlowHostConnection(UpstreamConnection):
     """A connection to a host whose long bodies and answers flow."""
 
     flows = True
@@ -332,48 +332,48 @@
             (self.transport.pause_reading if wait else self.transport.resume_reading)()
 
 
-class FlowHosts(Hosts):
+class FlowHosts(UpstreamPool):
     """Sends attempts whose bodies and answers may flow."""
 
-    connection: ClassVar[type[Any]] = FlowHostConnection
+    connection_class: ClassVar[type[Any]] = FlowHostConnection
     begun: Callable[[Attempt, Reply, FlowHostConnection], FlowConnection | None]
 
     def came(self, attempt: Attempt) -> None:
         """Its body's last byte has come: its time runs from now on."""
         if not attempt.done:
             attempt.sent_at = time.monotonic()
-            self._timeouts.cancel(attempt, attempt.slot)
-            attempt.slot = self._timeouts.add(attempt, attempt.timeout_s)
+            self.timeouts.cancel(attempt, attempt.timeout_slot)
+            attempt.timeout_slot = self.timeouts.add(attempt, attempt.timeout_s)
 
     def written(self, attempt: Attempt) -> None:
         """An attempt whose body flowed is whole on its connection."""
 
     def began(self, connection: FlowHostConnection, attempt: Attempt, reply: Reply) -> FlowConnection | None:
         """A long answer begins; the client that it goes to, if it may."""
-        if attempt.done or self.judge(reply) != AttemptResult.OK or reply.status in NO_BODY:
+        if attempt.done or self.classify(reply) != AttemptResult.OK or reply.status in NO_BODY:
             return None
         client = self.begun(attempt, reply, connection)
         if client is not None:
-            self._timeouts.cancel(attempt, attempt.slot)
-            self._flows[attempt] = connection
+            self.timeouts.cancel(attempt, attempt.timeout_slot)
+            self.streams[attempt] = connection
         return client
 
-    def _time_out(self, attempt: Attempt) -> None:
-        if attempt not in self._flows:  # it began while its time-out waited for a turn of the loop
-            super()._time_out(attempt)
+    def time_out(self, attempt: Attempt) -> None:
+        if attempt not in self.streams:  # it began while its time-out waited for a turn of the loop
+            super().time_out(attempt)
 
-    def _end_flow(self, attempt: Attempt) -> None:
-        connection = self._flows.pop(attempt, None)
+    def end_streams(self, attempt: Attempt) -> None:
+        connection = self.streams.pop(attempt, None)
         if connection is not None:
             connection.flowing = None
         if attempt.upload is not None:
             attempt.upload.detach(attempt.connection)
 
-    def retire(self) -> None:
+    def close_expired(self) -> None:
         """Also end as timed out the answers of which nothing has come for STANDS_S."""
-        super().retire()
-        before = self._loop.time() - STANDS_S
-        for attempt, connection in list(self._flows.items()):
+        super().close_expired()
+        before = self.loop.time() - STANDS_S
+        for attempt, connection in list(self.streams.items()):
             if connection.moved_at < before:
-                self._abandon(attempt)
-                self._end(attempt, AttemptResult.TIMED_OUT)
+                self.abandon(attempt)
+                self.finish(attempt, AttemptResult.TIMED_OUT)
--- a/hillmux/recovery/snapshotting_gateway.py
+++ b/hillmux/recovery/snapshotting_gateway.py
@@ -13,8 +13,8 @@
 from hillmux.hot_restart.service import Heir
 from hillmux.hot_restart.state_codec import StateError, export, restore
 from hillmux.net.clients import Server
-from hillmux.net.config import Config
-from hillmux.net.managed_gateway import START_S, OperatedNode
+from hillmux.net.config import GatewayConfig
+from hillmux.net.managed_gateway import READY_TIMEOUT_S, ManagedGateway
 from hillmux.quotas.throttle import SILENT_RATE
 from hillmux.recovery.readiness import Phases, View
 from hillmux.recovery.retention import BeliefError, worth_leaving
@@ -27,47 +27,48 @@
 STALL_MS = 1_000.0  # a pause of the module as long ago as this still counts
 
 
-class KeptNode(OperatedNode):
+class KeptNode(ManagedGateway):
     """An operated node with snapshots and phases."""
 
-    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config, loop)
-        keep = config.keep
+        keep = config.snapshots
         assert keep is not None
         plans = digest(repr(config.settings.plans).encode())
         self._snapshots = Snapshots(
-            Path(keep.folder),
-            keep.every_s,
+            Path(keep.directory),
+            keep.interval_s,
             config.name,
             keep.fleet,
             plans,
             self._left_behind,
-            self._clock.now_ms,
+            self.clock.now_ms,
             loop,
         )
-        self._born_ms = self._clock.now_ms()
+        self._born_ms = self.clock.now_ms()
         self._phases = Phases(self._born_ms)
         self._outcomes = 0
         self._looked = time.monotonic()
         self._succeeded = False
 
     def _left_behind(self, exact: bool) -> Iterator[dict[str, Any]]:
-        now, rests = self._clock.now_ms(), self._gateway.quotas.registry.rests
+        now, rests = self.clock.now_ms(), self.decision_module.quotas.registry.rests
         return export(
-            self._gateway, lambda state: worth_leaving(state.seen_at, rests[state.plan.name], now, exact)
+            self.decision_module,
+            lambda state: worth_leaving(state.seen_at, rests[state.plan.name], now, exact),
         )
 
     async def open(self, server: Server[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
         """As before; what was left by the process before is gone on from, where none hands over."""
         snapshot = self._snapshots.take()
         if snapshot is not None:
-            end = self._loop.time() + START_S
+            end = self.loop.time() + READY_TIMEOUT_S
             # Only what the list names is taken over, so the list comes first: discovery's, or the kept one.
-            while not self.could_serve() and self._loop.time() < end:
+            while not self.could_serve() and self.loop.time() < end:
                 await asyncio.sleep(0.02)
             try:
-                restore(self._gateway, self._snapshots.believed(snapshot, self._born_ms))
-                age = (self._clock.now_ms() - snapshot.head.taken_ms) / 1000
+                restore(self.decision_module, self._snapshots.believed(snapshot, self._born_ms))
+                age = (self.clock.now_ms() - snapshot.head.taken_ms) / 1000
                 log.info(
                     "snapshots: going on from %s, %.1f s old, %s",
                     snapshot.head.incarnation,
@@ -111,15 +112,15 @@
         }
 
     def _watch(self) -> None:
-        now, clock = time.monotonic(), self._clock.now_ms()
-        gateway, fleet = self._gateway, self._gateway.fleet
+        now, clock = time.monotonic(), self.clock.now_ms()
+        gateway, fleet = self.decision_module, self.decision_module.fleet
         late = now - self._looked > LOOK_S + STALL_MS / 1000
         self._looked = now
         asked = self.settings.counter_available and gateway.quotas.throttle.called_at > self._born_ms
         stalled = late or clock - gateway.stalled_at < STALL_MS
         view = View(
             self.ready(),
-            self._heard,
+            self.discovery_answered,
             not asked or gateway.quotas.throttle.answer_rate >= SILENT_RATE,
             self._outcomes,
             gateway.f,
@@ -130,9 +131,9 @@
         )
         if self._phases.look(clock, view):
             log.info("phase: %s", self._phases.now.text())
-        self._loop.call_later(LOOK_S, self._watch)
+        self.loop.call_later(LOOK_S, self._watch)
 
-    def _post(self, event: api.Event) -> None:
+    def post(self, event: api.Event) -> None:
         if isinstance(event, api.AttemptEnded):
             self._outcomes += 1
-        super()._post(event)
+        super().post(event)
--- a/tests/capacity/test_single_guards.py
+++ b/tests/capacity/test_single_guards.py
@@ -26,13 +26,13 @@
 def test_the_list_is_read_whole_and_of_a_change_only_its_line() -> None:
     instances = listings.instances(HOSTS, 1)
     listing = hosts.read(listings.whole(instances))
-    assert listing.whole
-    assert len(listing.servers) == len(listing.addresses) == HOSTS
+    assert listing.is_full
+    assert len(listing.endpoints) == len(listing.addresses) == HOSTS
     body = listings.change(instances[0], 100_001, drains=True)
     assert len(body) <= MOST_BYTES_A_CHANGE
     changed = hosts.read(body)
-    assert not changed.whole
-    assert [server.status for server in changed.servers] == ["draining"]
+    assert not changed.is_full
+    assert [server.status for server in changed.endpoints] == ["draining"]
 
 
 def test_hosts_of_a_full_list_have_names_and_addresses_of_their_own() -> None:
--- a/tests/crossings/test_sending.py
+++ b/tests/crossings/test_sending.py
@@ -17,61 +17,63 @@
 from hillmux import interface as api
 from hillmux.interface import AttemptResult, ListKind
 from hillmux.net import core as core_module
-from hillmux.net.core import Core
-from hillmux.net.counter import CONNECTIONS, Counter
-from hillmux.net.discovery import parse_listing
+from hillmux.net.core import GatewayCore
+from hillmux.net.counter import CONNECTIONS, HttpCounterClient
+from hillmux.net.discovery import parse_discovery_response
 from hillmux.net.streaming import FlowServer
 
 LONG_MS = 5000.0
 
 
-def told(core: Core, lifecycle: str, port: int) -> None:
+def told(core: GatewayCore, lifecycle: str, port: int) -> None:
     """Discovery tells a change of the one host."""
     entry = {"instanceId": "s-0", "hostPort": f"{LOOP}:{port}", "lifecycle": lifecycle}
-    core._apply(parse_listing({"generation": 2, "reset": False, "instances": [entry]}), ListKind.CHANGES)
+    core.apply_endpoints(
+        parse_discovery_response({"generation": 2, "reset": False, "instances": [entry]}), ListKind.CHANGES
+    )
 
 
-def drains(core: Core, port: int) -> None:
+def drains(core: GatewayCore, port: int) -> None:
     told(core, "draining", port)
 
 
-def is_gone(core: Core, port: int) -> None:
+def is_gone(core: GatewayCore, port: int) -> None:
     told(core, "gone", port)
 
 
-def moves(core: Core, port: int) -> None:
+def moves(core: GatewayCore, port: int) -> None:
     told(core, "ready", port + 1 if port < 65535 else port - 1)
 
 
-def is_out_by_hand(core: Core, port: int) -> None:
-    core._hosts.hold_out(frozenset({"s-0"}))
+def is_out_by_hand(core: GatewayCore, port: int) -> None:
+    core.upstreams.set_disabled(frozenset({"s-0"}))
 
 
-def client_leaves(core: Core, port: int) -> None:
+def client_leaves(core: GatewayCore, port: int) -> None:
     core.left("r1")
 
 
-def guard_answers(core: Core, port: int) -> None:
-    core._guard(core._requests["r1"])
+def guard_answers(core: GatewayCore, port: int) -> None:
+    core.deadline_reached(core.requests["r1"])
 
 
-def time_runs_out(core: Core, port: int) -> None:
-    core._requests["r1"].end_at = 0.0
+def time_runs_out(core: GatewayCore, port: int) -> None:
+    core.requests["r1"].deadline = 0.0
 
 
 @pytest.mark.parametrize(
     "happens", [drains, is_gone, moves, is_out_by_hand, client_leaves, guard_answers, time_runs_out]
 )
 def test_what_happens_while_a_dial_is_under_way_keeps_the_request_from_its_host(
-    monkeypatch: pytest.MonkeyPatch, happens: Callable[[Core, int], None]
+    monkeypatch: pytest.MonkeyPatch, happens: Callable[[GatewayCore, int], None]
 ) -> None:
     """The module calls nothing off: some settings do not let it, and its events may wait for news."""
 
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
-        dials = core._hosts._loop = HeldDials(core._loop)
-        core._hosts._dial_s = 10.0
+        dials = core.upstreams.loop = HeldDials(core.loop)
+        core.upstreams._dial_timeout_s = 10.0
         script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
         core.request(Answers(), an_order())
         await dials.asked.wait()
@@ -80,7 +82,7 @@
         while not script.outcomes():
             await asyncio.sleep(0)
         assert script.outcomes() == [AttemptResult.NOT_SENT]
-        assert not core._requests or core._requests["r1"].out == 0
+        assert not core.requests or core.requests["r1"].open_attempts == 0
         await asyncio.sleep(0.02)
         assert not host.seen
         host.stop()
@@ -90,7 +92,7 @@
 
 @pytest.mark.parametrize("happens", [drains, is_gone, is_out_by_hand])
 def test_what_happens_after_the_first_byte_leaves_the_request_alone(
-    monkeypatch: pytest.MonkeyPatch, happens: Callable[[Core, int], None]
+    monkeypatch: pytest.MonkeyPatch, happens: Callable[[GatewayCore, int], None]
 ) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: None)
@@ -128,7 +130,7 @@
         drains(core, host.port)
         core._handling = False
         script.plan[api.Request] = [api.SendAttempt("r2", "s-0", LONG_MS)]
-        core._post(core._events.popleft())
+        core.post(core._queued_events.popleft())
         assert [type(e) for e in script.events[before:]] == [api.Request, api.EndpointList, api.AttemptEnded]
         assert script.outcomes()[-1] == AttemptResult.NOT_SENT and len(host.seen) == 1
         host.stop()
@@ -143,14 +145,14 @@
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
-        dials = core._hosts._loop = HeldDials(core._loop)
-        core._hosts._dial_s = 10.0
+        dials = core.upstreams.loop = HeldDials(core.loop)
+        core.upstreams._dial_timeout_s = 10.0
         script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS, LONG_MS if recalled else 20.0)]
         core.request(Answers(), an_order())
         await dials.asked.wait()
-        attempt = core._requests["r1"].attempts[0]
+        attempt = core.requests["r1"].attempts[0]
         assert attempt is not None
-        while not recalled and core_module.time.monotonic() < attempt.valid_until:
+        while not recalled and core_module.time.monotonic() < attempt.delivery_deadline:
             await asyncio.sleep(0.001)
         dials.go.set()
         while not script.outcomes():
@@ -183,8 +185,8 @@
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
-        dials = core._hosts._loop = HeldDials(core._loop)
-        core._hosts._dial_s = 10.0
+        dials = core.upstreams.loop = HeldDials(core.loop)
+        core.upstreams._dial_timeout_s = 10.0
         script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
         core.request(Answers(), an_order())
         await dials.asked.wait()
@@ -212,7 +214,7 @@
         listener = socket.create_server((LOOP, 0))
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
-        core._hosts.update({"s-0": (LOOP, listener.getsockname()[1])}, set())
+        core.upstreams.update({"s-0": (LOOP, listener.getsockname()[1])}, set())
         script.plan[api.Request] = [api.SendAttempt("r1", "s-0", 60.0)]
         ended: list[bytes] = []
         heard = Script.handle
@@ -271,8 +273,8 @@
             assert host.opened == opened
             await asyncio.sleep(0.02)
             if serial == 2:  # no sweep comes: the core was not started
-                for connection in core._hosts._idle:
-                    connection.idle_since -= core._hosts._idle_s
+                for connection in core.upstreams._idle:
+                    connection.idle_since -= core.upstreams._idle_timeout_s
         host.stop()
 
     on_loop(scenario, 5)
@@ -303,7 +305,7 @@
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
-        server = FlowServer(core, core._loop, 1024)
+        server = FlowServer(core, core.loop, 1024)
         ((_, port),) = server.start((LOOP, 0))
         client = socket.create_connection((LOOP, port))
         client.sendall(message("pay", rid=b"first"))
@@ -314,7 +316,7 @@
         await asyncio.sleep(0.02)  # the client has its answer, the host's connection is rested
         script.plan[api.Request] = [api.SendAttempt("r2", "s-0", LONG_MS)]
         if behind:
-            core._pulse._due = time.monotonic() - 0.2
+            core.loop_lag._next_heartbeat_at = time.monotonic() - 0.2
         client.sendall(message("pay", rid=b"second"))
         client.shutdown(socket.SHUT_WR)
         while len(script.outcomes()) < 2:
@@ -334,7 +336,7 @@
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
-        server = FlowServer(core, core._loop, 1024)
+        server = FlowServer(core, core.loop, 1024)
         ((_, port),) = server.start((LOOP, 0))
         before = Answers()
         script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
@@ -361,13 +363,13 @@
         loop = asyncio.get_running_loop()
         listener = socket.create_server((LOOP, 0))
         got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
-        counter = Counter(loop, (LOOP, listener.getsockname()[1]), 1000.0, got.put_nowait)
+        counter = HttpCounterClient(loop, (LOOP, listener.getsockname()[1]), 1000.0, got.put_nowait)
         counter.start()
         peers = [(await loop.run_in_executor(None, listener.accept))[0] for _ in range(CONNECTIONS)]
-        while not all(slot._connection for slot in counter._slots):
+        while not all(slot._connection for slot in counter._channels):
             await asyncio.sleep(0)
-        for slot in counter._slots:
-            slot._heard_at = loop.time() - 1.0  # they have stood idle
+        for slot in counter._channels:
+            slot._last_reply_at = loop.time() - 1.0  # they have stood idle
         for peer in peers:
             peer.shutdown(socket.SHUT_WR)  # has arrived, and the loop has had no turn since
         counter.call(api.IncrementCounter("a", 1.0, 1000.0))
--- a/tests/crossings/test_watch.py
+++ b/tests/crossings/test_watch.py
@@ -13,14 +13,14 @@
 
 from hillmux.net import discovery as discovery_module
 from hillmux.net.discovery import (
-    BACKOFF_S,
-    DIAL_S,
-    GRACE_S,
-    PATIENT_S,
-    SILENT_S,
-    WAIT_MS,
-    Discovery,
-    Listing,
+    DIAL_TIMEOUT_S,
+    MAX_WATCH_MS,
+    MIN_BACKOFF_S,
+    PATIENT_SILENCE_TIMEOUT_S,
+    READ_GRACE_S,
+    SILENCE_TIMEOUT_S,
+    DiscoveryResponse,
+    DiscoveryWatch,
 )
 
 TOLD_S, TOLD_AFTER_SIGHUP_S = 6.0, 4.0  # the operators' terms
@@ -28,20 +28,20 @@
 
 def test_the_longest_way_to_a_change_is_shorter_than_the_terms() -> None:
     """A watch falls silent right before a change; then a dial, or a call, fails in the slowest way."""
-    silent = WAIT_MS / 1000 + SILENT_S + GRACE_S
-    dial = DIAL_S + GRACE_S
-    dial_fails = BACKOFF_S + dial + 2 * BACKOFF_S + dial + PATIENT_S + GRACE_S
-    call_fails = BACKOFF_S + dial + PATIENT_S + GRACE_S + 2 * BACKOFF_S + dial
+    silent = MAX_WATCH_MS / 1000 + SILENCE_TIMEOUT_S + READ_GRACE_S
+    dial = DIAL_TIMEOUT_S + READ_GRACE_S
+    dial_fails = MIN_BACKOFF_S + dial + 2 * MIN_BACKOFF_S + dial + PATIENT_SILENCE_TIMEOUT_S + READ_GRACE_S
+    call_fails = MIN_BACKOFF_S + dial + PATIENT_SILENCE_TIMEOUT_S + READ_GRACE_S + 2 * MIN_BACKOFF_S + dial
     assert silent + dial_fails < TOLD_S
     assert silent + call_fails < TOLD_S
-    moved = dial + BACKOFF_S + dial + SILENT_S + GRACE_S
+    moved = dial + MIN_BACKOFF_S + dial + SILENCE_TIMEOUT_S + READ_GRACE_S
     assert moved < TOLD_AFTER_SIGHUP_S
 
 
 @pytest.fixture
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
     """The same clock, ten times as fast."""
-    for name in ("WAIT_MS", "SILENT_S", "PATIENT_S", "DIAL_S"):
+    for name in ("MAX_WATCH_MS", "SILENCE_TIMEOUT_S", "PATIENT_SILENCE_TIMEOUT_S", "DIAL_TIMEOUT_S"):
         monkeypatch.setattr(discovery_module, name, getattr(discovery_module, name) / 10)
 
 
@@ -91,7 +91,7 @@
         agent = Agent(listing(1, "a"))
         await agent.fake.start()
         dials = HeldDials(asyncio.get_running_loop())
-        agent.discovery = Discovery(dials, (LOOP, agent.fake.port), agent.told.put_nowait, 0, 1)
+        agent.discovery = DiscoveryWatch(dials, (LOOP, agent.fake.port), agent.told.put_nowait, 0, 1)
         agent.discovery.start()
         await dials.asked.wait()
         dials.asked.clear()
@@ -109,12 +109,12 @@
         await old.fake.start()
         await new.fake.start()
         dials = HeldDials(asyncio.get_running_loop())
-        discovery = new.discovery = Discovery(dials, (LOOP, old.fake.port), new.told.put_nowait, 0, 1)
+        discovery = new.discovery = DiscoveryWatch(dials, (LOOP, old.fake.port), new.told.put_nowait, 0, 1)
         discovery.start()
         await dials.asked.wait()
-        discovery.move((LOOP, new.fake.port))
+        discovery.change_address((LOOP, new.fake.port))
         dials.go.set()
-        assert [s.name for s in (await new.told.get()).servers] == ["b"]
+        assert [s.name for s in (await new.told.get()).endpoints] == ["b"]
         assert not old.fake.seen
         old.fake.stop()
         new.stop()
@@ -127,9 +127,9 @@
 
     async def scenario() -> None:
         listener = socket.create_server((LOOP, 0))
-        told: asyncio.Queue[Listing] = asyncio.Queue()
+        told: asyncio.Queue[DiscoveryResponse] = asyncio.Queue()
         loop = asyncio.get_running_loop()
-        discovery = Discovery(loop, (LOOP, listener.getsockname()[1]), told.put_nowait, 0, 1)
+        discovery = DiscoveryWatch(loop, (LOOP, listener.getsockname()[1]), told.put_nowait, 0, 1)
         discovery.start()
         agent, _ = await loop.run_in_executor(None, listener.accept)
         agent.setblocking(False)
@@ -140,7 +140,7 @@
         def stall() -> None:  # among what the loop reads: its timers come before it reads again
             loop.remove_reader(ours)
             agent.sendall(listing(1, "a"))
-            time.sleep(discovery_module.PATIENT_S + 0.05)
+            time.sleep(discovery_module.PATIENT_SILENCE_TIMEOUT_S + 0.05)
 
         loop.add_reader(ours, stall)
         theirs.send(b"x")
@@ -165,7 +165,7 @@
 
         def slow(seen: Seen) -> bytes | None:
             calls.append(seen)
-            later = (discovery_module.SILENT_S + discovery_module.PATIENT_S) / 2
+            later = (discovery_module.SILENCE_TIMEOUT_S + discovery_module.PATIENT_SILENCE_TIMEOUT_S) / 2
             if seen.line.startswith("GET /v1/endpoints "):
                 asyncio.get_running_loop().call_later(later, seen.writer.write, listing(1, "a"))
             return None
@@ -182,7 +182,7 @@
     """200 gateways that began at once would else all call in the same moment, again and again."""
     waits = set()
     for seed in range(200):
-        discovery = Discovery(None, (LOOP, 1), lambda listing: None, 1, seed)  # type: ignore[arg-type]
+        discovery = DiscoveryWatch(None, (LOOP, 1), lambda listing: None, 1, seed)  # type: ignore[arg-type]
         waits.add(discovery.wait_ms())
     assert len(waits) > 100
-    assert WAIT_MS / 2 <= min(waits) < max(waits) <= WAIT_MS
+    assert MAX_WATCH_MS / 2 <= min(waits) < max(waits) <= MAX_WATCH_MS
--- a/tests/fakes/agent.py
+++ b/tests/fakes/agent.py
@@ -7,7 +7,7 @@
 
 from conftest import LOOP, Fake, Seen, instance, reply
 
-from hillmux.net.discovery import Discovery, Listing
+from hillmux.net.discovery import DiscoveryResponse, DiscoveryWatch
 
 
 def listing(generation: int, *names: str, whole: bool = True) -> bytes:
@@ -21,14 +21,14 @@
     def __init__(self, *answers: bytes | None) -> None:
         self.answers = list(answers)
         self.fake = Fake(self._behave)
-        self.told: asyncio.Queue[Listing] = asyncio.Queue()
+        self.told: asyncio.Queue[DiscoveryResponse] = asyncio.Queue()
 
     def _behave(self, seen: Seen) -> bytes | None:
         return self.answers.pop(0) if self.answers else None
 
     async def start(self, generation: int = 0) -> Agent:
         await self.fake.start()
-        self.discovery = Discovery(
+        self.discovery = DiscoveryWatch(
             asyncio.get_running_loop(), (LOOP, self.fake.port), self.told.put_nowait, generation, 1
         )
         self.discovery.start()
--- a/tests/fakes/core.py
+++ b/tests/fakes/core.py
@@ -13,8 +13,8 @@
 from hillmux.interface import ListKind
 from hillmux.net import core as core_module
 from hillmux.net.config import parse
-from hillmux.net.core import Core, Order
-from hillmux.net.platform_gateway import Node
+from hillmux.net.core import ForwardRequest, GatewayCore
+from hillmux.net.platform_gateway import PlatformGateway
 
 
 class Script:
@@ -50,9 +50,9 @@
         return False
 
 
-def an_order(deadline_ms: float = 5000) -> Order:
+def an_order(deadline_ms: float = 5000) -> ForwardRequest:
     an_order.serial += 1
-    return Order(
+    return ForwardRequest(
         b"%d" % an_order.serial,
         "pay",
         "team",
@@ -71,7 +71,7 @@
 an_order.serial = 0
 
 
-async def core_with(monkeypatch: pytest.MonkeyPatch, host: Fake) -> tuple[Core, Script]:
+async def core_with(monkeypatch: pytest.MonkeyPatch, host: Fake) -> tuple[GatewayCore, Script]:
     """A core whose module is a script and whose one host is `s-0`; discovery does not answer."""
     monkeypatch.setattr(core_module, "Gateway", Script)
     await host.start()
@@ -84,10 +84,10 @@
             "settings": {"grades": GRADES, "packages": PACKAGES, "bounds": {"try_limit": 2}},
         }
     )
-    core = Node(config, asyncio.get_running_loop())
-    core._apply(config.known, ListKind.CACHED)
-    core._loop.call_soon(core._pulse._beat)
-    return core, core._gateway
+    core = PlatformGateway(config, asyncio.get_running_loop())
+    core.apply_endpoints(config.known_endpoints, ListKind.CACHED)
+    core.loop.call_soon(core.loop_lag._heartbeat)
+    return core, core.decision_module
 
 
 class HeldDials:
--- a/tests/fakes/desk.py
+++ b/tests/fakes/desk.py
@@ -8,7 +8,7 @@
 from conftest import GRADES, LOOP, PACKAGES, instance
 
 from hillmux.net.config import parse
-from hillmux.net.core import Client, Order
+from hillmux.net.core import Client, ForwardRequest
 from hillmux.net.streaming import FlowServer
 
 
@@ -27,15 +27,15 @@
             }
         ).settings
         self.draining = False
-        self.open: dict[str, tuple[Client, Order]] = {}
+        self.open: dict[str, tuple[Client, ForwardRequest]] = {}
         self.gone: list[str] = []
         self.taken: list[bytes] = []
         self.server = FlowServer(self, asyncio.get_running_loop(), sockets)
         ((_, self.port),) = self.server.start((LOOP, 0))
 
-    def request(self, client: Client, order: Order) -> str | None:
+    def request(self, client: Client, order: ForwardRequest) -> str | None:
         rid = f"r{len(self.taken)}"
-        self.taken.append(order.wire_id)
+        self.taken.append(order.client_request_id)
         self.open[rid] = client, order
         return rid
 
@@ -63,7 +63,7 @@
         """Serve what is open."""
         answered, self.open = self.open, {}  # an answer may bring the next request of its connection
         for client, order in answered.values():
-            client.answer(200, order.wire_id)
+            client.answer(200, order.client_request_id)
 
 
 async def reads(sock: socket.socket, count: int = 1) -> list[bytes]:
--- a/tests/hosted/test_changes.py
+++ b/tests/hosted/test_changes.py
@@ -25,7 +25,7 @@
 from hillmux.hosted.config import ConfigFaultsError
 from hillmux.hosted.resources import UNHEARD
 from hillmux.hosted.service import Service
-from hillmux.net.hosts import REST_S
+from hillmux.net.hosts import REUSE_DELAY_S
 
 
 @pytest.fixture(autouse=True)
@@ -328,7 +328,7 @@
         async with rig:
             assert await rig.status(request("a")) == 503  # there is no file yet
             hosts_file(path, rig.hosts["a"].port)
-            await rig.until(lambda: rig.service.core("a")._hosts.names())
+            await rig.until(lambda: rig.service.core("a").upstreams.host_names())
             assert await rig.status(request("a")) == 200
             file = rig.service._files._files["a"]["main"]
             for bad in ("[[[", "hosts = 3", f'[[hosts]]\nid="x"\naddress="{LOOP}:{rig.hosts["b"].port}"'):
@@ -340,7 +340,7 @@
             await rig.until(lambda: file.stamp is None)
             assert await rig.status(request("a")) == 200
             hosts_file(path)
-            await rig.until(lambda: not rig.service.core("a")._hosts.names())
+            await rig.until(lambda: not rig.service.core("a").upstreams.host_names())
             assert await rig.status(request("a")) == 503
 
     on_loop(scenario)
@@ -390,8 +390,8 @@
             assert await rig.status(request("b")) == 200  # its core is made now
             for tenant in "ab":
                 core = rig.service.core(tenant)
-                assert core._gateway.now >= before - 1000
-                assert core._clock is rig.service.resources.clock
+                assert core.decision_module.now >= before - 1000
+                assert core.clock is rig.service.resources.clock
 
     on_loop(scenario)
 
@@ -613,7 +613,7 @@
             )  # told once, however often it is looked at
             assert await rig.status(request("a")) == 503
             rig.apply("a")
-            await rig.until(lambda: rig.service.core("a")._hosts.names())
+            await rig.until(lambda: rig.service.core("a").upstreams.host_names())
             assert await rig.status(request("a")) == 200
 
     on_loop(scenario)
@@ -659,7 +659,9 @@
             flood = [await asyncio.open_connection(LOOP, process.port) for _ in range(20)]
             assert "accept failed: EMFILE" in await process.line("accept failed")
             for _ in range(5):
-                await asyncio.sleep(3 * REST_S)  # the kept connection to the host may be used again by then
+                await asyncio.sleep(
+                    3 * REUSE_DELAY_S
+                )  # the kept connection to the host may be used again by then
                 assert status(await client.ask(request("a"))) == 200
             for _, writer in flood:
                 writer.close()
--- a/tests/hosted/test_front.py
+++ b/tests/hosted/test_front.py
@@ -190,20 +190,20 @@
     async def scenario() -> None:
         async with Hosted("a", "b") as rig:
             core = rig.service.core("a")
-            handle = core._gateway.handle
+            handle = core.decision_module.handle
 
             def broken(now: float, event: object) -> object:
                 if type(event).__name__ in ("Request", "TimerFired"):
                     raise RuntimeError("broken")
                 return handle(now, event)
 
-            core._gateway.handle = broken
+            core.decision_module.handle = broken
             client = await rig.connect()
             for _ in range(5):
                 assert status(await client.ask(request("a"))) == 500
                 assert status(await client.ask(request("b"))) == 200
             await rig.until(lambda: core.stats.faults > 6)  # its timer comes again
-            core._gateway.handle = handle
+            core.decision_module.handle = handle
             assert status(await client.ask(request("a"))) == 200
             assert core.open_requests() == 0 and rig.service.resources.open.held == 0
             assert not rig.service.slot("b").stats.faults
@@ -218,14 +218,14 @@
 
         async with Hosted("a", behave=full) as rig:
             core = rig.service.core("a")
-            handle = core._gateway.handle
+            handle = core.decision_module.handle
 
             def broken(now: float, event: object) -> object:
                 if type(event).__name__ == "AttemptEnded":
                     raise RuntimeError("broken")
                 return handle(now, event)
 
-            core._gateway.handle = broken
+            core.decision_module.handle = broken
             assert await rig.status(request("a")) == 502
             assert core.open_requests() == 0
 
--- a/tests/hosted/test_isolation.py
+++ b/tests/hosted/test_isolation.py
@@ -350,13 +350,13 @@
                 def __getattr__(self, name: str) -> object:
                     return getattr(loop, name)
 
-            hosts = rig.service.core("a")._hosts
-            hosts._loop = NoDescriptors()
+            hosts = rig.service.core("a").upstreams
+            hosts.loop = NoDescriptors()
             for _ in range(4):
                 assert await rig.status(request("a")) == 503
-            (host,) = rig.service.core("a")._gateway.hosts.values()
+            (host,) = rig.service.core("a").decision_module.hosts.values()
             assert host.fails == 0 and not host.died
-            hosts._loop = loop
+            hosts.loop = loop
             assert await rig.status(request("a")) == 200
             assert rig.service.resources.dials.held == 0
 
@@ -373,9 +373,9 @@
             caplog.set_level(logging.INFO)
             caplog.clear()
             for _ in range(50):
-                rig.service.core("a")._note(logging.INFO, "noise")
+                rig.service.core("a").log_message(logging.INFO, "noise")
             for _ in range(2):
-                rig.service.core("b")._note(logging.INFO, "news")
+                rig.service.core("b").log_message(logging.INFO, "news")
             told = Counter(record.getMessage() for record in caplog.records)
             assert told == {"tenant a: noise": 6, "tenant b: news": 2}
             assert rig.service.resources.lines_left_out == 44
--- a/tests/hosted/test_rest.py
+++ b/tests/hosted/test_rest.py
@@ -147,13 +147,13 @@
             core = rig.service.core("a")
             await rig.until(lambda: core._dozing)
             seen: list[str] = []
-            handle = core._gateway.handle
+            handle = core.decision_module.handle
 
             def watched(now: float, event: api.Event) -> list[api.Action]:
                 seen.append(type(event).__name__)
                 return handle(now, event)
 
-            core._gateway.handle = watched
+            core.decision_module.handle = watched
             assert await rig.status(request("a")) == 200
             assert seen[:2] == ["TimerFired", "Request"]
             assert not core._dozing and set(core._timers) == {"sweep"}
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,13 +8,13 @@
 from conftest import on_loop, reply
 from fakes.agent import Agent, listing
 
-from hillmux.net.discovery import Discovery, Listing
+from hillmux.net.discovery import DiscoveryResponse, DiscoveryWatch
 
 
 def test_what_is_known_already_is_not_asked_for_again() -> None:
     async def scenario() -> None:
         watch = await Agent(listing(43, "b", whole=False)).start(41)
-        assert [s.name for s in (await watch.told.get()).servers] == ["b"]
+        assert [s.name for s in (await watch.told.get()).endpoints] == ["b"]
         await watch.fake.until(lambda fake: len(fake.seen) == 2)
         assert watch.asked() == ["/v1/endpoints?after=41", "/v1/endpoints?after=43"]
         watch.stop()
@@ -28,8 +28,8 @@
     async def scenario() -> None:
         busy = reply(b"", 503)
         watch = await Agent(listing(7, "a"), busy, busy, busy, listing(8, "b", whole=False)).start()
-        assert (await watch.told.get()).whole
-        assert not (await watch.told.get()).whole
+        assert (await watch.told.get()).is_full
+        assert not (await watch.told.get()).is_full
         assert watch.asked()[:5] == ["/v1/endpoints", *["/v1/endpoints?after=7"] * 4]
         watch.stop()
 
@@ -41,7 +41,7 @@
     async def scenario() -> None:
         watch = await Agent(listing(7, "a"), spoilt, listing(9, "b")).start()
         await watch.told.get()
-        assert (await watch.told.get()).whole
+        assert (await watch.told.get()).is_full
         assert watch.asked()[:3] == ["/v1/endpoints", "/v1/endpoints?after=7", "/v1/endpoints"]
         watch.stop()
 
@@ -52,7 +52,7 @@
     """Such a connection is closing before it can be written to; the watch must not hang on it."""
 
     async def scenario() -> None:
-        told: asyncio.Queue[Listing] = asyncio.Queue()
+        told: asyncio.Queue[DiscoveryResponse] = asyncio.Queue()
         broken = [0]
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -65,9 +65,9 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        discovery = Discovery(asyncio.get_running_loop(), ("127.0.0.1", port), told.put_nowait)
+        discovery = DiscoveryWatch(asyncio.get_running_loop(), ("127.0.0.1", port), told.put_nowait)
         discovery.start()
-        assert [s.name for s in (await told.get()).servers] == ["a"]
+        assert [s.name for s in (await told.get()).endpoints] == ["a"]
         assert broken[0] == 5
         discovery.stop()
         server.close()
@@ -83,7 +83,7 @@
         await watch.told.get()
         await watch.fake.until(lambda fake: len(fake.seen) == 2)
         watch.discovery._connection.transport.abort()
-        watch.discovery._ask()
+        watch.discovery._poll()
         assert (await watch.told.get()).generation == 2
         watch.stop()
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -22,7 +22,7 @@
     reply,
 )
 
-from hillmux.net.hosts import REST_S
+from hillmux.net.hosts import REUSE_DELAY_S
 
 
 def serve(seen: Seen) -> bytes:
@@ -231,7 +231,7 @@
             for i in range(5):
                 writer.write(message(rid=b"id-%d" % i))
                 assert (await read_message(reader, writer)).body == b"served"
-                await asyncio.sleep(5 * REST_S)
+                await asyncio.sleep(5 * REUSE_DELAY_S)
             assert len({id(s.writer) for s in rig.hosts[0].seen}) == 1
 
     on_loop(scenario)
@@ -608,7 +608,7 @@
             if not late:
                 return answer + more
             seen.writer.write(answer)
-            asyncio.get_running_loop().call_later(REST_S / 4, seen.writer.write, more)
+            asyncio.get_running_loop().call_later(REUSE_DELAY_S / 4, seen.writer.write, more)
             return None
 
         async with Rig(tmp_path, behave) as rig:
@@ -720,7 +720,7 @@
         async with Rig(tmp_path, behave) as rig:
             for i in range(10):
                 assert await rig.status(message(rid=b"id-%d" % i)) == 200
-                await asyncio.sleep(5 * REST_S)
+                await asyncio.sleep(5 * REUSE_DELAY_S)
             assert not any("fails" in line for line in rig.log)
             assert len(rig.hosts[0].seen) == 19  # each but the first found its connection dead once
 
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -17,9 +17,9 @@
 from hillmux.interface import AttemptResult, RejectReason
 from hillmux.net import counter as counter_module
 from hillmux.net.config import parse
-from hillmux.net.core import Core
-from hillmux.net.counter import Counter
-from hillmux.net.discovery import WAIT_MS
+from hillmux.net.core import GatewayCore
+from hillmux.net.counter import HttpCounterClient
+from hillmux.net.discovery import MAX_WATCH_MS
 from hillmux.net.http1 import Reply
 
 
@@ -39,7 +39,7 @@
             api.Reject("r1", 0.0, RejectReason.OVERLOAD),
             api.Fail("r1"),
         ]
-        core._post(api.TimerFired("late"))
+        core.post(api.TimerFired("late"))
         assert script.outcomes() == [AttemptResult.NOT_SENT]
         await asyncio.sleep(0.05)
         assert client.got.empty() and len(host.seen) == 1
@@ -48,9 +48,9 @@
     on_loop(scenario)
 
 
-def stood_still(core: Core) -> None:
+def stood_still(core: GatewayCore) -> None:
     """As after a stall that is over before the heartbeat could tell."""
-    core._pulse._due = time.monotonic() - 2
+    core.loop_lag._next_heartbeat_at = time.monotonic() - 2
 
 
 @pytest.mark.parametrize("answers", [True, False])
@@ -85,7 +85,7 @@
         first = {"generation": 2, "reset": False, "instances": [instance("s-1", 9)]}
         core._discovery.replied(core._discovery._connection, reply_of(first), True)  # read after the stall
         core.request(Answers(), an_order())
-        core._pulse._due = time.monotonic() + 60  # caught up
+        core.loop_lag._next_heartbeat_at = time.monotonic() + 60  # caught up
         while not any(isinstance(e, api.Request) for e in script.events):
             await asyncio.sleep(0.002)
         kinds = [type(e) for e in script.events[began:]]
@@ -93,7 +93,9 @@
         await host.until(lambda fake: len(told) >= (3 if answers else 2))  # perhaps a turn later
         waits = [int(query.rpartition("=")[2]) for query in told[1:]]
         assert waits[0] == 0 and len(waits) == (2 if answers else 1)
-        assert all(WAIT_MS / 2 <= wait <= WAIT_MS for wait in waits[1:])  # a watch again, as long as ever
+        assert all(
+            MAX_WATCH_MS / 2 <= wait <= MAX_WATCH_MS for wait in waits[1:]
+        )  # a watch again, as long as ever
         core.stop()
         host.stop()
 
@@ -146,7 +148,7 @@
         assert script.outcomes() == [AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT]
         await host.until(lambda fake: bool(fake.seen))
         script.plan[api.TimerFired] = [api.CancelAttempt("r1", 0), api.CancelAttempt("r1", 0), api.Fail("r1")]
-        core._post(api.TimerFired("cancel"))
+        core.post(api.TimerFired("cancel"))
         await host.until(lambda fake: fake.closed == 1)
         assert script.outcomes() == [
             AttemptResult.CONNECT_FAILED,
@@ -154,7 +156,7 @@
             AttemptResult.CANCELLED,
         ]
         assert await client.got.get() == 502
-        assert not core._requests
+        assert not core.requests
         host.stop()
 
     on_loop(scenario)
@@ -180,7 +182,7 @@
         host = await Fake(lambda seen: reply()).start()
         core, script = await core_with(monkeypatch, host)
         order: list[str] = []
-        handle, act = script.handle, core._act
+        handle, act = script.handle, core.execute
 
         def handled(now_ms: float, event: api.Event) -> list[api.Action]:
             order.append(type(event).__name__)
@@ -191,14 +193,14 @@
             act(action)
 
         monkeypatch.setattr(script, "handle", handled)
-        monkeypatch.setattr(core, "_act", acted)
-        monkeypatch.setattr(core, "_counter", None)  # so each call fails at once
+        monkeypatch.setattr(core, "execute", acted)
+        monkeypatch.setattr(core, "counter", None)  # so each call fails at once
         script.plan[api.TimerFired] = [
             api.IncrementCounter("a", 1.0, 1.0),
             api.IncrementCounter("b", 1.0, 1.0),
             api.Log("done"),
         ]
-        core._post(api.TimerFired("any"))
+        core.post(api.TimerFired("any"))
         assert order == [
             "TimerFired",
             "IncrementCounter",
@@ -223,7 +225,7 @@
         for _ in range(2):
             script.plan[api.Request] = [api.SendAttempt("", "s-0", 4000)]
             request = an_order()
-            serial = core._serial + 1
+            serial = core.last_serial + 1
             script.plan[api.Request] = [api.SendAttempt(f"r{serial}", "s-0", 4000)]
             core.request(client, request)
             assert await client.got.get() == 200
@@ -238,22 +240,22 @@
     async def scenario() -> None:
         fakes = [await Fake(lambda seen: reply()).start() for _ in range(3)]
         core, script = await core_with(monkeypatch, fakes[0])
-        hosts = core._hosts
+        hosts = core.upstreams
         hosts.update({f"s-{i}": (LOOP, fake.port) for i, fake in enumerate(fakes)}, set())
         client = Answers()
         for name in ("s-1", "s-0", "s-2", "s-0"):  # the last time s-0 is used it is kept, and the freshest
-            script.plan[api.Request] = [api.SendAttempt(f"r{core._serial + 1}", name, 4000)]
+            script.plan[api.Request] = [api.SendAttempt(f"r{core.last_serial + 1}", name, 4000)]
             core.request(client, an_order())
             assert await client.got.get() == 200
             await asyncio.sleep(0.02)
         assert [c.host.name for c in hosts._idle] == ["s-1", "s-2", "s-0"]
         assert hosts.drop_idle()
         await fakes[1].until(lambda fake: fake.closed == 1)
-        hosts._idle_s = 0.03  # by now s-2 has been idle for longer, s-0 has not
-        hosts._loop.time()
-        next(reversed(hosts._idle)).idle_since = hosts._loop.time() + 1.0
+        hosts._idle_timeout_s = 0.03  # by now s-2 has been idle for longer, s-0 has not
+        hosts.loop.time()
+        next(reversed(hosts._idle)).idle_since = hosts.loop.time() + 1.0
         await asyncio.sleep(0.05)
-        hosts.retire()
+        hosts.close_expired()
         await fakes[2].until(lambda fake: fake.closed == 1)
         assert [c.host.name for c in hosts._idle] == ["s-0"] and fakes[0].closed == 0
         hosts.update({}, {"s-0"})
@@ -271,7 +273,7 @@
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
-        core._hosts._loop = Breaking(core._loop)
+        core.upstreams.loop = Breaking(core.loop)
         client = Answers()
         script.plan[api.Request] = [api.SendAttempt("r1", "s-0", 5000)]
         script.plan[api.AttemptEnded] = [api.Reject("r1", 0.0, RejectReason.OVERLOAD)]
@@ -291,28 +293,28 @@
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
-        hosts, opened = core._hosts, core._hosts.opened
+        hosts, opened = core.upstreams, core.upstreams.connection_opened
         up: list[object] = []
 
         def opened_and_cancelled(connection) -> None:
             opened(connection)
             up.append(connection)
-            (attempt,) = core._requests["r1"].attempts
+            (attempt,) = core.requests["r1"].attempts
             hosts.cancel(attempt)
 
-        monkeypatch.setattr(hosts, "opened", opened_and_cancelled)
+        monkeypatch.setattr(hosts, "connection_opened", opened_and_cancelled)
         script.plan[api.Request] = [api.SendAttempt("r1", "s-0", 5000)]
         script.plan[api.AttemptEnded] = [api.Reject("r1", 0.0, RejectReason.OVERLOAD)]
         client = Answers()
         core.request(client, an_order())
         assert await client.got.get() == 503
-        while hosts._dials:
+        while hosts.dials:
             await asyncio.sleep(0)
         assert script.outcomes() == [
             AttemptResult.NOT_SENT
         ]  # called off before its first byte: it surely never ran
         await asyncio.sleep(0.01)
-        assert up and not hosts._connections
+        assert up and not hosts.connections
         host.stop()
 
     on_loop(scenario, 3)
@@ -341,11 +343,11 @@
 
 async def counter_with(
     monkeypatch: pytest.MonkeyPatch, fake: Fake, wait_ms: float
-) -> tuple[Counter, asyncio.Queue[api.CounterReply]]:
+) -> tuple[HttpCounterClient, asyncio.Queue[api.CounterReply]]:
     monkeypatch.setattr(counter_module, "CONNECTIONS", 1)
     await fake.start()
     got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
-    counter = Counter(asyncio.get_running_loop(), (LOOP, fake.port), wait_ms, got.put_nowait)
+    counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), wait_ms, got.put_nowait)
     return counter, got
 
 
@@ -415,7 +417,7 @@
             }
         )
         got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
-        counter = Counter(
+        counter = HttpCounterClient(
             asyncio.get_running_loop(), config.counter, config.settings.counter_timeout_ms, got.put_nowait
         )
         counter.call(api.IncrementCounter("a", 1, 1000))
@@ -457,24 +459,27 @@
     async def scenario() -> None:
         monkeypatch.setattr(counter_module, "CONNECTIONS", 1)
         listener = socket.create_server((LOOP, 0))
-        made, gone = counter_module._Connection.connection_made, counter_module._Connection.connection_lost
+        made, gone = (
+            counter_module.CounterConnection.connection_made,
+            counter_module.CounterConnection.connection_lost,
+        )
         ended = asyncio.Event()
 
         def made_and_reset(connection, transport: asyncio.BaseTransport) -> None:
             accepted, _ = listener.accept()
             accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             accepted.close()
-            monkeypatch.setattr(counter_module._Connection, "connection_made", made)
+            monkeypatch.setattr(counter_module.CounterConnection, "connection_made", made)
             made(connection, transport)
 
         def lost(connection, exc: Exception | None) -> None:
             gone(connection, exc)
             ended.set()
 
-        monkeypatch.setattr(counter_module._Connection, "connection_made", made_and_reset)
-        monkeypatch.setattr(counter_module._Connection, "connection_lost", lost)
+        monkeypatch.setattr(counter_module.CounterConnection, "connection_made", made_and_reset)
+        monkeypatch.setattr(counter_module.CounterConnection, "connection_lost", lost)
         got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
-        counter = Counter(asyncio.get_running_loop(), listener.getsockname(), 5000, got.put_nowait)
+        counter = HttpCounterClient(asyncio.get_running_loop(), listener.getsockname(), 5000, got.put_nowait)
         counter.start()
         await ended.wait()
         await asyncio.sleep(0.01)  # the dial's task has ended, too
@@ -496,18 +501,18 @@
         fake = Fake(lambda seen: reply(b"1"))
         await fake.start()
         got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
-        counter = Counter(asyncio.get_running_loop(), (LOOP, fake.port), 5000, got.put_nowait)
-        made = counter_module._Connection.connection_made
+        counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), 5000, got.put_nowait)
+        made = counter_module.CounterConnection.connection_made
 
         def made_and_called_off(connection, transport: asyncio.BaseTransport) -> None:
-            monkeypatch.setattr(counter_module._Connection, "connection_made", made)
-            dial = counter._slots[0]._dial
+            monkeypatch.setattr(counter_module.CounterConnection, "connection_made", made)
+            dial = counter._channels[0]._dial
             made(connection, transport)
             dial.cancel()
 
-        monkeypatch.setattr(counter_module._Connection, "connection_made", made_and_called_off)
+        monkeypatch.setattr(counter_module.CounterConnection, "connection_made", made_and_called_off)
         counter.start()
-        while counter_module._Connection.connection_made is not made:
+        while counter_module.CounterConnection.connection_made is not made:
             await asyncio.sleep(0)
         await asyncio.sleep(0.05)
         counter.call(api.IncrementCounter("a", 1, 1000))
@@ -530,7 +535,7 @@
             if answer.result == AttemptResult.MALFORMED_RESPONSE:
                 counter.call(api.IncrementCounter("a", 1, 1000))
 
-        counter = Counter(asyncio.get_running_loop(), (LOOP, fake.port), 5000, replied)
+        counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), 5000, replied)
         counter.call(api.IncrementCounter("a", 1, 1000))
         assert [(await got.get()).result, (await got.get()).result] == [
             AttemptResult.MALFORMED_RESPONSE,
@@ -564,9 +569,9 @@
         fake = Fake(behave)
         await fake.start()
         got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
-        counter = Counter(asyncio.get_running_loop(), (LOOP, fake.port), 200, got.put_nowait)
+        counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), 200, got.put_nowait)
         counter.start()
-        while not all(slot._connection for slot in counter._slots):
+        while not all(slot._connection for slot in counter._channels):
             await asyncio.sleep(0.01)
         for i in range(stuck):
             counter.call(api.IncrementCounter(f"stuck{i}", 1, 1000))
