--- a/benchmarks/capacity/connections.py
+++ b/benchmarks/capacity/connections.py
@@ -14,7 +14,9 @@
 START_MS = 1.8e12  # the module's clock is the time of day
 FIRST_S = 1.0  # after a start
 WARM_S, MEASURED_S = 30.0, 20.0
-KEPT_MS = 7_500.0  # half of `conn_idle_ms`, after which `hillmux.net.hosts` retires an idle connection
+KEPT_MS = (
+    7_500.0  # half of `conn_idle_ms`, after which `hillmux.net.idle_connections` closes an idle connection
+)
 ANSWER_MS = 50.0  # mean time of a host, exponential
 TIME_LEFT_MS = 2_000.0
 READ = api.RequestClass("read", latency_objective_ms=1_000, deadline_ms=2_000)
--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -115,7 +115,7 @@
         'self.up = server.status != "removed"',
         "drains",
         day(*DRAIN),
-        (("hillmux/net/hosts.py", "host.draining = name in draining", "host.draining = False"),),
+        (("hillmux/net/upstream_pool.py", "host.draining = name in draining", "host.draining = False"),),
     ),
     Planted(
         "a cold host is taken for warm",
--- a/hillmux/hosted/core.py
+++ b/hillmux/hosted/core.py
@@ -13,10 +13,12 @@
 from hillmux.hosted.resources import SHARE, Resources
 from hillmux.hosted.stats import Stats
 from hillmux.interface import AttemptResult, Idempotency, ListKind, RejectReason
+from hillmux.net.attempt import Attempt
 from hillmux.net.core import Client, CounterClient, ForwardRequest, GatewayCore, LoopLagMonitor, OpenRequest
 from hillmux.net.discovery import DiscoveryResponse
-from hillmux.net.hosts import Attempt, UpstreamConnection, UpstreamPool
 from hillmux.net.http1 import Reply
+from hillmux.net.upstream_connection import UpstreamConnection
+from hillmux.net.upstream_pool import UpstreamPool
 from hillmux.tenants.model import Tenant
 
 log = logging.getLogger(__name__)
--- a/hillmux/lab/virtual/gateway.py
+++ b/hillmux/lab/virtual/gateway.py
@@ -1,6 +1,6 @@
 """One gateway in virtual time: the decision module, and in place of sockets the modelled hosts and counter.
 
-Follows the platform's gateway (net/core.py, net/hosts.py, net/counter.py) where it matters for many together:
+Follows the platform's gateway (hillmux/net) where it matters for many together:
 kept connections and dials, time-outs, counter calls that are given up, a death that forgets all.
 """
 
--- a/hillmux/net/core.py
+++ b/hillmux/net/core.py
@@ -12,10 +12,11 @@
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
 from hillmux.interface import AttemptResult, HostStatus, ListKind
+from hillmux.net.attempt import Attempt
 from hillmux.net.deadlines import TICK_S, Deadlines
 from hillmux.net.discovery import DiscoveryResponse
-from hillmux.net.hosts import Attempt, UpstreamPool
 from hillmux.net.http1 import Reply
+from hillmux.net.upstream_pool import UpstreamPool
 
 log = logging.getLogger(__name__)
 
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -15,11 +15,11 @@
 from hillmux.hot_restart.service import HandOver, Heir, TakeOver
 from hillmux.hot_restart.state_codec import StateError, export, restore
 from hillmux.interface import ListKind
+from hillmux.net.attempt import Attempt
 from hillmux.net.clients import Server
 from hillmux.net.config import GatewayConfig
 from hillmux.net.core import OpenRequest
 from hillmux.net.discovery import DiscoveryResponse
-from hillmux.net.hosts import Attempt
 from hillmux.net.http1 import Reply
 from hillmux.net.platform_gateway import PlatformGateway
 from hillmux.net.streaming import FlowHostConnection, FlowHosts
--- a/hillmux/net/platform_gateway.py
+++ b/hillmux/net/platform_gateway.py
@@ -9,6 +9,7 @@
 
 from hillmux import interface as api
 from hillmux.interface import ListKind
+from hillmux.net.attempt import Attempt
 from hillmux.net.clients import Server
 from hillmux.net.config import GatewayConfig
 from hillmux.net.core import (
@@ -21,7 +22,6 @@
 )
 from hillmux.net.counter import HttpCounterClient
 from hillmux.net.discovery import DiscoveryResponse, DiscoveryWatch
-from hillmux.net.hosts import Attempt
 from hillmux.net.http1 import Reply
 from hillmux.net.streaming import UPLOAD_S, FlowConnection, FlowHostConnection, FlowHosts
 
--- a/hillmux/net/streaming.py
+++ b/hillmux/net/streaming.py
@@ -19,10 +19,12 @@
 from typing import Any, ClassVar, Final
 
 from hillmux.interface import AttemptResult
+from hillmux.net.attempt import Attempt
 from hillmux.net.clients import ClientConnection, Server
-from hillmux.net.hosts import Attempt, UpstreamConnection, UpstreamPool
 from hillmux.net.http1 import LONGEST_BODY, NO_BODY, Reply
 from hillmux.net.requests import BadRequestError
+from hillmux.net.upstream_connection import UpstreamConnection
+from hillmux.net.upstream_pool import UpstreamPool
 
 LONGEST_UPLOAD: Final = 33 * 1024 * 1024
 KEPT: Final = 128 * 1024  # of a body, for a further attempt
--- a/tests/crossings/test_sending.py
+++ b/tests/crossings/test_sending.py
@@ -73,7 +73,7 @@
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
         dials = core.upstreams.loop = HeldDials(core.loop)
-        core.upstreams._dial_timeout_s = 10.0
+        core.upstreams.dialer.timeout_s = 10.0
         script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
         core.request(Answers(), an_order())
         await dials.asked.wait()
@@ -146,7 +146,7 @@
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
         dials = core.upstreams.loop = HeldDials(core.loop)
-        core.upstreams._dial_timeout_s = 10.0
+        core.upstreams.dialer.timeout_s = 10.0
         script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS, LONG_MS if recalled else 20.0)]
         core.request(Answers(), an_order())
         await dials.asked.wait()
@@ -186,7 +186,7 @@
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
         dials = core.upstreams.loop = HeldDials(core.loop)
-        core.upstreams._dial_timeout_s = 10.0
+        core.upstreams.dialer.timeout_s = 10.0
         script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
         core.request(Answers(), an_order())
         await dials.asked.wait()
@@ -273,8 +273,8 @@
             assert host.opened == opened
             await asyncio.sleep(0.02)
             if serial == 2:  # no sweep comes: the core was not started
-                for connection in core.upstreams._idle:
-                    connection.idle_since -= core.upstreams._idle_timeout_s
+                for connection in core.upstreams.idle.oldest_first:
+                    connection.idle_since -= core.upstreams.idle.timeout_s
         host.stop()
 
     on_loop(scenario, 5)
--- a/tests/hosted/test_changes.py
+++ b/tests/hosted/test_changes.py
@@ -25,7 +25,7 @@
 from hillmux.hosted.config import ConfigFaultsError
 from hillmux.hosted.resources import UNHEARD
 from hillmux.hosted.service import Service
-from hillmux.net.hosts import REUSE_DELAY_S
+from hillmux.net.idle_connections import REUSE_DELAY_S
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -22,7 +22,7 @@
     reply,
 )
 
-from hillmux.net.hosts import REUSE_DELAY_S
+from hillmux.net.idle_connections import REUSE_DELAY_S
 
 
 def serve(seen: Seen) -> bytes:
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -248,19 +248,19 @@
             core.request(client, an_order())
             assert await client.got.get() == 200
             await asyncio.sleep(0.02)
-        assert [c.host.name for c in hosts._idle] == ["s-1", "s-2", "s-0"]
+        assert [c.host.name for c in hosts.idle.oldest_first] == ["s-1", "s-2", "s-0"]
         assert hosts.drop_idle()
         await fakes[1].until(lambda fake: fake.closed == 1)
-        hosts._idle_timeout_s = 0.03  # by now s-2 has been idle for longer, s-0 has not
+        hosts.idle.timeout_s = 0.03  # by now s-2 has been idle for longer, s-0 has not
         hosts.loop.time()
-        next(reversed(hosts._idle)).idle_since = hosts.loop.time() + 1.0
+        next(reversed(hosts.idle.oldest_first)).idle_since = hosts.loop.time() + 1.0
         await asyncio.sleep(0.05)
         hosts.close_expired()
         await fakes[2].until(lambda fake: fake.closed == 1)
-        assert [c.host.name for c in hosts._idle] == ["s-0"] and fakes[0].closed == 0
+        assert [c.host.name for c in hosts.idle.oldest_first] == ["s-0"] and fakes[0].closed == 0
         hosts.update({}, {"s-0"})
         await fakes[0].until(lambda fake: fake.closed == 1)
-        assert not hosts._idle and not hosts.drop_idle()
+        assert not hosts.idle.oldest_first and not hosts.drop_idle()
         for fake in fakes:
             fake.stop()
 
