--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -28,7 +28,7 @@
 from hillmux.hosted.config import load as load_config
 from hillmux.hosted.service import Service
 from hillmux.lab.standins.alone import booking_nodes
-from hillmux.net.core import ForwardRequest
+from hillmux.net.forward_request import ForwardRequest
 from hillmux.tenants import Router
 from hillmux.tenants.model import Pool, Route, Tenant
 from hillmux.tenants.target import read_target
--- a/hillmux/hosted/core.py
+++ b/hillmux/hosted/core.py
@@ -14,9 +14,11 @@
 from hillmux.hosted.stats import Stats
 from hillmux.interface import AttemptResult, Idempotency, ListKind, RejectReason
 from hillmux.net.attempt import Attempt
-from hillmux.net.core import Client, CounterClient, ForwardRequest, GatewayCore, LoopLagMonitor, OpenRequest
 from hillmux.net.discovery import DiscoveryResponse
+from hillmux.net.forward_request import Client, ForwardRequest, OpenRequest
+from hillmux.net.gateway_core import CounterClient, GatewayCore
 from hillmux.net.http1 import Reply
+from hillmux.net.loop_lag import LoopLagMonitor
 from hillmux.net.upstream_connection import UpstreamConnection
 from hillmux.net.upstream_pool import UpstreamPool
 from hillmux.tenants.model import Tenant
--- a/hillmux/hosted/front.py
+++ b/hillmux/hosted/front.py
@@ -23,7 +23,7 @@
     ClientConnection,
     Server,
 )
-from hillmux.net.core import ForwardRequest
+from hillmux.net.forward_request import ForwardRequest
 from hillmux.net.requests import DEADLINE, WANTED, WORD, BadRequestError, Message, Terms
 from hillmux.tenants import model
 from hillmux.tenants.router import Entry, Router
--- a/hillmux/hosted/resources.py
+++ b/hillmux/hosted/resources.py
@@ -4,7 +4,7 @@
 
 import time
 
-from hillmux.net.core import Clock
+from hillmux.net.event_dispatcher import UnixClock
 from hillmux.tenants.looptime import LoopTime
 from hillmux.tenants.model import Limits, Tenant
 from hillmux.tenants.shares import Shares
@@ -19,7 +19,7 @@
     """The ledgers."""
 
     def __init__(self, limits: Limits) -> None:
-        self.clock = Clock()  # one for all: no tenant's windows move if the system's clock is set
+        self.clock = UnixClock()  # one for all: no tenant's windows move if the system's clock is set
         self.open = Shares(limits.open_requests)
         self.buffer = Shares(limits.buffer_mb * 1024 * 1024)
         self.clients = Shares(max(int(CLIENT_SHARE * limits.sockets), 1))
--- a/hillmux/net/clients.py
+++ b/hillmux/net/clients.py
@@ -18,7 +18,7 @@
 import httptools
 
 from hillmux import interface as api
-from hillmux.net.core import Client, ForwardRequest
+from hillmux.net.forward_request import Client, ForwardRequest
 from hillmux.net.http1 import BLANKS, LONGEST_BODY, NO_BODY, NOT_UP
 from hillmux.net.lingering_close import LINGER_BYTES, LINGER_S, HangUps, hung_up, unread
 from hillmux.net.requests import WANTED, BadRequestError, Message, Terms, check_framing, order
--- /dev/null
+++ b/hillmux/net/gateway_core.py
@@ -0,0 +1,349 @@
+"""The life of a request between its client, the decision module and the upstream pool.
+
+Translation only: events of the sockets go to the decision module, and its actions to the sockets.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import time
+from typing import Final, Protocol, cast
+
+from hillmux import interface as api
+from hillmux.interface import AttemptResult, HostStatus, ListKind
+from hillmux.net.attempt import Attempt
+from hillmux.net.deadlines import TICK_S, Deadlines
+from hillmux.net.discovery import DiscoveryResponse
+from hillmux.net.event_dispatcher import EventDispatcher
+from hillmux.net.forward_request import Client, ForwardRequest, OpenRequest, StreamingClient
+from hillmux.net.http1 import Reply
+from hillmux.net.loop_lag import LoopLagMonitor
+from hillmux.net.upstream_pool import UpstreamPool
+
+# What a request may have spent on its way to the gateway, and its response may on its way back.
+CLIENT_TRANSIT_MS: Final = 4.0
+DEADLINE_MARGIN_MS: Final = 8.0  # the deadline timer answers this long before the client's time is up
+DECISION_MARGIN_MS: Final = 20.0  # the decision module is given this much less, to answer first
+# After a stall this long, news of the hosts are handled before all events that wait.
+STALE_ENDPOINTS_STALL_MS: Final = 500.0
+
+
+class CounterClient(Protocol):
+    """Where counter calls go: each gets exactly one `CounterReply` event."""
+
+    def call(self, act: api.IncrementCounter) -> None:
+        """Make one call."""
+
+
+class GatewayCore(EventDispatcher):
+    """Open requests: each gets exactly one response, at its deadline at the latest."""
+
+    def __init__(
+        self,
+        settings: api.Settings,
+        seed: int,
+        loop: asyncio.AbstractEventLoop,
+        loop_lag: LoopLagMonitor,
+    ) -> None:
+        super().__init__(settings, seed, loop)
+        self.settings = settings
+        self.loop_lag = loop_lag
+        self.upstreams: UpstreamPool
+        self.counter: CounterClient | None = None
+        self.requests: dict[str, OpenRequest] = {}
+        self.deadlines = Deadlines(loop, self.deadline_reached)
+        self._client_request_ids: set[bytes] = set()  # of `requests`
+        self.last_serial = 0  # of the requests that were accepted
+        self.draining = False
+        self._refuses_requests = False
+
+    def drain(self) -> None:
+        """Begin a graceful shutdown: new connections are closed soon, and leases of quotas are returned."""
+        self.draining = True
+        self.return_leases()
+
+    def return_leases(self) -> None:
+        """Return what is reserved of quotas ahead of use."""
+        self.post(api.DrainStarted())
+
+    def fail_all(self) -> None:
+        """Answer all open requests as failed and refuse new ones: the process is about to end."""
+        self._refuses_requests = True
+        for request in list(self.requests.values()):
+            self._fail_request(request)
+
+    def change_settings(self, settings: api.Settings) -> None:
+        """Put new settings in force, which have been checked; open requests keep those they came under."""
+        self.settings = settings
+        self.post(api.SettingsChanged(settings))
+
+    # Clients
+
+    def request(self, client: Client, forward_request: ForwardRequest) -> str | None:
+        """Accept a request; its id for `left` and `broken`.
+
+        None: a request with the same client request id is open, and this one must be rejected. Hosts tell
+        requests apart by that id alone, so one client could act in the name of another.
+        """
+        if self._refuses_requests:
+            # An attempt that is sent now would be open when the process ends, and its response lost.
+            client.answer(503)
+            return ""
+        if forward_request.client_request_id in self._client_request_ids:
+            return None
+        self._client_request_ids.add(forward_request.client_request_id)
+        self.last_serial += 1
+        request_id = f"r{self.last_serial}"
+        # The client's time runs from when it sent the request, not from when the loop came to read it.
+        now = time.monotonic()
+        queued_ms = (now - forward_request.read_at) * 1000
+        lag_ms = self.loop_lag.lag_ms(now)
+        if lag_ms > STALE_ENDPOINTS_STALL_MS:
+            self.hold_events()
+        time_left_ms = forward_request.time_left_ms - CLIENT_TRANSIT_MS - lag_ms - queued_ms
+        timer_s = (time_left_ms - DEADLINE_MARGIN_MS) / 1000
+        request = OpenRequest(request_id, client, forward_request, now + timer_s, self.settings.max_attempts)
+        self.requests[request_id] = request
+        if forward_request.upload is None:
+            request.deadline_slot = self.deadlines.add(request, max(timer_s - TICK_S, 0.0))
+        else:
+            self.await_upload(request)
+        self._post_request(request, time_left_ms - DECISION_MARGIN_MS)
+        return request_id
+
+    def _post_request(self, request: OpenRequest, time_left_ms: float) -> None:
+        forward_request = request.forward_request
+        self.post(
+            api.Request(
+                request.id,
+                forward_request.class_name,
+                forward_request.plan_name,
+                forward_request.customer,
+                time_left_ms,
+                forward_request.units,
+                forward_request.replicas,
+                forward_request.first_replica,
+                forward_request.is_retry,
+                forward_request.pool,
+            )
+        )
+
+    def left(self, request_id: str) -> None:
+        """The client of a request has disconnected."""
+        request = self.requests.get(request_id)
+        if request is not None and request.client is not None:
+            self._detach_client(request)
+            self.post(api.ClientDisconnected(request_id))
+
+    def broken(self, request_id: str, status: int) -> None:
+        """The rest of an accepted request will never arrive: answer it, and end its attempts."""
+        request = self.requests.get(request_id)
+        if request is not None and request.client is not None:
+            self.answer(request, status)
+            self.post(api.ClientDisconnected(request_id))
+
+    def await_upload(self, request: OpenRequest) -> None:
+        """Start the time of a request whose body is still arriving: it runs from the last byte on."""
+        raise NotImplementedError
+
+    def deadline_reached(self, request: OpenRequest) -> None:
+        """Answer a request at its deadline, whatever the decision module or a socket does."""
+        self.log_message(logging.WARNING, "request unanswered at its deadline; failed by the deadline timer")
+        self._fail_request(request)
+
+    def _fail_request(self, request: OpenRequest) -> None:
+        if request.client is not None:
+            self.answer(request, 504)
+            self.post(api.ClientDisconnected(request.id))
+
+    def answer(
+        self,
+        request: OpenRequest | None,
+        status: int,
+        reply: Reply | None = None,
+        retry_after_ms: float = 0.0,
+    ) -> None:
+        """Send the one final response; a second one is dropped."""
+        if request is None or request.client is None:
+            return
+        client = request.client
+        self._detach_client(request)
+        if reply is not None:
+            self.pass_on_response(client, reply)
+        elif request.streaming_attempt is not None:
+            # Its head has been sent: the client must see that the response is incomplete.
+            cast(StreamingClient, client).cut()
+        else:
+            client.answer(status, retry_after_ms=retry_after_ms)
+
+    def pass_on_response(self, client: Client, reply: Reply) -> None:
+        """Send a host's successful response to the client."""
+        if reply.flowed:
+            cast(StreamingClient, client).finish()
+        else:
+            client.answer(reply.status, reply.body, reply.headers.get(b"content-type", b""))
+
+    def _detach_client(self, request: OpenRequest) -> None:
+        request.client = None
+        self.deadlines.cancel(request, request.deadline_slot)
+        self.forget_if_finished(request)
+
+    def forget_if_finished(self, request: OpenRequest) -> None:
+        """Remove a request that is answered and has no open attempt."""
+        if request.client is not None or request.open_attempts:
+            return
+        if self.requests.pop(request.id, None) is not None:
+            self._client_request_ids.discard(request.forward_request.client_request_id)
+
+    # Hosts
+
+    def apply_endpoints(self, response: DiscoveryResponse, kind: ListKind) -> None:
+        """Put news of the hosts in force: of all of them (`full`, `cached`), or of some (`changes`)."""
+        removed = {e.name for e in response.endpoints if e.status == HostStatus.REMOVED}
+        if kind != ListKind.CHANGES:  # a full list replaces the old one
+            removed |= self.upstreams.host_names() - {e.name for e in response.endpoints}
+        draining = frozenset(e.name for e in response.endpoints if e.status == HostStatus.DRAINING)
+        self.upstreams.update(response.addresses, removed, draining)
+        if response.endpoints or kind != ListKind.CHANGES:
+            self.post_endpoints(api.EndpointList(kind, response.endpoints))
+
+    # Attempts
+
+    def send_attempt(self, action: api.SendAttempt) -> None:
+        """Send an attempt, or report that it was not sent."""
+        request = self.requests.get(action.request_id)
+        time_left_s = request.deadline - time.monotonic() if request is not None else 0.0
+        if request is None or not self._may_send(request, time_left_s):
+            self._report_not_sent(action, request)
+            return
+        timeout_s = min(action.timeout_ms / 1000, time_left_s) if action.timeout_ms else time_left_s
+        forward_request = request.forward_request
+        now = time.monotonic()
+        attempt = Attempt(
+            action.request_id,
+            len(request.attempts),
+            action.host,
+            forward_request.head,
+            forward_request.body,
+            now,
+            now + action.delivery_window_ms / 1000,
+        )
+        attempt.timeout_s = timeout_s
+        if forward_request.upload is not None:
+            attempt.upload = forward_request.upload
+            timeout_s = timeout_s if forward_request.upload.whole else time_left_s
+        request.attempts.append(attempt)
+        request.open_attempts += 1
+        self.upstreams.send(attempt, max(timeout_s, 0.0))
+
+    @staticmethod
+    def _may_send(request: OpenRequest, time_left_s: float) -> bool:
+        upload = request.forward_request.upload
+        return (
+            request.client is not None
+            and time_left_s > 0
+            and len(request.attempts) < request.max_attempts
+            and (upload is None or bool(upload.again()))
+        )
+
+    def _report_not_sent(self, action: api.SendAttempt, request: OpenRequest | None) -> None:
+        number = 0
+        if request is not None:
+            number = len(request.attempts)
+            request.attempts.append(None)
+        final = request is None or request.client is None
+        self.post(
+            api.AttemptEnded(action.request_id, number, action.host, AttemptResult.NOT_SENT, 0.0, final)
+        )
+
+    def is_wanted(self, attempt: Attempt) -> bool:
+        """Whether an attempt's client still waits, with time left; asked right before its first byte."""
+        request = self.requests.get(attempt.request_id)
+        if request is None or request.client is None:
+            return False
+        # After a stall, or on a connection that waited to be accepted, a request is read before the end of
+        # its connection that arrived long ago, and would be forwarded for nobody.
+        now = time.monotonic()
+        return now < request.deadline and not request.client.has_left(self.loop_lag.lag_ms(now) > 0)
+
+    def attempt_ended(self, attempt: Attempt, result: AttemptResult, reply: Reply | None) -> None:
+        """Answer the request if the attempt succeeded, and report the outcome to the decision module."""
+        request = self.requests[attempt.request_id]
+        request.open_attempts -= 1
+        now = time.monotonic()
+        elapsed_ms = (now - attempt.sent_at) * 1000
+        if reply is not None:
+            if reply.came_at:  # the transfer of a response in parts is no latency of the host
+                elapsed_ms -= (now - reply.came_at) * 1000
+            lag_ms = self.loop_lag.lag_ms(now)
+            elapsed_ms = max(elapsed_ms - lag_ms, 0.0)  # nor is the time it waited unread for the loop
+            if lag_ms > STALE_ENDPOINTS_STALL_MS:
+                self.hold_events()
+        units = 0.0
+        if result == AttemptResult.OK and reply is not None:
+            units = reply.amount(b"billed-units", self.settings.max_request_units)
+            self.answer(request, reply.status, reply)
+        elif request.streaming_attempt is attempt:
+            self.answer(request, 502)
+        final = request.client is None
+        self.forget_if_finished(request)
+        self.post(
+            api.AttemptEnded(
+                attempt.request_id,
+                attempt.number,
+                attempt.host,
+                result,
+                elapsed_ms,
+                final,
+                actual_units=units,
+            )
+        )
+
+    def _cancel_attempt(self, action: api.CancelAttempt) -> None:
+        request = self.requests.get(action.request_id)
+        if request is not None and action.attempt < len(request.attempts):
+            attempt = request.attempts[action.attempt]
+            if attempt is not None:
+                self.upstreams.cancel(attempt)
+
+    # The decision module's actions
+
+    def decision_failed(self, event: api.Event) -> None:
+        """Answer the request that the decision module failed on."""
+        if isinstance(event, api.Request):
+            self.answer(self.requests.get(event.id), 500)
+        elif isinstance(event, api.AttemptEnded):
+            self.answer(self.requests.get(event.request_id), 502)
+
+    def execute(self, action: api.Action) -> None:
+        """Execute an action other than `SendAttempt`."""
+        match action:
+            case api.Reject():
+                self.reject(action)
+            case api.Fail():
+                self.answer(self.requests.get(action.request_id), 502)
+            case api.CancelAttempt():
+                self._cancel_attempt(action)
+            case api.SetTimer():
+                self.set_timer(action)
+            case api.IncrementCounter():
+                self._increment_counter(action)
+            case api.Subscribe():
+                pass  # discovery is always watched
+            case api.Log():
+                self.log_message(logging.INFO, action.text)
+
+    def reject(self, action: api.Reject) -> None:
+        """Answer a request that the decision module rejected."""
+        self.answer(self.requests.get(action.request_id), 503, retry_after_ms=action.retry_after_ms)
+
+    def set_timer(self, action: api.SetTimer) -> None:
+        """Post the timer's event after its delay."""
+        self.loop.call_later(max(action.delay_ms, 0.0) / 1000, self.post, api.TimerFired(action.name))
+
+    def _increment_counter(self, action: api.IncrementCounter) -> None:
+        if self.counter is None:
+            self.post(api.CounterReply(action.name, AttemptResult.CONNECT_FAILED, 0.0))
+        else:
+            self.counter.call(action)
--- /dev/null
+++ b/hillmux/net/loop_lag.py
@@ -0,0 +1,53 @@
+"""How far the event loop runs behind, measured by a heartbeat."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from typing import Final
+
+HEARTBEAT_INTERVAL_S: Final = 0.05
+MIN_STALL_MS: Final = 5.0  # a heartbeat later than this is a stall
+CLEAR_DELAY_S: Final = 0.001  # what is read in the turn after a stall has waited for it, too
+
+
+class LoopLagMonitor:
+    """A heartbeat on one loop; all gateways on that loop share it."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        self._loop = loop
+        self._last_stall_ms = 0.0
+        self._next_heartbeat_at = time.monotonic() + HEARTBEAT_INTERVAL_S
+        self._timer: asyncio.TimerHandle | None = None
+
+    def start(self) -> None:
+        """Start the heartbeat."""
+        self._next_heartbeat_at = time.monotonic() + HEARTBEAT_INTERVAL_S
+        self._timer = self._loop.call_later(HEARTBEAT_INTERVAL_S, self.heartbeat)
+
+    def stop(self) -> None:
+        """Stop the heartbeat."""
+        if self._timer is not None:
+            self._timer.cancel()
+
+    def heartbeat(self) -> None:
+        """Measure the lag, and schedule the next heartbeat."""
+        now = time.monotonic()
+        late_ms = (now - self._next_heartbeat_at) * 1000
+        if late_ms > MIN_STALL_MS:
+            self._last_stall_ms = late_ms
+            self._loop.call_later(CLEAR_DELAY_S, self._clear_stall)
+        self._next_heartbeat_at = now + HEARTBEAT_INTERVAL_S
+        self._timer = self._loop.call_later(HEARTBEAT_INTERVAL_S, self.heartbeat)
+
+    def _clear_stall(self) -> None:
+        self._last_stall_ms = 0.0
+
+    def lag_ms(self, now: float) -> float:
+        """How long data read at `now` (`time.monotonic`) may have waited for the loop, in milliseconds.
+
+        A loop that was stopped in its poll reads sockets first and fires timers after. So a heartbeat that is
+        overdue counts as a stall before it has been measured.
+        """
+        late_ms = (now - self._next_heartbeat_at) * 1000
+        return late_ms if late_ms > MIN_STALL_MS else self._last_stall_ms
--- a/hillmux/net/platform_gateway.py
+++ b/hillmux/net/platform_gateway.py
@@ -12,17 +12,17 @@
 from hillmux.net.attempt import Attempt
 from hillmux.net.clients import Server
 from hillmux.net.config import GatewayConfig
-from hillmux.net.core import (
+from hillmux.net.counter import HttpCounterClient
+from hillmux.net.discovery import DiscoveryResponse, DiscoveryWatch
+from hillmux.net.forward_request import OpenRequest
+from hillmux.net.gateway_core import (
     CLIENT_TRANSIT_MS,
     DEADLINE_MARGIN_MS,
     STALE_ENDPOINTS_STALL_MS,
     GatewayCore,
-    LoopLagMonitor,
-    OpenRequest,
 )
-from hillmux.net.counter import HttpCounterClient
-from hillmux.net.discovery import DiscoveryResponse, DiscoveryWatch
 from hillmux.net.http1 import Reply
+from hillmux.net.loop_lag import LoopLagMonitor
 from hillmux.net.streaming import UPLOAD_S, FlowConnection, FlowHostConnection, FlowHosts
 
 UPSTREAM_SOCKET_SHARE = 0.36  # of the descriptors
--- a/hillmux/net/requests.py
+++ b/hillmux/net/requests.py
@@ -8,7 +8,7 @@
 
 from hillmux import interface as api
 from hillmux.interface import Idempotency
-from hillmux.net.core import ForwardRequest
+from hillmux.net.forward_request import ForwardRequest
 from hillmux.net.http1 import LONGEST_BODY
 
 WANTED: Final = frozenset(
--- a/tests/crossings/test_sending.py
+++ b/tests/crossings/test_sending.py
@@ -16,10 +16,9 @@
 
 from hillmux import interface as api
 from hillmux.interface import AttemptResult, ListKind
-from hillmux.net import core as core_module
-from hillmux.net.core import GatewayCore
 from hillmux.net.counter import CONNECTIONS, HttpCounterClient
 from hillmux.net.discovery import parse_discovery_response
+from hillmux.net.gateway_core import GatewayCore
 from hillmux.net.streaming import FlowServer
 
 LONG_MS = 5000.0
@@ -152,7 +151,7 @@
         await dials.asked.wait()
         attempt = core.requests["r1"].attempts[0]
         assert attempt is not None
-        while not recalled and core_module.time.monotonic() < attempt.delivery_deadline:
+        while not recalled and time.monotonic() < attempt.delivery_deadline:
             await asyncio.sleep(0.001)
         dials.go.set()
         while not script.outcomes():
--- a/tests/fakes/core.py
+++ b/tests/fakes/core.py
@@ -11,9 +11,10 @@
 
 from hillmux import interface as api
 from hillmux.interface import ListKind
-from hillmux.net import core as core_module
+from hillmux.net import event_dispatcher
 from hillmux.net.config import parse
-from hillmux.net.core import ForwardRequest, GatewayCore
+from hillmux.net.forward_request import ForwardRequest
+from hillmux.net.gateway_core import GatewayCore
 from hillmux.net.platform_gateway import PlatformGateway
 
 
@@ -73,7 +74,7 @@
 
 async def core_with(monkeypatch: pytest.MonkeyPatch, host: Fake) -> tuple[GatewayCore, Script]:
     """A core whose module is a script and whose one host is `s-0`; discovery does not answer."""
-    monkeypatch.setattr(core_module, "Gateway", Script)
+    monkeypatch.setattr(event_dispatcher, "Gateway", Script)
     await host.start()
     config = parse(
         {
@@ -86,7 +87,7 @@
     )
     core = PlatformGateway(config, asyncio.get_running_loop())
     core.apply_endpoints(config.known_endpoints, ListKind.CACHED)
-    core.loop.call_soon(core.loop_lag._heartbeat)
+    core.loop.call_soon(core.loop_lag.heartbeat)
     return core, core.decision_module
 
 
--- a/tests/fakes/desk.py
+++ b/tests/fakes/desk.py
@@ -8,7 +8,7 @@
 from conftest import GRADES, LOOP, PACKAGES, instance
 
 from hillmux.net.config import parse
-from hillmux.net.core import Client, ForwardRequest
+from hillmux.net.forward_request import Client, ForwardRequest
 from hillmux.net.streaming import FlowServer
 
 
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -17,9 +17,9 @@
 from hillmux.interface import AttemptResult, RejectReason
 from hillmux.net import counter as counter_module
 from hillmux.net.config import parse
-from hillmux.net.core import GatewayCore
 from hillmux.net.counter import HttpCounterClient
 from hillmux.net.discovery import MAX_WATCH_MS
+from hillmux.net.gateway_core import GatewayCore
 from hillmux.net.http1 import Reply
 
 
