--- a/hillmux/__main__.py
+++ b/hillmux/__main__.py
@@ -1,4 +1,4 @@
-"""One gateway: start-up, signals, exit."""
+"""The platform's gateway: start, signals and exit status."""
 
 from __future__ import annotations
 
@@ -8,20 +8,23 @@
 import os
 import signal
 import sys
+from typing import Final
 
 import uvloop
 
-from hillmux.decision import gateway as policy
+from hillmux.decision import gateway as decision_module
 from hillmux.net.config import ConfigError, GatewayConfig, load
 from hillmux.net.platform_gateway import PlatformGateway
 from hillmux.net.shutdown import Shutdown, set_up_log
 from hillmux.net.streaming import FlowServer
 
-GC_ALLOCATIONS = 20_000
+# Requests leave next to no reference cycles, so the collector runs seldom.
+GC_ALLOCATIONS: Final = 20_000
+EXIT_CANNOT_START: Final = 2
 
 
-def _node(config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> PlatformGateway:
-    """The node that a configuration asks for; operators' calls and snapshots cost nothing where off."""
+def _new_gateway(config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> PlatformGateway:
+    """The gateway that a configuration asks for; what it does not ask for is not imported."""
     if config.snapshots is not None:
         from hillmux.recovery.snapshotting_gateway import KeptNode
 
@@ -33,15 +36,15 @@
     return ManagedGateway(config, loop)
 
 
-def _reload(core: PlatformGateway, server: FlowServer, started: GatewayConfig) -> None:
-    """SIGHUP: a file that is no good changes nothing."""
+def _reload(gateway: PlatformGateway, server: FlowServer, started: GatewayConfig) -> None:
+    """Handle SIGHUP; an invalid configuration changes nothing."""
     try:
         config = load(os.environ, before=started)
     except ConfigError as error:
         logging.error("reload: the configuration is kept: %s", error)
-        core.reload_rejected()
+        gateway.reload_rejected()
         return
-    core.reload(config)
+    gateway.reload(config)
     server.read_terms()
     logging.info(
         "reloaded: discovery %s:%d, %d classes, %d attempts",
@@ -52,41 +55,41 @@
 
 
 async def serve(config: GatewayConfig) -> None:
-    """Run until SIGTERM or SIGINT has been served."""
+    """Serve until a graceful shutdown, which SIGTERM or SIGINT begins, is complete."""
     loop = asyncio.get_running_loop()
-    core = _node(config, loop)
-    server = FlowServer(core, loop, config.max_sockets)
-    shutdown = Shutdown(core, server, loop)
+    gateway = _new_gateway(config, loop)
+    server = FlowServer(gateway, loop, config.max_sockets)
+    shutdown = Shutdown(gateway, server, loop)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, shutdown.begin)
-    loop.add_signal_handler(signal.SIGHUP, _reload, core, server, config)
-    core.start()
-    await core.listen(config.operator_address)
-    ((host, port),) = await core.open(server, config.listen)
-    compiled = not str(policy.__file__).endswith(".py")
+    loop.add_signal_handler(signal.SIGHUP, _reload, gateway, server, config)
+    gateway.start()
+    await gateway.listen(config.operator_address)
+    ((host, port),) = await gateway.open(server, config.listen)
+    compiled = not str(decision_module.__file__).endswith(".py")
     logging.info("the decision module runs %s", "compiled" if compiled else "as Python source")
     logging.info("listening on %s:%d", host, port)
     gc.freeze()
-    gc.set_threshold(GC_ALLOCATIONS)  # requests leave next to no cycles: look for them seldom
+    gc.set_threshold(GC_ALLOCATIONS)
     await shutdown.done.wait()
-    # Guards the exit status: the loop's handlers go first, and a SIGHUP without one ends the process.
+    # The loop removes its signal handlers first: a SIGHUP without one would make the exit status a failure.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-    core.stop()
+    gateway.stop()
 
 
 def main() -> int:
-    """0 after a drain; 2 with one plain line if the configuration is no good or the address is taken."""
+    """The exit status: 0 after a graceful shutdown, 2 for an invalid configuration or an address in use."""
     try:
         config = load(os.environ)
     except ConfigError as error:
         print(error, file=sys.stderr)
-        return 2
+        return EXIT_CANNOT_START
     set_up_log(config.name)
     try:
         uvloop.run(serve(config))
     except OSError as error:
         print(f"listen: {error}", file=sys.stderr)
-        return 2
+        return EXIT_CANNOT_START
     return 0
 
 
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -1,12 +1,12 @@
-"""The platform's gateway where operators call it: what it counts for them, and hosts that they take out."""
+"""The platform's gateway with operators' calls: metrics, disabled hosts, and hot restart."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
-from collections.abc import Iterable
+from collections.abc import Iterable, Iterator
 from itertools import chain
-from typing import Any, ClassVar, cast
+from typing import Any, ClassVar, Final, cast
 
 from hillmux import interface as api
 from hillmux.admin.host_overrides import HandError, HandFile, Listed, refused
@@ -26,20 +26,22 @@
 
 log = logging.getLogger(__name__)
 
-READY_TIMEOUT_S = 4.0  # how long a new process waits to be able to serve before it takes over all the same
-SEEN, SEEN_AT_ONCE = "seen", 512  # the hosts that may be taken out by hand
-OVERRIDE_POLL_INTERVAL_S = (
-    0.2  # spacing of the looks at the hosts out by hand: a call to another process binds within a second
-)
+READY_TIMEOUT_S: Final = 4.0  # a new process that is not ready by then takes over all the same
+# The hot-restart document that holds the hosts which operators may disable, and how many it holds at most.
+KNOWN_HOSTS_DOCUMENT: Final = "seen"
+MAX_NAMES_PER_DOCUMENT: Final = 512
+# A call to another process of this gateway must hold here within a second.
+OVERRIDE_POLL_INTERVAL_S: Final = 0.2
+READY_POLL_INTERVAL_S: Final = 0.02
 
 
 class CountedConnection(FlowHostConnection):
-    """Tells its pool when an attempt's last byte has left."""
+    """Reports to its pool when an attempt's last byte has left."""
 
     def start_attempt(self, attempt: Attempt) -> None:
         """Write an attempt's request, and report it if all of it has left at once."""
         super().start_attempt(attempt)
-        if not self.unsent and attempt.upload is None:  # one that flows tells by itself
+        if not self.unsent and attempt.upload is None:  # a streamed body is reported by its last byte
             self._flow_pool.written(attempt)
 
     def resume_writing(self) -> None:
@@ -50,18 +52,18 @@
 
 
 class CountedPool(FlowHosts):
-    """Hosts whose attempts are counted."""
+    """A pool whose attempts are counted."""
 
     connection_class: ClassVar[type[Any]] = CountedConnection
     gateway: ManagedGateway
 
     def written(self, attempt: Attempt) -> None:
-        """An attempt is whole on its connection."""
+        """An attempt has been sent completely."""
         self.gateway.attempt_sent(attempt)
 
 
 class ManagedGateway(PlatformGateway):
-    """A node with figures, with hosts out by hand, and with a way to hand over to a next version."""
+    """A platform gateway with metrics, with hosts that operators disable, and with hot restart."""
 
     pool_class: ClassVar[type[FlowHosts]] = CountedPool
 
@@ -74,23 +76,27 @@
         self._disabled: set[str] = set()
         self._operator_server = OperatorServer(self, loop)
         self._state_directory = config.state_directory
-        self._server: Server[Any] | None = None  # once clients are let in
+        self._server: Server[Any] | None = None  # once clients are accepted
         self._hot_restart_server = HandOver(self, loop)
         self._hot_restart_client: TakeOver | None = None
 
     def start(self) -> None:
-        """Also begin to look for hosts that are taken out by hand, every LOOK_S."""
+        """Also begin to poll the file of disabled hosts."""
         super().start()
         self._poll_override_file()
 
     async def listen(self, address: tuple[str, int] | None) -> None:
-        """Take operators' calls at an address, where there is one; OSError if that cannot be listened on."""
+        """Accept operators' calls at an address, where there is one.
+
+        Raises:
+            OSError: the address cannot be listened on.
+        """
         if address is not None:
             host, port = await self._operator_server.start(address)
             log.info("operators call at %s:%d", host, port)
 
     def stop(self) -> None:
-        """Also close the operators' connections and those for a hand-over."""
+        """Also close the operators' connections and those of a hot restart."""
         super().stop()
         self._operator_server.stop()
         self._hot_restart_server.stop()
@@ -103,22 +109,22 @@
         self.metrics.loads += 1
 
     def reload_rejected(self) -> None:
-        """Count a new configuration that was turned down."""
+        """Count a new configuration that was rejected."""
         self.metrics.load_errors += 1
 
     def ready(self) -> bool:
-        """Whether requests can be served: False until clients are let in."""
+        """Whether requests can be served: False until clients are accepted."""
         return self._server is not None and super().ready()
 
     def could_serve(self) -> bool:
-        """Whether requests could be served, if clients were let in."""
+        """Whether requests could be served if clients were accepted."""
         return super().ready()
 
     def phase(self) -> str:
-        """How far it has come back, and why no further; "" where nobody looks."""
+        """The phase of recovery and what holds it back; "" where recovery is not observed."""
         return ""
 
-    # One process after another
+    # Hot restart
 
     async def open(self, server: Server[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
         """Take over from the process that serves here already, if there is one; else listen."""
@@ -129,51 +135,45 @@
             listening = server.start(address, shared=True)
         self._server = server
         if self._state_directory is not None:
-            self._hot_restart_server.start(
-                self._state_directory
-            )  # in the old one's place: the next version finds us
+            # In place of the process that served here: the next one connects to this one.
+            self._hot_restart_server.start(self._state_directory)
         if self._hot_restart_client is not None:
             self._hot_restart_client.serving()
         return listening
 
     async def _inherit(self, server: Server[Any]) -> list[tuple[str, int]] | None:
-        """What the old process hands over, once we could serve; None where it does not."""
+        """Take over the listening socket and the state once ready; None without an answer."""
         assert self._hot_restart_client is not None
         end = self.loop.time() + READY_TIMEOUT_S
         while not self.could_serve() and self.loop.time() < end:
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
         try:
             descriptor, documents = await self._hot_restart_client.ask()
         except OSError as error:
-            log.warning("hand-over: %s; serving beside it, if it still does", error)
+            log.warning("hot restart: no answer (%s); serving beside the old process, if it runs", error)
             self._hot_restart_client = None
             return None
         try:
             restore(self.decision_module, documents)
-            names = [
-                n
-                for d in documents
-                if d.get("t") == SEEN and isinstance(d.get("names"), list)
-                for n in d["names"]
-            ]
-            self.known_hosts.add(n for n in names if isinstance(n, str))
-        except StateError as error:  # another version's, perhaps: its clients are worth more
-            log.warning("hand-over: what the old process knew is left: %s", error)
-        log.info("took over from the process that served here")
+            self.known_hosts.add(_names_in(documents))
+        except StateError as error:  # perhaps of another version: its clients are taken over all the same
+            log.warning("hot restart: state of the old process ignored: %s", error)
+        log.info("hot restart: took over from the process that served here")
         return server.inherit(descriptor)
 
     def give(self) -> tuple[int, Iterable[dict[str, Any]]]:
-        """Stop accepting and deciding: a descriptor of the listening socket, and what is known."""
+        """Stop accepting and deciding; a descriptor of the listening socket, and the state."""
         assert self._server is not None
         self.post(api.TakenOver(True))
         names = self.known_hosts.all()
-        seen = [
-            {"t": SEEN, "names": names[at : at + SEEN_AT_ONCE]} for at in range(0, len(names), SEEN_AT_ONCE)
+        known_hosts = [
+            {"t": KNOWN_HOSTS_DOCUMENT, "names": names[start : start + MAX_NAMES_PER_DOCUMENT]}
+            for start in range(0, len(names), MAX_NAMES_PER_DOCUMENT)
         ]
-        return self._server.lend(), chain(export(self.decision_module), seen)
+        return self._server.lend(), chain(export(self.decision_module), known_hosts)
 
     def keep(self) -> None:
-        """Go on after all: the successor ended before it served."""
+        """Resume: the successor ended before it served."""
         assert self._server is not None
         self.post(api.TakenOver(False))
         self._server.take_back()
@@ -184,14 +184,14 @@
         self._server.succeeded_by(heir)
 
     def alone(self) -> None:
-        """The successor that served is gone; connections cannot be passed on any more."""
+        """The successor that served has ended; connections cannot be passed on to it any more."""
         assert self._server is not None
         self._server.heir = None
 
     # Operators' calls
 
     def figures(self) -> dict[str, object]:
-        """All figures, as JSON holds them."""
+        """All metrics, as JSON holds them."""
         open_now = sum(request.client is not None for request in self.requests.values())
         fleet = self.decision_module.fleet
         return self.metrics.shown(
@@ -199,10 +199,10 @@
         )
 
     def hand(self, host: str, out: bool) -> str:
-        """Take a host out by hand, or put it back; "" once that holds, else why not."""
-        wrong = refused(host, out, self.known_hosts, self._disabled)
-        if wrong:
-            return wrong
+        """Disable a host, or enable it again; "" once that is in force, else why not."""
+        error_text = refused(host, out, self.known_hosts, self._disabled)
+        if error_text:
+            return error_text
         try:
             self._override_file.change(host, out)
         except HandError as error:
@@ -211,7 +211,7 @@
         return ""
 
     def _poll_override_file(self) -> None:
-        """Take over what another process of this gateway was told."""
+        """Put in force what another process of this gateway was told."""
         names = self._override_file.refresh()
         if names is not None:
             self._disable_hosts(names)
@@ -223,11 +223,12 @@
             self.post(api.HostDisabled(name, name in names))
         self._disabled = set(names)
 
-    # What is counted
+    # Metrics
 
-    def apply_endpoints(self, listing: DiscoveryResponse, kind: ListKind) -> None:
-        self.known_hosts.add(server.name for server in listing.endpoints)
-        super().apply_endpoints(listing, kind)
+    def apply_endpoints(self, response: DiscoveryResponse, kind: ListKind) -> None:
+        """Also note the hosts, which operators may disable from now on."""
+        self.known_hosts.add(endpoint.name for endpoint in response.endpoints)
+        super().apply_endpoints(response, kind)
 
     def answer(
         self,
@@ -236,12 +237,20 @@
         reply: Reply | None = None,
         retry_after_ms: float = 0.0,
     ) -> None:
+        """Also count the response."""
         if request is not None and request.client is not None:
             self.metrics.answered(request.forward_request.class_name, status)
         super().answer(request, status, reply, retry_after_ms)
 
     def attempt_sent(self, attempt: Attempt) -> None:
-        """An attempt has left whole."""
+        """Count an attempt that has been sent completely."""
         request = self.requests.get(attempt.request_id)
         if request is not None:
             self.metrics.tried(request.forward_request.class_name)
+
+
+def _names_in(documents: Iterable[dict[str, Any]]) -> Iterator[str]:
+    """The host names in the documents of a hot restart."""
+    for document in documents:
+        if document.get("t") == KNOWN_HOSTS_DOCUMENT and isinstance(document.get("names"), list):
+            yield from (name for name in document["names"] if isinstance(name, str))
--- a/hillmux/net/platform_gateway.py
+++ b/hillmux/net/platform_gateway.py
@@ -1,11 +1,11 @@
-"""The platform's gateway: one core between its discovery, its counter and its hosts."""
+"""The platform's gateway: one gateway core between its discovery, its counter and its upstream hosts."""
 
 from __future__ import annotations
 
 import asyncio
 import time
 from functools import partial
-from typing import Any, ClassVar, cast
+from typing import Any, ClassVar, Final, cast
 
 from hillmux import interface as api
 from hillmux.interface import ListKind
@@ -25,23 +25,26 @@
 from hillmux.net.loop_lag import LoopLagMonitor
 from hillmux.net.streaming import UPLOAD_S, FlowConnection, FlowHostConnection, FlowHosts
 
-UPSTREAM_SOCKET_SHARE = 0.36  # of the descriptors
-DISCOVERY_WAIT_S = (
-    0.25  # how long a start waits for discovery before it serves with the list it was given: it
-)
-# answers at once or, when it is short of room, after seconds in which clients would find nobody
+UPSTREAM_SOCKET_SHARE: Final = 0.36  # of the process's sockets
+# How long a start waits for discovery before it serves with the list it was given. Discovery answers at once,
+# or after seconds when it is overloaded, in which clients would find no gateway.
+DISCOVERY_WAIT_S: Final = 0.25
 
 
 class PlatformGateway(GatewayCore):
-    """A core whose hosts come from discovery and whose counts go to the platform's counter."""
+    """A gateway whose hosts come from discovery and whose counts go to the platform's counter."""
 
-    pool_class: ClassVar[type[FlowHosts]] = FlowHosts  # what sends its attempts
+    pool_class: ClassVar[type[FlowHosts]] = FlowHosts
 
     def __init__(self, config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config.settings, config.seed, loop, LoopLagMonitor(loop))
-        most = int(UPSTREAM_SOCKET_SHARE * config.max_sockets)
         self.streaming_pool = self.pool_class(
-            loop, most, config.dial_timeout_ms, config.idle_timeout_ms, self.attempt_ended, self.is_wanted
+            loop,
+            int(UPSTREAM_SOCKET_SHARE * config.max_sockets),
+            config.dial_timeout_ms,
+            config.idle_timeout_ms,
+            self.attempt_ended,
+            self.is_wanted,
         )
         self.streaming_pool.begun = self._response_started
         self.upstreams = self.streaming_pool
@@ -53,18 +56,17 @@
             config.seed,
             self._hold_if_stalled,
         )
-        self._counter_client = (
-            HttpCounterClient(loop, config.counter, config.settings.counter_timeout_ms, self.post)
-            if config.counter is not None
-            else None
-        )
+        self._counter_client: HttpCounterClient | None = None
+        if config.counter is not None:
+            timeout_ms = config.settings.counter_timeout_ms
+            self._counter_client = HttpCounterClient(loop, config.counter, timeout_ms, self.post)
         self.counter = self._counter_client
         self._known_endpoints = config.known_endpoints
         self._started_at = 0.0
-        self.discovery_answered = False  # discovery has answered in this life
+        self.discovery_answered = False  # since this process started
 
     def start(self) -> None:
-        """Begin with the known list, then listen to discovery and the counter."""
+        """Put the known list of hosts in force, then watch discovery and connect to the counter."""
         self._started_at = time.monotonic()
         self.apply_endpoints(self._known_endpoints, ListKind.CACHED)
         self.upstreams.start()
@@ -74,7 +76,7 @@
         self.loop_lag.start()
 
     def stop(self) -> None:
-        """Close everything towards the back end."""
+        """Close everything but the clients' side."""
         self._discovery.stop()
         self.upstreams.stop()
         self.loop_lag.stop()
@@ -82,7 +84,7 @@
             self._counter_client.stop()
 
     def reload(self, config: GatewayConfig) -> None:
-        """Go over to the discovery, the counter and the settings that a new configuration names."""
+        """Put the discovery, counter and settings of a new configuration in force."""
         self._discovery.change_address(config.discovery)
         if self._counter_client is not None and config.counter is not None:
             self._counter_client.change_address(config.counter)
@@ -90,27 +92,25 @@
             self.change_settings(config.settings)
 
     def reload_rejected(self) -> None:
-        """A new configuration was turned down."""
+        """A new configuration was rejected."""
 
     async def listen(self, address: tuple[str, int] | None) -> None:
-        """Take operators' calls at an address, where there is one; OSError where that fails."""
+        """Accept operators' calls at an address, where there is one.
 
-    async def open(self, server: Server[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
-        """Let clients in at an address; the addresses that are listened on. OSError where that fails."""
-        return server.start(address)
+        Raises:
+            OSError: the address cannot be listened on.
+        """
 
-    def _hold_if_stalled(self) -> bool:
-        """Asked with each answer of discovery; what it brings on is held until the next one."""
-        if self.loop_lag.lag_ms(time.monotonic()) <= STALE_ENDPOINTS_STALL_MS:
-            return False
-        self.hold_events()
-        return True
+    async def open(self, server: Server[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
+        """Accept clients at an address; the addresses that are listened on.
 
-    def endpoints_due(self) -> bool:
-        return self._discovery.catching_up
+        Raises:
+            OSError: the address cannot be listened on.
+        """
+        return server.start(address)
 
     def ready(self) -> bool:
-        """Whether requests can be served: hosts are known, by discovery's word if it speaks at all."""
+        """Whether requests can be served: hosts are known, from discovery unless it is silent."""
         if self.draining or not self.upstreams.host_names():
             return False
         return self.discovery_answered or time.monotonic() - self._started_at > DISCOVERY_WAIT_S
@@ -119,18 +119,36 @@
         """The longest that a request may take, in seconds."""
         return max(c.deadline_ms for c in self.settings.classes) / 1000
 
-    # --- What is passed on as it comes ---
+    # Discovery
+
+    def _discovery_responded(self, response: DiscoveryResponse) -> None:
+        self.discovery_answered = True
+        self.apply_endpoints(response, ListKind.FULL if response.is_full else ListKind.CHANGES)
+
+    def _hold_if_stalled(self) -> bool:
+        """Whether an answer of discovery was read after a stall; events are held until the next one then."""
+        if self.loop_lag.lag_ms(time.monotonic()) <= STALE_ENDPOINTS_STALL_MS:
+            return False
+        self.hold_events()
+        return True
+
+    def endpoints_due(self) -> bool:
+        """Whether discovery still owes an answer that holds all that is known now."""
+        return self._discovery.catching_up
+
+    # Bodies and responses that are streamed
 
     def await_upload(self, request: OpenRequest) -> None:
+        """Give a body that is still arriving its own time limit; the client's starts with its last byte."""
         request.deadline = time.monotonic() + UPLOAD_S
         request.forward_request.upload.came = partial(self._upload_complete, request)
 
     def _upload_complete(self, request: OpenRequest) -> None:
         if request.client is None or request.streaming_attempt is not None:
             return
-        left_s = (request.forward_request.time_left_ms - CLIENT_TRANSIT_MS - DEADLINE_MARGIN_MS) / 1000
-        request.deadline = time.monotonic() + left_s
-        request.deadline_slot = self.deadlines.add(request, max(left_s, 0.0))
+        time_left_ms = request.forward_request.time_left_ms - CLIENT_TRANSIT_MS - DEADLINE_MARGIN_MS
+        request.deadline = time.monotonic() + time_left_ms / 1000
+        request.deadline_slot = self.deadlines.add(request, max(time_left_ms / 1000, 0.0))
         for attempt in request.attempts:
             if attempt is not None:
                 self.streaming_pool.came(attempt)
@@ -148,28 +166,24 @@
         client.begin(reply, source)
         return client
 
-    def left(self, rid: str) -> None:
-        """The client is gone; also ends attempts whose answer is passed on or whose body is not whole."""
-        request = self.requests.get(rid)
-        super().left(rid)
+    def left(self, request_id: str) -> None:
+        """Also end attempts whose response is streamed or whose body is incomplete."""
+        request = self.requests.get(request_id)
+        super().left(request_id)
         if request is not None:
             self._cancel_useless_attempts(request)
 
-    def broken(self, rid: str, status: int) -> None:
-        """Answer with `status`; also ends attempts whose answer is passed on or whose body is not whole."""
-        request = self.requests.get(rid)
-        super().broken(rid, status)
+    def broken(self, request_id: str, status: int) -> None:
+        """Also end attempts whose response is streamed or whose body is incomplete."""
+        request = self.requests.get(request_id)
+        super().broken(request_id, status)
         if request is not None:
             self._cancel_useless_attempts(request)
 
     def _cancel_useless_attempts(self, request: OpenRequest) -> None:
-        """End the attempts that can come to nothing: on an answer that nobody reads, or on half a body."""
+        """End the attempts with a response that nobody reads, or with half a body."""
         upload = request.forward_request.upload
         if request.streaming_attempt is not None or (upload is not None and not upload.whole):
             for attempt in request.attempts:
                 if attempt is not None:
                     self.upstreams.cancel(attempt)
-
-    def _discovery_responded(self, listing: DiscoveryResponse) -> None:
-        self.discovery_answered = True
-        self.apply_endpoints(listing, ListKind.FULL if listing.is_full else ListKind.CHANGES)
