--- a/hillmux/net/clients.py
+++ b/hillmux/net/clients.py
@@ -18,7 +18,7 @@
 import httptools
 
 from hillmux import interface as api
-from hillmux.net.core import Client, Order
+from hillmux.net.forward_request import Client, ForwardRequest
 from hillmux.net.http1 import BODILESS_STATUSES, MAX_BUFFERED_BODY_BYTES, NOT_CONNECTED, OPTIONAL_WHITESPACE
 from hillmux.net.lingering_close import (
     LINGER_TIMEOUT_S,
@@ -94,13 +94,13 @@
     draining: bool
     settings: api.Settings
 
-    def request(self, client: Client, order: Order) -> str | None:
+    def request(self, client: Client, order: ForwardRequest) -> str | None:
         """Take one; None if its own id is in use."""
 
-    def left(self, rid: str) -> None:
+    def client_disconnected(self, rid: str) -> None:
         """The client of a request is gone."""
 
-    def broken(self, rid: str, status: int) -> None:
+    def abort_request(self, rid: str, status: int) -> None:
         """A request that was taken will never be whole."""
 
     def ready(self) -> bool:
@@ -217,7 +217,7 @@
         self._on_client_disconnected()
         self._listener.mark_idle(self)
 
-    def has_left(self, behind: bool) -> bool:
+    def has_disconnected(self, behind: bool) -> bool:
         """Whether the client has closed or reset; looked for only if `behind` or before a first answer."""
         # Not for every request: a look at the system's buffer is a system call.
         return (behind or not self.answered) and peer_has_closed(self.transport)
@@ -240,7 +240,7 @@
         self._listener.hang_up_detector.forget(self)
         rid, self._request_id = self._request_id, None
         if rid is not None:
-            self._handler.left(rid)
+            self._handler.client_disconnected(rid)
 
     def _drop_unparsed(self) -> None:
         self._listener.unparsed_bytes -= self._unparsed_bytes
--- a/hillmux/net/requests.py
+++ b/hillmux/net/requests.py
@@ -1,4 +1,4 @@
-"""What a client's request may say: its framing, its headers, and the `Order` that they make. Free of I/O."""
+"""What a client's request may say: its framing, its headers and the `ForwardRequest` made of them; no I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from hillmux import interface as api
 from hillmux.interface import Idempotency
-from hillmux.net.core import Order
+from hillmux.net.forward_request import ForwardRequest
 from hillmux.net.http1 import MAX_BUFFERED_BODY_BYTES
 
 GATEWAY_HEADERS: Final = frozenset(
@@ -105,8 +105,8 @@
         return float(units), int(spread), int(first)
 
 
-def parse_request(message: RequestMessage, terms: RequestRules) -> Order:
-    """A request for `/api/` as an `Order`; BadRequestError where it breaks the protocol."""
+def parse_request(message: RequestMessage, terms: RequestRules) -> ForwardRequest:
+    """A request for `/api/` as a `ForwardRequest`; BadRequestError where it breaks the protocol."""
     headers = message.headers
     path, _, _ = message.url.partition(b"?")
     customer = path.rpartition(b"/")[2]
@@ -122,7 +122,7 @@
     time_left_ms = float(deadline[1]) / (1 if deadline[2] == b"m" else 1000)
     units, width, first = terms.quota_info(headers.get(b"quota-info", b""))
     # No client of a class waits for longer than its deadline, whatever it says.
-    return Order(
+    return ForwardRequest(
         headers.get(b"x-request-id", b""),
         cls.name,
         plan,
--- a/hillmux/net/streaming.py
+++ b/hillmux/net/streaming.py
@@ -19,10 +19,12 @@
 from typing import Any, ClassVar, Final
 
 from hillmux.interface import AttemptResult
+from hillmux.net.attempt import Attempt
 from hillmux.net.clients import ClientConnection, Listener
-from hillmux.net.hosts import Attempt, Hosts, _Connection
 from hillmux.net.http1 import BODILESS_STATUSES, MAX_BUFFERED_BODY_BYTES, Response
 from hillmux.net.requests import BadRequestError
+from hillmux.net.upstream_connection import UpstreamConnection
+from hillmux.net.upstream_pool import UpstreamPool
 
 MAX_STREAMED_REQUEST_BYTES: Final = 33 * 1024 * 1024
 MAX_REPLAYABLE_BYTES: Final = 128 * 1024  # of a body, for a further attempt
@@ -178,7 +180,7 @@
             self._close_gracefully()  # it has had its answer
         else:
             self._keep_alive = False
-            self._handler.broken(self._request_id, status)
+            self._handler.abort_request(self._request_id, status)
         upload.discard()
 
     def check_body_timeout(self, now: float) -> None:
@@ -272,7 +274,7 @@
         super()._check_timeouts()
 
 
-class StreamingUpstreamConnection(_Connection):
+class StreamingUpstreamConnection(UpstreamConnection):
     """A connection to a host whose long bodies and answers flow."""
 
     accepts_streams = True
@@ -342,10 +344,10 @@
             (self.transport.pause_reading if wait else self.transport.resume_reading)()
 
 
-class StreamingUpstreamPool(Hosts):
+class StreamingUpstreamPool(UpstreamPool):
     """Sends attempts whose bodies and answers may flow."""
 
-    connection: ClassVar[type[Any]] = StreamingUpstreamConnection
+    connection_class: ClassVar[type[Any]] = StreamingUpstreamConnection
     on_stream_started: Callable[
         [Attempt, Response, StreamingUpstreamConnection], StreamingClientConnection | None
     ]
@@ -354,8 +356,8 @@
         """Its body's last byte has come: its time runs from now on."""
         if not attempt.done:
             attempt.sent_at = time.monotonic()
-            self._timeouts.cancel(attempt, attempt.slot)
-            attempt.slot = self._timeouts.add(attempt, attempt.timeout_s)
+            self.timeouts.cancel(attempt, attempt.timeout_slot)
+            attempt.timeout_slot = self.timeouts.add(attempt, attempt.timeout_s)
 
     def on_body_written(self, attempt: Attempt) -> None:
         """An attempt whose body flowed is whole on its connection."""
@@ -364,30 +366,30 @@
         self, connection: StreamingUpstreamConnection, attempt: Attempt, reply: Response
     ) -> StreamingClientConnection | None:
         """A long answer begins; the client that it goes to, if it may."""
-        if attempt.done or self.judge(reply) != AttemptResult.OK or reply.status in BODILESS_STATUSES:
+        if attempt.done or self.classify(reply) != AttemptResult.OK or reply.status in BODILESS_STATUSES:
             return None
         client = self.on_stream_started(attempt, reply, connection)
         if client is not None:
-            self._timeouts.cancel(attempt, attempt.slot)
-            self._flows[attempt] = connection
+            self.timeouts.cancel(attempt, attempt.timeout_slot)
+            self.streams[attempt] = connection
         return client
 
-    def _time_out(self, attempt: Attempt) -> None:
-        if attempt not in self._flows:  # it began while its time-out waited for a turn of the loop
-            super()._time_out(attempt)
+    def time_out(self, attempt: Attempt) -> None:
+        if attempt not in self.streams:  # it began while its time-out waited for a turn of the loop
+            super().time_out(attempt)
 
-    def _end_flow(self, attempt: Attempt) -> None:
-        connection = self._flows.pop(attempt, None)
+    def end_streams(self, attempt: Attempt) -> None:
+        connection = self.streams.pop(attempt, None)
         if connection is not None:
             connection.client = None
         if attempt.streamed_body is not None:
             attempt.streamed_body.detach(attempt.connection)
 
-    def retire(self) -> None:
+    def close_expired(self) -> None:
         """Also end as timed out the answers of which nothing has come for STANDS_S."""
-        super().retire()
-        before = self._loop.time() - STREAM_STALL_TIMEOUT_S
-        for attempt, connection in list(self._flows.items()):
+        super().close_expired()
+        before = self.loop.time() - STREAM_STALL_TIMEOUT_S
+        for attempt, connection in list(self.streams.items()):
             if connection.last_data_at < before:
-                self._abandon(attempt)
-                self._end(attempt, AttemptResult.TIMED_OUT)
+                self.abandon(attempt)
+                self.finish(attempt, AttemptResult.TIMED_OUT)
--- a/tests/fakes/desk.py
+++ b/tests/fakes/desk.py
@@ -8,7 +8,7 @@
 from conftest import GRADES, LOOP, PACKAGES, instance
 
 from hillmux.net.config import parse
-from hillmux.net.core import Client, Order
+from hillmux.net.forward_request import Client, ForwardRequest
 from hillmux.net.streaming import StreamingListener
 
 
@@ -27,22 +27,22 @@
             }
         ).settings
         self.draining = False
-        self.open: dict[str, tuple[Client, Order]] = {}
+        self.open: dict[str, tuple[Client, ForwardRequest]] = {}
         self.gone: list[str] = []
         self.taken: list[bytes] = []
         self.server = StreamingListener(self, asyncio.get_running_loop(), sockets)
         ((_, self.port),) = self.server.start((LOOP, 0))
 
-    def request(self, client: Client, order: Order) -> str | None:
+    def request(self, client: Client, order: ForwardRequest) -> str | None:
         rid = f"r{len(self.taken)}"
-        self.taken.append(order.wire_id)
+        self.taken.append(order.client_request_id)
         self.open[rid] = client, order
         return rid
 
-    def left(self, rid: str) -> None:
+    def client_disconnected(self, rid: str) -> None:
         self.gone.append(rid)
 
-    def broken(self, rid: str, status: int) -> None:
+    def abort_request(self, rid: str, status: int) -> None:
         raise AssertionError("no body flows here")
 
     def ready(self) -> bool:
@@ -63,7 +63,7 @@
         """Serve what is open."""
         answered, self.open = self.open, {}  # an answer may bring the next request of its connection
         for client, order in answered.values():
-            client.answer(200, order.wire_id)
+            client.answer(200, order.client_request_id)
 
 
 async def reads(sock: socket.socket, count: int = 1) -> list[bytes]:
