--- a/hillmux/hosted/front.py
+++ b/hillmux/hosted/front.py
@@ -18,17 +18,16 @@
 from hillmux.hosted.resources import CROWDED, DRAINING, SHARE, UNHEARD, Resources
 from hillmux.hosted.stats import Stats
 from hillmux.interface import Idempotency
-from hillmux.net.clients import (
-    KEEP_ALIVE_TIMEOUT_S,
-    ClientConnection,
-    Listener,
-)
+from hillmux.net.client_connection import ClientConnection
+from hillmux.net.client_timeouts import KEEP_ALIVE_TIMEOUT_S
 from hillmux.net.forward_request import ForwardRequest
+from hillmux.net.listener import Listener
 from hillmux.net.requests import (
     DEADLINE_VALUE,
     GATEWAY_HEADERS,
     VISIBLE_TOKEN,
     BadRequestError,
+    RejectedRequest,
     RequestMessage,
     RequestRules,
 )
@@ -265,9 +264,9 @@
     def _hold_request(self) -> None:
         """Hold what has come of requests that are not yet taken; one beyond its share is turned away."""
         size = 0 if self._message is None else self._message.head_bytes + self._message.body_bytes
-        size += self._unparsed_bytes
+        size += self._unparsed.size
         for item in self._queue:
-            size += 0 if isinstance(item, int) else item.head_bytes + item.body_bytes
+            size += 0 if isinstance(item, RejectedRequest) else item.head_bytes + item.body_bytes
         buffer, more = self._service.resources.buffer, size - self.reading
         if more <= 0 or self.transport.is_closing():
             more = max(more, -self.reading)
@@ -299,7 +298,7 @@
         self._hold_request()
         self._listener.mark_idle(self)
 
-    def _take_request(self, item: RequestMessage | int) -> None:
+    def _take_request(self, item: RequestMessage | RejectedRequest) -> None:
         # Each request is its own tenant's, also where a connection carries those of several.
         began = time.perf_counter()
         self._take_one(item)
@@ -307,14 +306,15 @@
         self._spent(took)
         self._taking_s += took
 
-    def _take_one(self, item: RequestMessage | int) -> None:
+    def _take_one(self, item: RequestMessage | RejectedRequest) -> None:
         self._answer_due = True
         self._listener.mark_busy(self)
         self._handler = self._front.handler
         self._title = ""
         try:
-            if isinstance(item, int):
-                raise BadRequestError(self._fault or FAULTS.get(item, "no HTTP/1.1 request"), item)
+            if isinstance(item, RejectedRequest):
+                fault = self._fault or FAULTS.get(item.status, "no HTTP/1.1 request")
+                raise BadRequestError(fault, item.status)
             self._keep_alive = item.keep_alive
             self._route(item)
         except BadRequestError as error:
--- /dev/null
+++ b/hillmux/net/listening_sockets.py
@@ -0,0 +1,86 @@
+"""The sockets that a listener accepts on: opened, inherited from another process, or lent to one."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import select
+import socket
+from collections.abc import Callable, Sequence
+from typing import Final
+
+LISTEN_BACKLOG: Final = 256
+
+Address = tuple[str, int]
+
+
+class ListeningSockets:
+    """Listening sockets, and whether the loop watches them for connections."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, accept: Callable[[socket.socket], None]) -> None:
+        self._loop, self._accept = loop, accept
+        self.sockets: list[socket.socket] = []
+        self.lent = False  # another process accepts on them for now
+        self._watched = False
+
+    def open(self, addresses: Sequence[Address], shared: bool) -> None:
+        """Listen on addresses; with `shared`, several processes of this user may.
+
+        Raises:
+            OSError: an address cannot be listened on; some of the sockets may be open by then.
+        """
+        for address in addresses:
+            family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
+            sock = socket.socket(family, socket.SOCK_STREAM)
+            self.sockets.append(sock)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            if shared:
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+            sock.setblocking(False)
+            sock.bind(address)
+            sock.listen(LISTEN_BACKLOG)
+
+    def inherit(self, descriptor: int) -> None:
+        """Listen on another process's socket, and take what waits in its backlog."""
+        sock = socket.socket(fileno=descriptor)
+        sock.setblocking(False)
+        self.sockets.append(sock)
+
+    def duplicate(self) -> int:
+        """A further descriptor of the first socket, for another process."""
+        return os.dup(self.sockets[0].fileno())
+
+    def addresses(self) -> list[Address]:
+        """The addresses, with the ports that the system chose for 0."""
+        return [sock.getsockname()[:2] for sock in self.sockets]
+
+    def can_watch(self) -> bool:
+        """Whether they are not watched and may be."""
+        return bool(self.sockets) and not self._watched and not self.lent
+
+    def watch(self) -> None:
+        """Call `accept` whenever a client waits on a socket."""
+        self._watched = True
+        for sock in self.sockets:
+            self._loop.add_reader(sock, self._accept, sock)
+
+    def unwatch(self) -> None:
+        """Leave clients in the backlog for now."""
+        if self._watched:
+            self._watched = False
+            for sock in self.sockets:
+                self._loop.remove_reader(sock)
+
+    def has_waiting_client(self) -> bool:
+        """Whether a client waits to be accepted."""
+        poll = select.poll()
+        for sock in self.sockets:
+            poll.register(sock, select.POLLIN)
+        return bool(poll.poll(0))
+
+    def close(self) -> None:
+        """Stop listening."""
+        self.unwatch()
+        for sock in self.sockets:
+            sock.close()
+        self.sockets.clear()
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -16,11 +16,11 @@
 from hillmux.hot_restart.state_codec import StateError, export, restore
 from hillmux.interface import ListKind
 from hillmux.net.attempt import Attempt
-from hillmux.net.clients import Listener
 from hillmux.net.config import GatewayConfig
 from hillmux.net.discovery import DiscoveryResponse
 from hillmux.net.forward_request import OpenRequest
 from hillmux.net.http1 import Response
+from hillmux.net.listener import Listener
 from hillmux.net.platform_gateway import PlatformGateway
 from hillmux.net.streaming import StreamingUpstreamConnection, StreamingUpstreamPool
 
--- a/hillmux/net/platform_gateway.py
+++ b/hillmux/net/platform_gateway.py
@@ -10,7 +10,6 @@
 from hillmux import interface as api
 from hillmux.interface import ListKind
 from hillmux.net.attempt import Attempt
-from hillmux.net.clients import Listener
 from hillmux.net.config import GatewayConfig
 from hillmux.net.counter import HttpCounterClient
 from hillmux.net.discovery import DiscoveryResponse, DiscoveryWatch
@@ -22,6 +21,7 @@
     GatewayCore,
 )
 from hillmux.net.http1 import Response
+from hillmux.net.listener import Listener
 from hillmux.net.loop_lag import LoopLagMonitor
 from hillmux.net.streaming import (
     STREAMED_REQUEST_TIMEOUT_S,
--- /dev/null
+++ b/hillmux/net/request_parser.py
@@ -0,0 +1,135 @@
+"""Parses the requests of one client connection and queues those that are complete; knows no sockets."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections import deque
+from typing import Final
+
+import httptools
+
+from hillmux.net.http1 import MAX_BUFFERED_BODY_BYTES, NOT_CONNECTED, OPTIONAL_WHITESPACE
+from hillmux.net.requests import (
+    GATEWAY_HEADERS,
+    BadRequestError,
+    RejectedRequest,
+    RequestMessage,
+    check_framing,
+)
+
+MAX_HEAD_BYTES: Final = 32 * 1024
+MAX_FRAMED_BODY_BYTES: Final = 2 * MAX_BUFFERED_BODY_BYTES  # a buffered body together with its chunk lines
+MAX_PIPELINED: Final = 16  # complete requests that may wait behind the open one
+
+
+class RequestParser:
+    """The callbacks of httptools for one connection.
+
+    What they raise reaches the caller of `feed_data` as an `HttpParserError`; `_parse_error_status` is the
+    status that the client is answered then.
+    """
+
+    kept_headers = GATEWAY_HEADERS
+    max_body_bytes = MAX_BUFFERED_BODY_BYTES  # a longer Content-Length is rejected with the head
+    max_request_bytes = MAX_HEAD_BYTES + MAX_FRAMED_BODY_BYTES
+    message_type: type[RequestMessage] = RequestMessage
+
+    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        self._loop = loop
+        self.transport = NOT_CONNECTED
+        self._parser = httptools.HttpRequestParser(self)
+        self._message: RequestMessage | None = None  # the one that is being received
+        self._queue: deque[RequestMessage | RejectedRequest] = deque()  # in order of arrival
+        self._answer_due = False  # a request of this connection is open
+        self._parse_error_status = 400
+        self._received_bytes = 0  # of the message that is being received, or discarded after a rejection
+
+    def on_message_begin(self) -> None:
+        """A request begins.
+
+        Raises:
+            BadRequestError: more than MAX_PIPELINED requests wait already; bounds the connection's memory.
+        """
+        if len(self._queue) > MAX_PIPELINED:
+            raise BadRequestError("too many requests at once")
+        self._message = self.message_type()
+
+    def on_url(self, url: bytes) -> None:
+        """A piece of the request target."""
+        message = self._message
+        assert message is not None
+        message.url += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Keep a header of `kept_headers`; trailers are ignored, since the head has decided the request.
+
+        Raises:
+            BadRequestError: all headers together exceed MAX_HEAD_BYTES.
+        """
+        message = self._message
+        assert message is not None
+        if message.method:
+            return
+        message.head_bytes += len(name) + len(value)
+        if message.head_bytes > MAX_HEAD_BYTES:
+            raise BadRequestError("head")
+        name = name.lower()
+        if name in self.kept_headers:
+            headers = message.headers
+            if name in headers:
+                message.has_duplicate_header = True
+            headers[name] = value.strip(OPTIONAL_WHITESPACE)
+
+    def on_headers_complete(self) -> None:
+        """Check the framing, and answer `Expect: 100-continue`.
+
+        Raises:
+            BadRequestError: the framing is ambiguous (400) or the body too long (413).
+        """
+        message = self._message
+        assert message is not None
+        message.method = self._parser.get_method()
+        try:
+            check_framing(message, self.max_body_bytes)
+        except BadRequestError as error:
+            self._parse_error_status = error.status
+            raise
+        if message.headers.get(b"expect", b"").lower() == b"100-continue" and not self._answer_due:
+            self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+
+    def on_body(self, data: bytes) -> None:
+        """Buffer the body up to MAX_BUFFERED_BODY_BYTES; what exceeds that goes to `on_oversized_body`."""
+        message = self._message
+        assert message is not None
+        message.body_bytes += len(data)
+        message.last_data_at = self._loop.time()
+        if message.body_bytes > MAX_BUFFERED_BODY_BYTES:
+            self.on_oversized_body(data)
+        else:
+            message.body.append(data)
+
+    def on_oversized_body(self, data: bytes) -> None:
+        """More of a body that is too long to be buffered.
+
+        Raises:
+            BadRequestError: it is not accepted (413).
+        """
+        self._parse_error_status = 413
+        raise BadRequestError("body", 413)
+
+    def on_streamed_body_complete(self) -> None:
+        """The last byte of a streamed body has arrived."""
+
+    def on_message_complete(self) -> None:
+        """Queue the complete request; a streamed one has been queued with its head."""
+        message = self._message
+        assert message is not None
+        if message.streamed_body is not None:
+            self.on_streamed_body_complete()
+            return
+        self._message = None
+        self._received_bytes = 0
+        message.keep_alive = self._parser.should_keep_alive()
+        message.read_at = time.monotonic()
+        self._queue.append(message)
--- a/hillmux/net/requests.py
+++ b/hillmux/net/requests.py
@@ -41,6 +41,15 @@
         self.status = status
 
 
+class RejectedRequest:
+    """A request that could not be read, in the queue where its answer has its turn."""
+
+    __slots__ = ("status",)
+
+    def __init__(self, status: int) -> None:
+        self.status = status
+
+
 class RequestMessage:
     """One request as parsed."""
 
--- a/hillmux/net/shutdown.py
+++ b/hillmux/net/shutdown.py
@@ -9,7 +9,7 @@
 from math import inf
 from typing import Any, Protocol
 
-from hillmux.net.clients import Listener
+from hillmux.net.listener import Listener
 
 ACCEPT_GRACE_S = 0.5  # after SIGTERM, connections still come for 0.4 s
 MAX_DRAIN_S = 3.0  # SIGKILL comes 0.7 s after the longest deadline, or this if that is less, at the soonest
--- a/hillmux/net/streaming.py
+++ b/hillmux/net/streaming.py
@@ -20,8 +20,10 @@
 
 from hillmux.interface import AttemptResult
 from hillmux.net.attempt import Attempt
-from hillmux.net.clients import ClientConnection, Listener
+from hillmux.net.client_connection import ClientConnection
+from hillmux.net.client_timeouts import is_receiving_too_slowly
 from hillmux.net.http1 import BODILESS_STATUSES, MAX_BUFFERED_BODY_BYTES, Response
+from hillmux.net.listener import Listener
 from hillmux.net.requests import BadRequestError
 from hillmux.net.upstream_connection import UpstreamConnection
 from hillmux.net.upstream_pool import UpstreamPool
@@ -186,7 +188,7 @@
     def check_body_timeout(self, now: float) -> None:
         """Turn away a body that stands still, unless it waits for a host."""
         message = self._message
-        if message is not None and not self._body_paused and self._read_timed_out(now):
+        if message is not None and not self._body_paused and is_receiving_too_slowly(message, now):
             self._reject(408)
             self._take_requests()
 
@@ -195,9 +197,7 @@
     def start_response(self, reply: Response, source: StreamingUpstreamConnection) -> None:
         """Write the head of a long answer; the rest follows by `piece` and `finish`, or `cut`."""
         self._upstream = source
-        keep = self._keep_alive and (
-            self._listener.successor is not None or not self._handler.draining or self._has_more_input()
-        )
+        keep = self._keeps_alive()
         old = self._parser.get_http_version() == "1.0"
         self._response_chunked = reply.content_length is None and not old
         self._keep_alive = keep and (reply.content_length is not None or self._response_chunked)
@@ -226,11 +226,7 @@
         self._listener.mark_idle(self)
         if self._response_chunked:
             self.transport.write(b"0\r\n\r\n")
-        if not self._keep_alive:
-            self._close_gracefully()
-        elif self._listener.successor is not None:
-            self._listener.loop.call_soon(self.migrate)
-        self._take_requests()
+        self._after_answer(self._keep_alive)
 
     def abort_response(self) -> None:
         """It cannot be had whole: the client can tell by the connection's end."""
--- a/hillmux/recovery/snapshotting_gateway.py
+++ b/hillmux/recovery/snapshotting_gateway.py
@@ -12,8 +12,8 @@
 from hillmux import interface as api
 from hillmux.hot_restart.service import Heir
 from hillmux.hot_restart.state_codec import StateError, export, restore
-from hillmux.net.clients import Listener
 from hillmux.net.config import GatewayConfig
+from hillmux.net.listener import Listener
 from hillmux.net.managed_gateway import READY_TIMEOUT_S, ManagedGateway
 from hillmux.quotas.throttle import SILENT_RATE
 from hillmux.recovery.readiness import Phases, View
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -9,7 +9,8 @@
 from conftest import message, on_loop
 from fakes.desk import Desk, ends, reads
 
-from hillmux.net.clients import FIRST_REQUEST_GRACE_S, KEEP_ALIVE_TIMEOUT_S, MAX_ACCEPTS_PER_TURN
+from hillmux.net.client_timeouts import FIRST_REQUEST_GRACE_S, KEEP_ALIVE_TIMEOUT_S
+from hillmux.net.listener import MAX_ACCEPTS_PER_TURN
 from hillmux.net.shutdown import Shutdown
 
 
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -63,7 +63,8 @@
         "decision.gateway",
         "quotas.quotas",
         "quotas.estimate",
-        "net.clients",
+        "net.client_connection",
+        "net.listener",
         "net.managed_gateway",
     ):
         assert origin(folder, module).endswith(".so") and str(folder) in origin(folder, module)
