--- a/hillmux/hosted/counts.py
+++ b/hillmux/hosted/counts.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from hillmux import interface as api
-from hillmux.net.counter import HttpCounterClient
+from hillmux.net.counter_client import HttpCounterClient
 
 Replied = Callable[[api.CounterReply], None]
 
--- a/hillmux/lab/virtual/counting.py
+++ b/hillmux/lab/virtual/counting.py
@@ -22,14 +22,16 @@
 from hillmux.lab.streams import Stream, generator
 from hillmux.lab.virtual.counter import CounterModel, CounterService
 from hillmux.lab.virtual.loop import Loop
-from hillmux.net.counter import request_bytes
+from hillmux.net.counter_channel import request_bytes
 
 START_MS: Final = 1.8e12  # the modules' clock is the time of day: windows have numbers as long as in service
 UNLIMITED: Final = CounterModel(per_s=1e9, parts=1)
 ARRIVALS_AT_ONCE: Final = 4096  # arrivals are drawn by so many
 CLASS: Final = api.RequestClass("read", latency_objective_ms=1000, deadline_ms=2000)
 CLIENT_LEFT_MS: Final = 2000.0  # what a request says of its time left
-SILENT_MS: Final = 1000.0  # `hillmux.net.counter.SILENT_S`: then its connections are closed, and dials fail
+SILENT_MS: Final = (
+    1000.0  # `hillmux.net.counter_channel.SILENCE_TIMEOUT_S`: then its connections are closed, and dials fail
+)
 
 # On the wire a segment carries an IPv4 header (20 bytes) and a TCP header with timestamps (32 bytes). A call
 # is one segment each way; the reply acknowledges the request. The reply is acknowledged by the next request
--- /dev/null
+++ b/hillmux/net/counter_channel.py
@@ -0,0 +1,299 @@
+"""A kept connection to the counter: calls that are out on it in order, its dials and its time-outs."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from collections.abc import Callable
+from functools import partial
+from typing import Any, Final
+
+from hillmux import interface as api
+from hillmux.interface import AttemptResult
+from hillmux.net.http1 import Reply, ReplyProtocol, number
+from hillmux.net.lingering_close import unread
+
+DIAL_TIMEOUT_S: Final = 0.25
+MIN_BACKOFF_S: Final = 0.05
+MAX_BACKOFF_S: Final = 1.0
+MAX_BACKOFF_DOUBLINGS: Final = 10
+SILENCE_TIMEOUT_S: Final = 1.0  # an answer this late is not coming: the counter's machine is gone
+STATUSES_NOTHING_ADDED: Final = frozenset((400, 404, 503))
+# After this much silence the counter may have closed a connection without the loop having read so.
+IDLE_CHECK_AFTER_S: Final = 0.1
+DIALLING_PENALTY: Final = 4  # calls that a channel without a connection counts as busier
+
+
+def request_bytes(action: api.IncrementCounter) -> bytes:
+    """One call as it is written to the counter."""
+    retention_ms = max(1, round(action.retention_ms))
+    return (
+        f"POST /v1/count/{action.name}?add={_decimal(action.amount)}&ttl_ms={retention_ms}"
+        " HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n".encode()
+    )
+
+
+def _decimal(amount: float) -> str:
+    """An amount as a plain decimal number, never in exponent form."""
+    return f"{amount:.6f}".rstrip("0").rstrip(".")
+
+
+class PendingCall:
+    """A call until its one result."""
+
+    __slots__ = ("request", "sent_at", "timer", "channel", "written", "done")
+
+    def __init__(self, request: api.IncrementCounter, now: float) -> None:
+        self.request, self.sent_at = request, now
+        self.timer: asyncio.TimerHandle | None = None
+        self.channel: CounterChannel | None = None  # once it has one
+        self.written = False  # its last byte has left this process
+        self.done = False
+
+
+class CounterChannel:
+    """One connection to the counter, and the dials that replace it.
+
+    `on_result` receives the result of each call, with the counter's total where that is known.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: tuple[str, int],
+        on_result: Callable[[PendingCall, AttemptResult, float], None],
+    ) -> None:
+        self._loop, self._address, self._on_result = loop, address, on_result
+        self._connection: CounterConnection | None = None
+        self._dial: asyncio.Task[Any] | None = None
+        self._dial_timer: asyncio.TimerHandle | None = None
+        self._silence_timer: asyncio.TimerHandle | None = None
+        self._redial_timer: asyncio.TimerHandle | None = None
+        self._calls: deque[PendingCall] = deque()  # in the order in which they are answered
+        self._failures = 0  # of the connection, in a row
+        self._last_reply_at = 0.0
+        self._backoff_until = 0.0
+        self._retired = False  # closes with its last call
+
+    # Use by the client
+
+    def usable(self) -> bool:
+        """Whether a call may be written, or wait for a dial that is under way.
+
+        A connection that is ending is not usable: its loss is reported in this turn of the loop or the next,
+        and what is written until then is lost with it.
+        """
+        if self._connection is not None:
+            self._drop_if_closed_by_peer(self._connection)
+        if self._connection is not None:
+            return not self._connection.transport.is_closing()
+        return self._dial is not None or self._loop.time() >= self._backoff_until
+
+    def pending_calls(self) -> int:
+        """Calls that are out; a channel without a connection counts as busier."""
+        return len(self._calls) + (0 if self._connection is not None else DIALLING_PENALTY)
+
+    def silent_since(self, time_s: float) -> bool:
+        """Whether no answer has arrived since a time of the loop's clock."""
+        return self._last_reply_at < time_s
+
+    def has_call_before(self, time_s: float) -> bool:
+        """Whether a call made before a time of the loop's clock is still out."""
+        return bool(self._calls) and self._calls[0].sent_at < time_s
+
+    def write(self, call: PendingCall) -> None:
+        """Write a call behind those that are out; without a connection it waits for a dial."""
+        self._calls.append(call)
+        call.channel = self
+        if self._connection is not None:
+            self._send(call, self._connection)
+        elif self._dial is None:
+            self.dial()
+
+    def abort_calls(self) -> None:
+        """Close a connection that has gone silent; its calls end with it."""
+        self._drop()
+        self._end_all(AttemptResult.CONNECTION_LOST)
+
+    def stop(self) -> None:
+        """Close the connection, or its dial, for good; calls that are out end with it."""
+        self._retired = True
+        if self._redial_timer is not None:
+            self._redial_timer.cancel()
+        if self._dial is not None:
+            self._dial.cancel()
+        self._drop()
+
+    def retire(self) -> list[PendingCall]:
+        """Close once the calls that are out are answered; returns those that were never written."""
+        self._retired = True
+        if self._connection is not None:
+            if not self._calls:
+                self.stop()
+            return []
+        waiting = [call for call in self._calls if not call.done]
+        self._calls.clear()
+        self.stop()
+        return waiting
+
+    # Dials
+
+    def dial(self) -> None:
+        """Open the connection."""
+        connection = CounterConnection(self)
+        self._dial = self._loop.create_task(
+            self._loop.create_connection(connection.as_protocol, *self._address)
+        )
+        self._dial.add_done_callback(partial(self._dial_ended, connection))
+        self._dial_timer = self._loop.call_later(DIAL_TIMEOUT_S, self._dial.cancel)
+
+    def _dial_ended(self, connection: CounterConnection, task: asyncio.Task[Any]) -> None:
+        failed = task.cancelled() or task.exception() is not None
+        if failed:
+            connection.called_off()
+        if task is self._dial and failed:
+            self._dial = None
+            self._stop_dial_timer()
+            self._connection_failed()
+
+    def opened(self, connection: CounterConnection) -> None:
+        """Take a connection that has come up into use, and write the calls that wait for it.
+
+        This is done by the connection and not by its dial's task: one that is reset as soon as it is up is
+        lost before the task ends, and would stay the channel's connection with every call on it failing.
+        """
+        self._dial = None
+        self._stop_dial_timer()
+        self._connection = connection
+        if self._retired:
+            connection.drop()
+            return
+        # A call that timed out while it waited was reported as not added: it must not be written now.
+        self._calls = deque(call for call in self._calls if not call.done)
+        for call in self._calls:
+            self._send(call, connection)
+
+    def _stop_dial_timer(self) -> None:
+        if self._dial_timer is not None:
+            self._dial_timer.cancel()
+
+    def _redial(self) -> None:
+        # Dialled before a call needs it: else calls would pile up on the few connections that are left, and
+        # all be lost with the next one.
+        if self._connection is None and self._dial is None and not self._retired:
+            self.dial()
+
+    # Calls
+
+    def _send(self, call: PendingCall, connection: CounterConnection) -> None:
+        connection.write(request_bytes(call.request))
+        call.written = not connection.unsent
+        if self._silence_timer is None:
+            self._silence_timer = self._loop.call_later(SILENCE_TIMEOUT_S, self._check_silence)
+
+    def flushed(self) -> None:
+        """All that was written has left this process."""
+        for call in self._calls:
+            call.written = True
+
+    def replied(self, reply: Reply, reusable: bool) -> None:
+        """The answer to the oldest call on the connection."""
+        self._failures, self._last_reply_at = 0, self._loop.time()
+        total = number(reply.body.strip()) if reply.status == 200 else None
+        if total is None and reply.status not in STATUSES_NOTHING_ADDED:
+            # An answer without a number: the call was added, but nothing that follows can be trusted.
+            self.malformed_response()
+            return
+        call = self._calls.popleft()
+        if not reusable or (self._retired and not self._calls):
+            self._drop()  # before the result is reported: the next call goes to another channel
+        if total is None:
+            self._on_result(call, AttemptResult.QUEUE_FULL, 0.0)
+        else:
+            self._on_result(call, AttemptResult.OK, total)
+
+    def malformed_response(self) -> None:
+        """What arrived is no answer; no call behind it will learn its total either."""
+        self._drop()
+        self._end_all(AttemptResult.MALFORMED_RESPONSE)
+
+    def _end_all(self, result_if_written: AttemptResult) -> None:
+        calls, self._calls = self._calls, deque()
+        for call in calls:
+            result = result_if_written if call.written else AttemptResult.CONNECT_FAILED
+            self._on_result(call, result, 0.0)
+
+    # The end of the connection
+
+    def _drop_if_closed_by_peer(self, connection: CounterConnection) -> None:
+        """Drop an idle connection that the counter has closed; the next call dials.
+
+        A call that crosses the counter's close is cut, and may have been added or not.
+        """
+        idle = not self._calls and self._loop.time() - self._last_reply_at > IDLE_CHECK_AFTER_S
+        if idle and unread(connection.transport):
+            self._connection = None
+            connection.drop()
+
+    def _check_silence(self) -> None:
+        # The connections to a counter that is cut off from the network stay open and silent for good.
+        self._silence_timer = None
+        if not self._calls or self._connection is None:
+            return
+        left_s = self._calls[0].sent_at + SILENCE_TIMEOUT_S - self._loop.time()
+        if left_s > 0:
+            self._silence_timer = self._loop.call_later(left_s, self._check_silence)
+        else:
+            self._connection.drop()
+
+    def _drop(self) -> None:
+        if self._connection is not None:
+            self._connection.drop()
+
+    def lost(self, connection: CounterConnection) -> None:
+        """A connection is gone."""
+        if connection is self._connection:
+            self._connection = None
+            self._connection_failed()
+
+    def _connection_failed(self) -> None:
+        """Report the calls that were out, and dial again, with backoff if this goes on."""
+        self._failures += 1
+        backoff_s = 0.0
+        if self._failures > 1:
+            doublings = min(self._failures - 2, MAX_BACKOFF_DOUBLINGS)
+            backoff_s = min(MIN_BACKOFF_S * 2**doublings, MAX_BACKOFF_S)
+            self._backoff_until = self._loop.time() + backoff_s
+        if not self._retired:
+            self._redial_timer = self._loop.call_later(backoff_s, self._redial)
+        self._end_all(AttemptResult.CONNECTION_LOST)
+
+
+class CounterConnection(ReplyProtocol):
+    """A connection to the counter, which reports to its channel."""
+
+    def __init__(self, channel: CounterChannel) -> None:
+        super().__init__()
+        self._channel = channel
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is up."""
+        super().connection_made(transport)
+        self._channel.opened(self)
+
+    def resume_writing(self) -> None:
+        """All that was written has left this process."""
+        super().resume_writing()
+        self._channel.flushed()
+
+    def replied(self, reply: Reply, reusable: bool) -> None:
+        """An answer is complete; `reusable`: the connection may be written on again."""
+        self._channel.replied(reply, reusable)
+
+    def spoilt(self) -> None:
+        """What arrived is no answer."""
+        self._channel.malformed_response()
+
+    def lost(self) -> None:
+        """The connection is gone."""
+        self._channel.lost(self)
--- /dev/null
+++ b/hillmux/net/counter_client.py
@@ -0,0 +1,106 @@
+"""The client of the platform's counter: calls are pipelined over a few kept connections."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Final
+
+from hillmux import interface as api
+from hillmux.interface import AttemptResult
+from hillmux.net.counter_channel import CounterChannel, PendingCall
+
+CONNECTIONS: Final = 4  # a slow part of the counter delays what is written behind it on the same connection
+READ_GRACE_S: Final = 0.001  # one turn of the loop, in which arrived data is read before a time-out counts
+
+
+class HttpCounterClient:
+    """Calls to the counter, each of which gets exactly one `CounterReply`.
+
+    `timeout_ms` is how long an answer is awaited; `on_reply` receives the end of each call.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: tuple[str, int],
+        timeout_ms: float,
+        on_reply: Callable[[api.CounterReply], None],
+    ) -> None:
+        self._loop, self._timeout_s, self._on_reply = loop, timeout_ms / 1000, on_reply
+        self._channels = self._new_channels(address)
+
+    def _new_channels(self, address: tuple[str, int]) -> list[CounterChannel]:
+        return [CounterChannel(self._loop, address, self._finish) for _ in range(CONNECTIONS)]
+
+    def start(self) -> None:
+        """Open the connections before the first call needs one."""
+        for channel in self._channels:
+            channel.dial()
+
+    def stop(self) -> None:
+        """Close all connections."""
+        for channel in self._channels:
+            channel.stop()
+
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Call at another address from now on; calls that are out on the old connections finish there."""
+        old, self._channels = self._channels, self._new_channels(address)
+        self.start()
+        for channel in old:
+            for call in channel.retire():
+                self._assign(call)
+
+    def call(self, act: api.IncrementCounter) -> None:
+        """Write one call on the connection with the fewest calls out.
+
+        Without a connection to write on, the call ends at once as `connect_failed`.
+        """
+        call = PendingCall(act, self._loop.time())
+        call.timer = self._loop.call_later(self._timeout_s, self._timeout_due, call)
+        self._assign(call)
+
+    def _assign(self, call: PendingCall) -> None:
+        usable = [channel for channel in self._channels if channel.usable()]
+        if usable:
+            min(usable, key=CounterChannel.pending_calls).write(call)
+        else:
+            self._finish(call, AttemptResult.CONNECT_FAILED, 0.0)
+
+    def _finish(self, call: PendingCall, result: AttemptResult, total: float) -> None:
+        """Report a call's result, once."""
+        if call.done:
+            return
+        call.done = True
+        if call.timer is not None:
+            call.timer.cancel()
+        elapsed_ms = (self._loop.time() - call.sent_at) * 1000
+        self._on_reply(api.CounterReply(call.request.name, result, total, elapsed_ms))
+
+    # Time-outs
+
+    def _timeout_due(self, call: PendingCall) -> None:
+        # After a stall of the loop the answer may have arrived unread.
+        call.timer = self._loop.call_later(READ_GRACE_S, self._time_out, call)
+
+    def _time_out(self, call: PendingCall) -> None:
+        if call.written and call.channel is not None and self._only_channel_silent(call, call.channel):
+            call.channel.abort_calls()
+            return
+        # The call stays in its channel's queue, so that its late answer is not taken for the next call's.
+        self._finish(call, AttemptResult.TIMED_OUT if call.written else AttemptResult.CONNECT_FAILED, 0.0)
+
+    def _only_channel_silent(self, call: PendingCall, channel: CounterChannel) -> bool:
+        """Whether the call's channel has gone silent while the counter answers on others.
+
+        A network path that drops one connection, or a stuck worker behind a proxy, would else look like a
+        counter that does not answer, and quotas would be enforced without it. A slow part of the counter
+        shows on more than one channel, a silent counter on all. The price is a dial for a single late call.
+        """
+        others = [other for other in self._channels if other is not channel]
+        late = self._loop.time() - self._timeout_s / 2
+        return (
+            channel.silent_since(call.sent_at)
+            and any(not other.silent_since(call.sent_at) for other in others)
+            and not any(other.has_call_before(late) for other in others)
+        )
--- a/hillmux/net/platform_gateway.py
+++ b/hillmux/net/platform_gateway.py
@@ -12,7 +12,7 @@
 from hillmux.net.attempt import Attempt
 from hillmux.net.clients import Server
 from hillmux.net.config import GatewayConfig
-from hillmux.net.counter import HttpCounterClient
+from hillmux.net.counter_client import HttpCounterClient
 from hillmux.net.discovery import DiscoveryResponse, DiscoveryWatch
 from hillmux.net.forward_request import OpenRequest
 from hillmux.net.gateway_core import (
--- a/tests/capacity/test_counting.py
+++ b/tests/capacity/test_counting.py
@@ -19,7 +19,7 @@
     Scenario,
     reply_bytes,
 )
-from hillmux.net.counter import request_bytes
+from hillmux.net.counter_channel import request_bytes
 
 HALF = Scenario(gateways=4, customers=6, width=4, asked_per_s=2.3, rate=4.6, burst=21.16, seed=1)
 
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -15,9 +15,9 @@
 
 from hillmux import interface as api
 from hillmux.interface import AttemptResult, RejectReason
-from hillmux.net import counter as counter_module
+from hillmux.net import counter_channel, counter_client
 from hillmux.net.config import parse
-from hillmux.net.counter import HttpCounterClient
+from hillmux.net.counter_client import HttpCounterClient
 from hillmux.net.discovery import MAX_WATCH_MS
 from hillmux.net.gateway_core import GatewayCore
 from hillmux.net.http1 import Reply
@@ -344,7 +344,7 @@
 async def counter_with(
     monkeypatch: pytest.MonkeyPatch, fake: Fake, wait_ms: float
 ) -> tuple[HttpCounterClient, asyncio.Queue[api.CounterReply]]:
-    monkeypatch.setattr(counter_module, "CONNECTIONS", 1)
+    monkeypatch.setattr(counter_client, "CONNECTIONS", 1)
     await fake.start()
     got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
     counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), wait_ms, got.put_nowait)
@@ -457,11 +457,11 @@
     """Its loss is told before its dial is over; it must not stand for the slot's connection from then on."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(counter_module, "CONNECTIONS", 1)
+        monkeypatch.setattr(counter_client, "CONNECTIONS", 1)
         listener = socket.create_server((LOOP, 0))
         made, gone = (
-            counter_module.CounterConnection.connection_made,
-            counter_module.CounterConnection.connection_lost,
+            counter_channel.CounterConnection.connection_made,
+            counter_channel.CounterConnection.connection_lost,
         )
         ended = asyncio.Event()
 
@@ -469,15 +469,15 @@
             accepted, _ = listener.accept()
             accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             accepted.close()
-            monkeypatch.setattr(counter_module.CounterConnection, "connection_made", made)
+            monkeypatch.setattr(counter_channel.CounterConnection, "connection_made", made)
             made(connection, transport)
 
         def lost(connection, exc: Exception | None) -> None:
             gone(connection, exc)
             ended.set()
 
-        monkeypatch.setattr(counter_module.CounterConnection, "connection_made", made_and_reset)
-        monkeypatch.setattr(counter_module.CounterConnection, "connection_lost", lost)
+        monkeypatch.setattr(counter_channel.CounterConnection, "connection_made", made_and_reset)
+        monkeypatch.setattr(counter_channel.CounterConnection, "connection_lost", lost)
         got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
         counter = HttpCounterClient(asyncio.get_running_loop(), listener.getsockname(), 5000, got.put_nowait)
         counter.start()
@@ -497,22 +497,22 @@
     """The loop tells nobody of that connection's end; its slot would hold a dead one for good."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(counter_module, "CONNECTIONS", 1)
+        monkeypatch.setattr(counter_client, "CONNECTIONS", 1)
         fake = Fake(lambda seen: reply(b"1"))
         await fake.start()
         got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
         counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), 5000, got.put_nowait)
-        made = counter_module.CounterConnection.connection_made
+        made = counter_channel.CounterConnection.connection_made
 
         def made_and_called_off(connection, transport: asyncio.BaseTransport) -> None:
-            monkeypatch.setattr(counter_module.CounterConnection, "connection_made", made)
+            monkeypatch.setattr(counter_channel.CounterConnection, "connection_made", made)
             dial = counter._channels[0]._dial
             made(connection, transport)
             dial.cancel()
 
-        monkeypatch.setattr(counter_module.CounterConnection, "connection_made", made_and_called_off)
+        monkeypatch.setattr(counter_channel.CounterConnection, "connection_made", made_and_called_off)
         counter.start()
-        while counter_module.CounterConnection.connection_made is not made:
+        while counter_channel.CounterConnection.connection_made is not made:
             await asyncio.sleep(0)
         await asyncio.sleep(0.05)
         counter.call(api.IncrementCounter("a", 1, 1000))
@@ -525,7 +525,7 @@
 
 def test_a_call_made_while_a_counter_connection_ends_goes_to_another(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(counter_module, "CONNECTIONS", 2)
+        monkeypatch.setattr(counter_client, "CONNECTIONS", 2)
         fake = Fake(lambda seen: reply(b"many" if len(fake.seen) == 1 else b"1"))
         await fake.start()
         got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
@@ -558,7 +558,7 @@
     monkeypatch: pytest.MonkeyPatch, stuck: int, results: set[str]
 ) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(counter_module, "CONNECTIONS", 3)
+        monkeypatch.setattr(counter_client, "CONNECTIONS", 3)
         silent: list[asyncio.StreamWriter] = []
 
         def behave(seen: Seen) -> bytes | None:
