--- a/benchmarks/capacity/hosts.py
+++ b/benchmarks/capacity/hosts.py
@@ -13,7 +13,7 @@
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
 from hillmux.interface import ListKind
-from hillmux.net.discovery import DiscoveryResponse, parse_discovery_response
+from hillmux.net.discovery_response import DiscoveryResponse, parse_discovery_response
 
 CUSTOMERS = 700  # 62,000 tenants over 710 gateways, eight gateways each
 REPEATS = 7
@@ -23,7 +23,7 @@
 
 
 def read(body: bytes) -> DiscoveryResponse:
-    """An answer's body as a listing, in the way of `hillmux.net.discovery.Discovery`."""
+    """An answer's body as a listing, in the way of `hillmux.net.discovery_watch.DiscoveryWatch`."""
     return parse_discovery_response(json.loads(body))
 
 
--- a/benchmarks/capacity/terms.py
+++ b/benchmarks/capacity/terms.py
@@ -20,7 +20,7 @@
     "seen_ninety": "nine tenths of each quota used with bursts of 6 s",
 }
 COUNTER = "late reports within the even share, leases (`limits/`)"
-WATCH = "a watch at the agent, changes alone (`net/discovery.py`)"
-LIST = "the whole list at a start (`net/discovery.py`)"
+WATCH = "a watch at the agent, changes alone (`net/discovery_watch.py`)"
+LIST = "the whole list at a start (`net/discovery_watch.py`)"
 RELOAD = "SIGHUP, the whole file read anew (`hosted/`)"
 AHEAD = "names split among counters on the control machines, each gateway calling the one that has a name"
--- a/hillmux/hosted/core.py
+++ b/hillmux/hosted/core.py
@@ -14,7 +14,7 @@
 from hillmux.hosted.stats import Stats
 from hillmux.interface import AttemptResult, Idempotency, ListKind, RejectReason
 from hillmux.net.attempt import Attempt
-from hillmux.net.discovery import DiscoveryResponse
+from hillmux.net.discovery_response import DiscoveryResponse
 from hillmux.net.forward_request import Client, ForwardRequest, OpenRequest
 from hillmux.net.gateway_core import CounterClient, GatewayCore
 from hillmux.net.http1 import Reply
--- a/hillmux/hosted/service.py
+++ b/hillmux/hosted/service.py
@@ -17,7 +17,7 @@
 from hillmux.hosted.hostfiles import HostFiles
 from hillmux.hosted.resources import TURN_S, Resources
 from hillmux.hosted.stats import Stats
-from hillmux.net.discovery import DiscoveryResponse
+from hillmux.net.discovery_response import DiscoveryResponse
 from hillmux.net.loop_lag import LoopLagMonitor
 from hillmux.net.requests import Terms
 from hillmux.tenants import model, router
--- a/hillmux/net/config.py
+++ b/hillmux/net/config.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 
 from hillmux import interface as api
-from hillmux.net.discovery import DiscoveryResponse, parse_discovery_response
+from hillmux.net.discovery_response import DiscoveryResponse, parse_discovery_response
 from hillmux.simulator import codec as wire
 
 Address = tuple[str, int]
--- a/hillmux/net/gateway_core.py
+++ b/hillmux/net/gateway_core.py
@@ -14,7 +14,7 @@
 from hillmux.interface import AttemptResult, HostStatus, ListKind
 from hillmux.net.attempt import Attempt
 from hillmux.net.deadlines import TICK_S, Deadlines
-from hillmux.net.discovery import DiscoveryResponse
+from hillmux.net.discovery_response import DiscoveryResponse
 from hillmux.net.event_dispatcher import EventDispatcher
 from hillmux.net.forward_request import Client, ForwardRequest, OpenRequest, StreamingClient
 from hillmux.net.http1 import Reply
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -18,7 +18,7 @@
 from hillmux.net.attempt import Attempt
 from hillmux.net.clients import Server
 from hillmux.net.config import GatewayConfig
-from hillmux.net.discovery import DiscoveryResponse
+from hillmux.net.discovery_response import DiscoveryResponse
 from hillmux.net.forward_request import OpenRequest
 from hillmux.net.http1 import Reply
 from hillmux.net.platform_gateway import PlatformGateway
--- a/hillmux/net/platform_gateway.py
+++ b/hillmux/net/platform_gateway.py
@@ -13,7 +13,8 @@
 from hillmux.net.clients import Server
 from hillmux.net.config import GatewayConfig
 from hillmux.net.counter_client import HttpCounterClient
-from hillmux.net.discovery import DiscoveryResponse, DiscoveryWatch
+from hillmux.net.discovery_response import DiscoveryResponse
+from hillmux.net.discovery_watch import DiscoveryWatch
 from hillmux.net.forward_request import OpenRequest
 from hillmux.net.gateway_core import (
     CLIENT_TRANSIT_MS,
--- a/tests/crossings/test_sending.py
+++ b/tests/crossings/test_sending.py
@@ -17,7 +17,7 @@
 from hillmux import interface as api
 from hillmux.interface import AttemptResult, ListKind
 from hillmux.net.counter_client import CONNECTIONS, HttpCounterClient
-from hillmux.net.discovery import parse_discovery_response
+from hillmux.net.discovery_response import parse_discovery_response
 from hillmux.net.gateway_core import GatewayCore
 from hillmux.net.streaming import FlowServer
 
--- a/tests/crossings/test_watch.py
+++ b/tests/crossings/test_watch.py
@@ -11,15 +11,15 @@
 from fakes.agent import Agent, listing
 from fakes.core import HeldDials
 
-from hillmux.net import discovery as discovery_module
-from hillmux.net.discovery import (
+from hillmux.net import discovery_watch
+from hillmux.net.discovery_response import DiscoveryResponse
+from hillmux.net.discovery_watch import (
     DIAL_TIMEOUT_S,
     MAX_WATCH_MS,
     MIN_BACKOFF_S,
     PATIENT_SILENCE_TIMEOUT_S,
     READ_GRACE_S,
     SILENCE_TIMEOUT_S,
-    DiscoveryResponse,
     DiscoveryWatch,
 )
 
@@ -42,7 +42,7 @@
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
     """The same clock, ten times as fast."""
     for name in ("MAX_WATCH_MS", "SILENCE_TIMEOUT_S", "PATIENT_SILENCE_TIMEOUT_S", "DIAL_TIMEOUT_S"):
-        monkeypatch.setattr(discovery_module, name, getattr(discovery_module, name) / 10)
+        monkeypatch.setattr(discovery_watch, name, getattr(discovery_watch, name) / 10)
 
 
 SPOILT = reply(b'{"generation": 7}')
@@ -140,7 +140,7 @@
         def stall() -> None:  # among what the loop reads: its timers come before it reads again
             loop.remove_reader(ours)
             agent.sendall(listing(1, "a"))
-            time.sleep(discovery_module.PATIENT_SILENCE_TIMEOUT_S + 0.05)
+            time.sleep(discovery_watch.PATIENT_SILENCE_TIMEOUT_S + 0.05)
 
         loop.add_reader(ours, stall)
         theirs.send(b"x")
@@ -165,7 +165,7 @@
 
         def slow(seen: Seen) -> bytes | None:
             calls.append(seen)
-            later = (discovery_module.SILENCE_TIMEOUT_S + discovery_module.PATIENT_SILENCE_TIMEOUT_S) / 2
+            later = (discovery_watch.SILENCE_TIMEOUT_S + discovery_watch.PATIENT_SILENCE_TIMEOUT_S) / 2
             if seen.line.startswith("GET /v1/endpoints "):
                 asyncio.get_running_loop().call_later(later, seen.writer.write, listing(1, "a"))
             return None
--- a/tests/fakes/agent.py
+++ b/tests/fakes/agent.py
@@ -7,7 +7,8 @@
 
 from conftest import LOOP, Fake, Seen, instance, reply
 
-from hillmux.net.discovery import DiscoveryResponse, DiscoveryWatch
+from hillmux.net.discovery_response import DiscoveryResponse
+from hillmux.net.discovery_watch import DiscoveryWatch
 
 
 def listing(generation: int, *names: str, whole: bool = True) -> bytes:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,7 +8,8 @@
 from conftest import on_loop, reply
 from fakes.agent import Agent, listing
 
-from hillmux.net.discovery import DiscoveryResponse, DiscoveryWatch
+from hillmux.net.discovery_response import DiscoveryResponse
+from hillmux.net.discovery_watch import DiscoveryWatch
 
 
 def test_what_is_known_already_is_not_asked_for_again() -> None:
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -18,7 +18,7 @@
 from hillmux.net import counter_channel, counter_client
 from hillmux.net.config import parse
 from hillmux.net.counter_client import HttpCounterClient
-from hillmux.net.discovery import MAX_WATCH_MS
+from hillmux.net.discovery_watch import MAX_WATCH_MS
 from hillmux.net.gateway_core import GatewayCore
 from hillmux.net.http1 import Reply
 
