--- a/hillmux/__main__.py
+++ b/hillmux/__main__.py
@@ -16,7 +16,7 @@
 from hillmux.net.config import ConfigError, GatewayConfig, load
 from hillmux.net.platform_gateway import PlatformGateway
 from hillmux.net.shutdown import Shutdown, set_up_log
-from hillmux.net.streaming import FlowServer
+from hillmux.net.streaming import StreamingListener
 
 # Requests leave next to no reference cycles, so the collector runs seldom.
 GC_ALLOCATIONS: Final = 20_000
@@ -36,7 +36,7 @@
     return ManagedGateway(config, loop)
 
 
-def _reload(gateway: PlatformGateway, server: FlowServer, started: GatewayConfig) -> None:
+def _reload(gateway: PlatformGateway, server: StreamingListener, started: GatewayConfig) -> None:
     """Handle SIGHUP; an invalid configuration changes nothing."""
     try:
         config = load(os.environ, before=started)
@@ -45,7 +45,7 @@
         gateway.reload_rejected()
         return
     gateway.reload(config)
-    server.read_terms()
+    server.reload_settings()
     logging.info(
         "reloaded: discovery %s:%d, %d classes, %d attempts",
         *config.discovery,
@@ -58,7 +58,7 @@
     """Serve until a graceful shutdown, which SIGTERM or SIGINT begins, is complete."""
     loop = asyncio.get_running_loop()
     gateway = _new_gateway(config, loop)
-    server = FlowServer(gateway, loop, config.max_sockets)
+    server = StreamingListener(gateway, loop, config.max_sockets)
     shutdown = Shutdown(gateway, server, loop)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, shutdown.begin)
--- a/hillmux/hosted/core.py
+++ b/hillmux/hosted/core.py
@@ -17,7 +17,7 @@
 from hillmux.net.discovery_response import DiscoveryResponse
 from hillmux.net.forward_request import Client, ForwardRequest, OpenRequest
 from hillmux.net.gateway_core import CounterClient, GatewayCore
-from hillmux.net.http1 import Reply
+from hillmux.net.http1 import Response
 from hillmux.net.loop_lag import LoopLagMonitor
 from hillmux.net.upstream_connection import UpstreamConnection
 from hillmux.net.upstream_pool import UpstreamPool
@@ -84,14 +84,14 @@
         tenant: Tenant,
         loop: asyncio.AbstractEventLoop,
         resources: Resources,
-        ended: Callable[[Attempt, AttemptResult, Reply | None], None],
+        ended: Callable[[Attempt, AttemptResult, Response | None], None],
         make_room: Callable[[str], bool],
         wanted: Callable[[Attempt], bool],
     ) -> None:
         super().__init__(loop, int(resources.hosts.whole), tenant.dial_ms, tenant.idle_ms, ended, wanted)
         self._tenant, self._resources, self._make_room = tenant.id, resources, make_room
 
-    def classify(self, reply: Reply) -> AttemptResult:
+    def classify(self, reply: Response) -> AttemptResult:
         """An answer that is the tenant's own business, a 404 as much as a 201, was served."""
         if 200 <= reply.status < 500 and reply.status not in (408, 429):
             return AttemptResult.OK
@@ -258,18 +258,18 @@
             if self._leaving:
                 self.loop.call_soon(self._close_if_done)
 
-    def left(self, rid: str) -> None:
+    def client_disconnected(self, rid: str) -> None:
         """Also count a request whose client left before its answer."""
         request = self.requests.get(rid)
         if request is not None and request.client is not None:
             self.stats.left += 1
-        super().left(rid)
+        super().client_disconnected(rid)
 
     def answer(
         self,
         request: OpenRequest | None,
         status: int,
-        reply: Reply | None = None,
+        reply: Response | None = None,
         retry_after_ms: float = 0.0,
     ) -> None:
         if request is not None and request.client is not None:
@@ -283,9 +283,9 @@
                 self.cause = "failed"
         super().answer(request, status, reply, retry_after_ms)
 
-    def pass_on_response(self, client: Client, reply: Reply) -> None:
+    def pass_on_response(self, client: Client, reply: Response) -> None:
         cast(Any, client).passing = True
-        cast(Any, client).more = reply.headers.get(LINES_KEPT, b"")
+        cast(Any, client).extra_header_lines = reply.headers.get(LINES_KEPT, b"")
         super().pass_on_response(client, reply)
 
     def reject(self, act: api.Reject) -> None:
--- a/hillmux/net/attempt.py
+++ b/hillmux/net/attempt.py
@@ -9,11 +9,11 @@
     from hillmux.net.upstream_connection import UpstreamConnection
 
 
-class Upload(Protocol):
+class StreamedRequestBody(Protocol):
     """A request body that is still arriving from the client."""
 
-    whole: bool  # its last byte has arrived
-    source: Any  # the client's connection; `hold` pauses and resumes reading from it
+    complete: bool  # its last byte has arrived
+    client: Any  # the client's connection; `hold` pauses and resumes reading from it
 
     def attach(self, connection: Any) -> None:
         """Write what has arrived, and what still arrives, to a connection."""
@@ -42,7 +42,7 @@
         "timeout_timer",
         "dial_timer",
         "done",
-        "upload",
+        "streamed_body",
         "timeout_s",
         "dialled_connection",
     )
@@ -67,7 +67,7 @@
         self.timeout_timer: asyncio.TimerHandle | None = None  # the grace period after that time-out
         self.dial_timer: asyncio.TimerHandle | None = None
         self.done = False
-        self.upload: Upload | None = None  # the rest of a body that is streamed
+        self.streamed_body: StreamedRequestBody | None = None  # the rest of a body that is streamed
         self.timeout_s = 0.0  # from the decision on, or from the body's last byte
 
     def payload(self, now: float) -> bytes:
--- a/hillmux/net/forward_request.py
+++ b/hillmux/net/forward_request.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from hillmux.net.attempt import Attempt
-from hillmux.net.http1 import Reply
+from hillmux.net.http1 import Response
 
 
 class Client(Protocol):
@@ -17,7 +17,7 @@
     ) -> None:
         """Send the one final response."""
 
-    def has_left(self, behind: bool) -> bool:
+    def has_disconnected(self, behind: bool) -> bool:
         """Whether it has disconnected, even if the loop has not read so yet.
 
         `behind`: the loop runs behind, so the end of the connection may have been waiting for some time.
@@ -27,13 +27,13 @@
 class StreamingClient(Client, Protocol):
     """A client that a long response is streamed to."""
 
-    def begin(self, reply: Reply, source: Any) -> None:
+    def start_response(self, reply: Response, source: Any) -> None:
         """Send the head of the response; the body follows from `source`, a connection to a host."""
 
-    def finish(self) -> None:
+    def finish_response(self) -> None:
         """The response is complete."""
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """The response cannot be completed."""
 
 
@@ -54,7 +54,7 @@
     head: bytes  # request line and headers for the host, without X-Deadline
     body: bytes
     pool: str = ""  # the hosts that may serve it
-    upload: Any = None  # the rest of a body that is still arriving (net/streaming.py)
+    streamed_body: Any = None  # the rest of a body that is still arriving (net/streaming.py)
 
     def __init__(
         self,
@@ -71,14 +71,14 @@
         head: bytes,
         body: bytes,
         pool: str = "",
-        upload: Any = None,
+        streamed_body: Any = None,
     ) -> None:
         self.client_request_id, self.class_name = client_request_id, class_name
         self.plan_name, self.customer = plan_name, customer
         self.time_left_ms, self.units = time_left_ms, units
         self.replicas, self.first_replica, self.is_retry = replicas, first_replica, is_retry
         self.read_at, self.head, self.body = read_at, head, body
-        self.pool, self.upload = pool, upload
+        self.pool, self.streamed_body = pool, streamed_body
 
 
 class OpenRequest:
--- a/hillmux/net/idle_connections.py
+++ b/hillmux/net/idle_connections.py
@@ -56,7 +56,7 @@
         idle, host.idle = host.idle, []
         for connection in idle:
             del self.oldest_first[connection]
-            connection.drop()
+            connection.abort()
 
     def close_expired(self) -> None:
         """Close the connections that have been idle for longer than the time-out."""
@@ -67,4 +67,4 @@
     def _close(self, connection: UpstreamConnection) -> None:
         del self.oldest_first[connection]
         connection.host.idle.remove(connection)
-        connection.drop()
+        connection.abort()
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -16,13 +16,13 @@
 from hillmux.hot_restart.state_codec import StateError, export, restore
 from hillmux.interface import ListKind
 from hillmux.net.attempt import Attempt
-from hillmux.net.clients import Server
+from hillmux.net.clients import Listener
 from hillmux.net.config import GatewayConfig
 from hillmux.net.discovery_response import DiscoveryResponse
 from hillmux.net.forward_request import OpenRequest
-from hillmux.net.http1 import Reply
+from hillmux.net.http1 import Response
 from hillmux.net.platform_gateway import PlatformGateway
-from hillmux.net.streaming import FlowHostConnection, FlowHosts
+from hillmux.net.streaming import StreamingUpstreamConnection, StreamingUpstreamPool
 
 log = logging.getLogger(__name__)
 
@@ -35,29 +35,29 @@
 READY_POLL_INTERVAL_S: Final = 0.02
 
 
-class CountedConnection(FlowHostConnection):
+class CountedConnection(StreamingUpstreamConnection):
     """Reports to its pool when an attempt's last byte has left."""
 
     def start_attempt(self, attempt: Attempt) -> None:
         """Write an attempt's request, and report it if all of it has left at once."""
         super().start_attempt(attempt)
-        if not self.unsent and attempt.upload is None:  # a streamed body is reported by its last byte
-            self._flow_pool.written(attempt)
+        if not self.unsent and attempt.streamed_body is None:  # a streamed body is reported by its last byte
+            self._streaming_pool.on_body_written(attempt)
 
     def resume_writing(self) -> None:
         """All that was written has left: report the attempt."""
         super().resume_writing()
         if self.attempt is not None and not self.unsent:
-            self._flow_pool.written(self.attempt)
+            self._streaming_pool.on_body_written(self.attempt)
 
 
-class CountedPool(FlowHosts):
+class CountedPool(StreamingUpstreamPool):
     """A pool whose attempts are counted."""
 
     connection_class: ClassVar[type[Any]] = CountedConnection
     gateway: ManagedGateway
 
-    def written(self, attempt: Attempt) -> None:
+    def on_body_written(self, attempt: Attempt) -> None:
         """An attempt has been sent completely."""
         self.gateway.attempt_sent(attempt)
 
@@ -65,7 +65,7 @@
 class ManagedGateway(PlatformGateway):
     """A platform gateway with metrics, with hosts that operators disable, and with hot restart."""
 
-    pool_class: ClassVar[type[FlowHosts]] = CountedPool
+    pool_class: ClassVar[type[StreamingUpstreamPool]] = CountedPool
 
     def __init__(self, config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config, loop)
@@ -76,7 +76,7 @@
         self._disabled: set[str] = set()
         self._operator_server = OperatorServer(self, loop)
         self._state_directory = config.state_directory
-        self._server: Server[Any] | None = None  # once clients are accepted
+        self._server: Listener[Any] | None = None  # once clients are accepted
         self._hot_restart_server = HandOver(self, loop)
         self._hot_restart_client: TakeOver | None = None
 
@@ -126,10 +126,12 @@
 
     # Hot restart
 
-    async def open(self, server: Server[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
+    async def open(self, server: Listener[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
         """Take over from the process that serves here already, if there is one; else listen."""
         if self._state_directory is not None:
-            self._hot_restart_client = TakeOver.find(self._state_directory, self.loop, server.adopt)
+            self._hot_restart_client = TakeOver.find(
+                self._state_directory, self.loop, server.adopt_connection
+            )
         listening = await self._inherit(server) if self._hot_restart_client is not None else None
         if listening is None:
             listening = server.start(address, shared=True)
@@ -141,7 +143,7 @@
             self._hot_restart_client.serving()
         return listening
 
-    async def _inherit(self, server: Server[Any]) -> list[tuple[str, int]] | None:
+    async def _inherit(self, server: Listener[Any]) -> list[tuple[str, int]] | None:
         """Take over the listening socket and the state once ready; None without an answer."""
         assert self._hot_restart_client is not None
         end = self.loop.time() + READY_TIMEOUT_S
@@ -159,7 +161,7 @@
         except StateError as error:  # perhaps of another version: its clients are taken over all the same
             log.warning("hot restart: state of the old process ignored: %s", error)
         log.info("hot restart: took over from the process that served here")
-        return server.inherit(descriptor)
+        return server.inherit_socket(descriptor)
 
     def give(self) -> tuple[int, Iterable[dict[str, Any]]]:
         """Stop accepting and deciding; a descriptor of the listening socket, and the state."""
@@ -170,23 +172,23 @@
             {"t": KNOWN_HOSTS_DOCUMENT, "names": names[start : start + MAX_NAMES_PER_DOCUMENT]}
             for start in range(0, len(names), MAX_NAMES_PER_DOCUMENT)
         ]
-        return self._server.lend(), chain(export(self.decision_module), known_hosts)
+        return self._server.lend_socket(), chain(export(self.decision_module), known_hosts)
 
     def keep(self) -> None:
         """Resume: the successor ended before it served."""
         assert self._server is not None
         self.post(api.TakenOver(False))
-        self._server.take_back()
+        self._server.take_back_socket()
 
     def gone(self, heir: Heir) -> None:
         """The successor serves."""
         assert self._server is not None
-        self._server.succeeded_by(heir)
+        self._server.hand_over_to(heir)
 
     def alone(self) -> None:
         """The successor that served has ended; connections cannot be passed on to it any more."""
         assert self._server is not None
-        self._server.heir = None
+        self._server.successor = None
 
     # Operators' calls
 
@@ -234,7 +236,7 @@
         self,
         request: OpenRequest | None,
         status: int,
-        reply: Reply | None = None,
+        reply: Response | None = None,
         retry_after_ms: float = 0.0,
     ) -> None:
         """Also count the response."""
--- a/hillmux/net/upstream_connection.py
+++ b/hillmux/net/upstream_connection.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from hillmux.net.attempt import Attempt
-from hillmux.net.http1 import Reply, ReplyProtocol
+from hillmux.net.http1 import Response, ResponseProtocol
 
 if TYPE_CHECKING:
     from hillmux.net.upstream_pool import UpstreamPool
@@ -28,7 +28,7 @@
         self.draining = False  # open attempts continue, no new one begins
 
 
-class UpstreamConnection(ReplyProtocol):
+class UpstreamConnection(ResponseProtocol):
     """One connection of a pool to a host."""
 
     def __init__(self, pool: UpstreamPool, host: UpstreamHost) -> None:
@@ -45,14 +45,14 @@
         self.reused = self.idle_since > 0
         now = time.monotonic()
         self.write(attempt.payload(now))
-        if attempt.upload is not None:
-            self.upload(attempt)
+        if attempt.streamed_body is not None:
+            self.start_streamed_body(attempt)
         if self.unsent and attempt.delivery_deadline < inf:
             self._loop.call_later(
                 max(attempt.delivery_deadline - now, 0.0), self._pool.delivery_window_closed, attempt
             )
 
-    def upload(self, attempt: Attempt) -> None:
+    def start_streamed_body(self, attempt: Attempt) -> None:
         """Write the rest of the attempt's body as it arrives."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -76,7 +76,7 @@
                     duplicate.shutdown(socket.SHUT_WR)
         except OSError:
             pass  # the host closed first, or no descriptor is left: the attempt ends all the same
-        self.drop()
+        self.abort()
 
     def has_no_unread_data(self) -> bool:
         """Whether nothing has arrived that is still unread.
@@ -86,16 +86,16 @@
         """
         return not self.transport.is_closing() and not self._poll.poll(0)
 
-    def replied(self, reply: Reply, reusable: bool) -> None:
+    def on_response(self, reply: Response, reusable: bool) -> None:
         """Pass a complete response to the pool, unless its attempt was aborted."""
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
             self._pool.response_received(self, attempt, reply, reusable)
 
-    def spoilt(self) -> None:
+    def on_malformed_response(self) -> None:
         """Report a malformed response to the pool."""
         self._pool.malformed_response(self)
 
-    def lost(self) -> None:
+    def on_connection_lost(self) -> None:
         """Report the end of the connection to the pool."""
         self._pool.connection_closed(self)
--- a/hillmux/net/upstream_pool.py
+++ b/hillmux/net/upstream_pool.py
@@ -15,9 +15,9 @@
 
 from hillmux.interface import AttemptResult
 from hillmux.net.attempt import Attempt
-from hillmux.net.deadlines import Deadlines
+from hillmux.net.deadlines import TimingWheel
 from hillmux.net.dialer import READ_GRACE_S, Dialer
-from hillmux.net.http1 import Reply
+from hillmux.net.http1 import Response
 from hillmux.net.idle_connections import IdleConnections
 from hillmux.net.upstream_connection import UpstreamConnection, UpstreamHost
 
@@ -37,7 +37,7 @@
         max_connections: int,
         dial_timeout_ms: float,
         idle_timeout_ms: float,
-        on_ended: Callable[[Attempt, AttemptResult, Reply | None], None],
+        on_ended: Callable[[Attempt, AttemptResult, Response | None], None],
         is_wanted: Callable[[Attempt], bool] = lambda attempt: True,
     ) -> None:
         """`idle_timeout_ms` is the hosts' own limit.
@@ -53,7 +53,7 @@
         self.idle = IdleConnections(loop, IDLE_TIMEOUT_SHARE * idle_timeout_ms / 1000)
         self.dialer = Dialer(self, dial_timeout_ms / 1000)
         self.dials = 0  # under way
-        self.timeouts = Deadlines(loop, self._timeout_due)
+        self.timeouts = TimingWheel(loop, self._timeout_due)
         self._stopped = False
         self.streams: dict[Attempt, Any] = {}  # attempts whose response is being streamed: its connection
 
@@ -65,7 +65,7 @@
         """Close all connections."""
         self._stopped = True
         for connection in list(self.connections):
-            connection.drop()
+            connection.abort()
 
     # Hosts
 
@@ -156,12 +156,12 @@
             attempt.connection.attempt = None
             attempt.connection.abort_attempt()
 
-    def finish(self, attempt: Attempt, result: AttemptResult, reply: Reply | None = None) -> None:
+    def finish(self, attempt: Attempt, result: AttemptResult, reply: Response | None = None) -> None:
         """Report an attempt's outcome, once."""
         if attempt.done:
             return
         attempt.done = True
-        if attempt.upload is not None or self.streams:
+        if attempt.streamed_body is not None or self.streams:
             self.end_streams(attempt)
         attempt.connection = None
         self.timeouts.cancel(attempt, attempt.timeout_slot)
@@ -172,7 +172,7 @@
     def end_streams(self, attempt: Attempt) -> None:
         """Stop streaming an attempt's body and response."""
 
-    def classify(self, reply: Reply) -> AttemptResult:
+    def classify(self, reply: Response) -> AttemptResult:
         """What a complete response means for its attempt."""
         if reply.status == 200:
             return AttemptResult.OK
@@ -222,7 +222,7 @@
     def dialled(self, attempt: Attempt, host: UpstreamHost, connection: UpstreamConnection) -> None:
         """Start an attempt on the connection that was dialled for it, if it is still valid."""
         if attempt.done or self._stopped:
-            connection.drop()
+            connection.abort()
         elif connection.transport.is_closing():  # it was lost before this turn of the loop
             self.finish(attempt, AttemptResult.INCOMPLETE_REQUEST)
         elif not self._still_valid(attempt, host):
@@ -250,7 +250,7 @@
             return
         if connection.unsent:
             self.finish(attempt, AttemptResult.INCOMPLETE_REQUEST)
-        elif connection.reused and not connection.begun():
+        elif connection.reused and not connection.response_begun():
             # The most recently used connection was dead already; the older ones are no better.
             self.idle.close_of_host(connection.host)
             self.finish(attempt, AttemptResult.STALE_CONNECTION)
@@ -258,13 +258,13 @@
             self.finish(attempt, AttemptResult.RESET)
 
     def response_received(
-        self, connection: UpstreamConnection, attempt: Attempt, reply: Reply, reusable: bool
+        self, connection: UpstreamConnection, attempt: Attempt, reply: Response, reusable: bool
     ) -> None:
         """A complete response: free the connection, and end the attempt."""
         if reusable and not connection.unsent:
             self._keep_or_drop(connection)
         else:
-            connection.drop()
+            connection.abort()
         self.finish(attempt, self.classify(reply), reply)
 
     def malformed_response(self, connection: UpstreamConnection) -> None:
@@ -278,7 +278,7 @@
         if self._accepts_attempts(connection.host):
             self.idle.add(connection)
         else:
-            connection.drop()
+            connection.abort()
 
     def _sweep(self) -> None:
         # A request written to a connection that the host is about to close ends as a reset, after which the
--- a/tests/crossings/test_sending.py
+++ b/tests/crossings/test_sending.py
@@ -19,7 +19,7 @@
 from hillmux.net.counter_client import CONNECTIONS, HttpCounterClient
 from hillmux.net.discovery_response import parse_discovery_response
 from hillmux.net.gateway_core import GatewayCore
-from hillmux.net.streaming import FlowServer
+from hillmux.net.streaming import StreamingListener
 
 LONG_MS = 5000.0
 
@@ -49,7 +49,7 @@
 
 
 def client_leaves(core: GatewayCore, port: int) -> None:
-    core.left("r1")
+    core.client_disconnected("r1")
 
 
 def guard_answers(core: GatewayCore, port: int) -> None:
@@ -189,7 +189,7 @@
         script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
         core.request(Answers(), an_order())
         await dials.asked.wait()
-        core.left("r1")
+        core.client_disconnected("r1")
         dials.go.set()
         while not script.outcomes():
             await asyncio.sleep(0)
@@ -304,7 +304,7 @@
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
-        server = FlowServer(core, core.loop, 1024)
+        server = StreamingListener(core, core.loop, 1024)
         ((_, port),) = server.start((LOOP, 0))
         client = socket.create_connection((LOOP, port))
         client.sendall(message("pay", rid=b"first"))
@@ -335,7 +335,7 @@
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
-        server = FlowServer(core, core.loop, 1024)
+        server = StreamingListener(core, core.loop, 1024)
         ((_, port),) = server.start((LOOP, 0))
         before = Answers()
         script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
--- a/tests/fakes/desk.py
+++ b/tests/fakes/desk.py
@@ -9,7 +9,7 @@
 
 from hillmux.net.config import parse
 from hillmux.net.forward_request import Client, ForwardRequest
-from hillmux.net.streaming import FlowServer
+from hillmux.net.streaming import StreamingListener
 
 
 class Desk:
@@ -30,7 +30,7 @@
         self.open: dict[str, tuple[Client, ForwardRequest]] = {}
         self.gone: list[str] = []
         self.taken: list[bytes] = []
-        self.server = FlowServer(self, asyncio.get_running_loop(), sockets)
+        self.server = StreamingListener(self, asyncio.get_running_loop(), sockets)
         ((_, self.port),) = self.server.start((LOOP, 0))
 
     def request(self, client: Client, order: ForwardRequest) -> str | None:
@@ -39,10 +39,10 @@
         self.open[rid] = client, order
         return rid
 
-    def left(self, rid: str) -> None:
+    def client_disconnected(self, rid: str) -> None:
         self.gone.append(rid)
 
-    def broken(self, rid: str, status: int) -> None:
+    def abort_request(self, rid: str, status: int) -> None:
         raise AssertionError("no body flows here")
 
     def ready(self) -> bool:
