--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -8,7 +8,7 @@
 
 import pytest
 from conftest import Fake, Rig, Seen, message, on_loop, read_message, reply
-from fakes.core import Answers, an_order, core_with
+from fakes.gateway_core import RecordingClient, forward_request, start_gateway_core
 
 from hillmux import interface as api
 
@@ -74,17 +74,17 @@
 def test_nothing_is_sent_on_once_all_that_was_open_has_been_failed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
-        core, script = await core_with(monkeypatch, host)
-        client = Answers()
-        core.request(client, an_order())
+        core, decisions = await start_gateway_core(monkeypatch, host)
+        client = RecordingClient()
+        core.request(client, forward_request())
         core.fail_all()
-        assert await client.got.get() == 504
-        before = len(script.events)
-        script.plan[api.Request] = [api.SendAttempt("r2", "s-0", 5000)]
-        core.request(client, an_order())
-        assert await client.got.get() == 503
+        assert await client.statuses.get() == 504
+        before = len(decisions.events)
+        decisions.actions[api.Request] = [api.SendAttempt("r2", "s-0", 5000)]
+        core.request(client, forward_request())
+        assert await client.statuses.get() == 503
         await asyncio.sleep(0.02)
-        assert len(script.events) == before and not host.seen
+        assert len(decisions.events) == before and not host.seen
         host.stop()
 
     on_loop(scenario, 5)
--- a/tests/fakes/agent.py
+++ b/tests/fakes/discovery.py
@@ -16,7 +16,7 @@
     return reply(json.dumps(raw).encode())
 
 
-class Agent:
+class FakeDiscovery:
     """An agent whose answers are given one by one; None is silence, b"" a reset."""
 
     def __init__(self, *answers: bytes | None) -> None:
@@ -27,7 +27,7 @@
     def _behave(self, seen: Seen) -> bytes | None:
         return self.answers.pop(0) if self.answers else None
 
-    async def start(self, generation: int = 0) -> Agent:
+    async def start(self, generation: int = 0) -> FakeDiscovery:
         await self.fake.start()
         self.discovery = DiscoveryWatch(
             asyncio.get_running_loop(), (LOOP, self.fake.port), self.told.put_nowait, generation, 1
--- a/tests/fakes/core.py
+++ b/tests/fakes/gateway_core.py
@@ -1,9 +1,10 @@
-"""The core on real sockets with a script in the module's place, and a hold on what it dials."""
+"""A gateway core on real sockets with a scripted decision module, and a loop whose dials are held."""
 
 from __future__ import annotations
 
 import asyncio
 import time
+from itertools import count
 from typing import Any
 
 import pytest
@@ -17,17 +18,19 @@
 from hillmux.net.gateway_core import GatewayCore
 from hillmux.net.platform_gateway import PlatformGateway
 
+serials = count(1)
 
-class Script:
-    """Stands in for the module: records events and plays actions."""
+
+class ScriptedDecisionModule:
+    """Records events; the next event of a type is answered with the actions, or the error, set for it."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.events: list[api.Event] = []
-        self.plan: dict[type, list[api.Action] | Exception] = {}
+        self.actions: dict[type, list[api.Action] | Exception] = {}
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
         self.events.append(event)
-        actions = self.plan.pop(type(event), [])
+        actions = self.actions.pop(type(event), [])
         if isinstance(actions, Exception):
             raise actions
         return actions
@@ -36,45 +39,44 @@
         return [e.result for e in self.events if isinstance(e, api.AttemptEnded)]
 
 
-class Answers:
-    """A client that notes what it is answered."""
+class RecordingClient:
+    """A client that records the status of each response."""
 
     def __init__(self) -> None:
-        self.got: asyncio.Queue[int] = asyncio.Queue()
+        self.statuses: asyncio.Queue[int] = asyncio.Queue()
 
     def answer(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
-        self.got.put_nowait(status)
+        self.statuses.put_nowait(status)
 
     def has_disconnected(self, behind: bool) -> bool:
         return False
 
 
-def an_order(deadline_ms: float = 5000) -> ForwardRequest:
-    an_order.serial += 1
+def forward_request(deadline_ms: float = 5000) -> ForwardRequest:
+    """A request with an id of its own."""
     return ForwardRequest(
-        b"%d" % an_order.serial,
-        "pay",
-        "team",
-        "0" * 16,
-        deadline_ms,
-        1,
-        1,
-        0,
-        False,
-        time.monotonic(),
-        b"POST /api/0 HTTP/1.1\r\nX-Request-Id: a\r\nContent-Length: 0\r\n",
-        b"",
+        client_request_id=b"%d" % next(serials),
+        class_name="pay",
+        plan_name="team",
+        customer="0" * 16,
+        time_left_ms=deadline_ms,
+        units=1,
+        replicas=1,
+        first_replica=0,
+        is_retry=False,
+        read_at=time.monotonic(),
+        head=b"POST /api/0 HTTP/1.1\r\nX-Request-Id: a\r\nContent-Length: 0\r\n",
+        body=b"",
     )
 
 
-an_order.serial = 0
-
-
-async def core_with(monkeypatch: pytest.MonkeyPatch, host: Fake) -> tuple[GatewayCore, Script]:
-    """A core whose module is a script and whose one host is `s-0`; discovery does not answer."""
-    monkeypatch.setattr(event_dispatcher, "Gateway", Script)
+async def start_gateway_core(
+    monkeypatch: pytest.MonkeyPatch, host: Fake
+) -> tuple[GatewayCore, ScriptedDecisionModule]:
+    """A core whose decision module is scripted and whose one host is `s-0`; discovery does not answer."""
+    monkeypatch.setattr(event_dispatcher, "Gateway", ScriptedDecisionModule)
     await host.start()
     config = parse(
         {
@@ -91,17 +93,17 @@
     return core, core.decision_module
 
 
-class HeldDials:
-    """A loop whose dials come up when the test says so: what happens meanwhile has happened before."""
+class LoopWithHeldDials:
+    """A loop whose dials succeed when the test releases them: what happens meanwhile has happened before."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self.asked = asyncio.Event()  # a dial is under way
-        self.go = asyncio.Event()
+        self.started = asyncio.Event()  # a dial is under way
+        self.release = asyncio.Event()
 
     async def create_connection(self, *args: Any, **named: Any) -> Any:
-        self.asked.set()
-        await self.go.wait()
+        self.started.set()
+        await self.release.wait()
         return await self._loop.create_connection(*args, **named)
 
     def __getattr__(self, name: str) -> Any:
--- /dev/null
+++ b/tests/net/test_counter_client.py
@@ -0,0 +1,302 @@
+"""The client of the counter: results of calls, connections that fail, time-outs."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import struct
+
+import pytest
+from conftest import GRADES, LOOP, PACKAGES, Fake, Seen, on_loop, reply
+
+from hillmux import interface as api
+from hillmux.interface import AttemptResult
+from hillmux.net import counter_channel, counter_client
+from hillmux.net.config import parse
+from hillmux.net.counter_client import HttpCounterClient
+
+
+async def start_counter_client(
+    monkeypatch: pytest.MonkeyPatch, fake: Fake, wait_ms: float
+) -> tuple[HttpCounterClient, asyncio.Queue[api.CounterReply]]:
+    monkeypatch.setattr(counter_client, "CONNECTIONS", 1)
+    await fake.start()
+    got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
+    counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), wait_ms, got.put_nowait)
+    return counter, got
+
+
+def test_late_answer_is_not_taken_for_the_next_calls_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
+        fake = Fake(lambda seen: None)
+        counter, got = await start_counter_client(monkeypatch, fake, 400)
+        counter.call(api.IncrementCounter("a", 1, 1000))
+        assert (await got.get()).result == AttemptResult.TIMED_OUT
+        counter.call(api.IncrementCounter("b", -2.5, 4000.4))
+        await fake.until(lambda fake: len(fake.seen) == 2)
+        assert fake.seen[1].line == "POST /v1/count/b?add=-2.5&ttl_ms=4000 HTTP/1.1"
+        fake.seen[0].writer.write(reply(b"7") + reply(b"9"))
+        answer = await got.get()
+        assert (answer.name, answer.result, answer.total) == ("b", AttemptResult.OK, 9)
+        assert got.empty()
+        counter.stop()
+        fake.stop()
+
+    on_loop(scenario)
+
+
+@pytest.mark.parametrize(
+    ("behave", "result"),
+    [
+        (
+            lambda seen: b"",
+            AttemptResult.CONNECTION_LOST,
+        ),  # broken after the call was written: it may have been added
+        (lambda seen: reply(b"", 503), AttemptResult.QUEUE_FULL),
+        (lambda seen: reply(b"many"), AttemptResult.MALFORMED_RESPONSE),
+        (lambda seen: reply(b"nan"), AttemptResult.MALFORMED_RESPONSE),
+        (lambda seen: reply(b"1_0"), AttemptResult.MALFORMED_RESPONSE),
+        (lambda seen: b"HTTP/1.1 2x0 OK\r\n\r\n", AttemptResult.MALFORMED_RESPONSE),
+    ],
+)
+def test_result_of_a_counter_call(monkeypatch: pytest.MonkeyPatch, behave, result: str) -> None:
+    async def scenario() -> None:
+        fake = Fake(behave)
+        counter, got = await start_counter_client(monkeypatch, fake, 5000)
+        counter.call(api.IncrementCounter("a", 1, 1000))
+        assert (await got.get()).result == result
+        assert got.empty()
+        counter.stop()
+        fake.stop()
+
+    on_loop(scenario)
+
+
+def test_answer_after_the_expected_time_still_counts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A busy counter answers after the bound that the settings give; its totals are true all the same."""
+
+    async def scenario() -> None:
+        fake = Fake(lambda seen: None)
+        await fake.start()
+        config = parse(
+            {
+                "listen": f"{LOOP}:0",
+                "discovery": f"{LOOP}:{fake.port}",
+                "counter": f"{LOOP}:{fake.port}",
+                "seed": "1",
+                "settings": {
+                    "grades": GRADES,
+                    "packages": PACKAGES,
+                    "family_info": {"may_count": True, "count_wait_ms": 250.0},
+                },
+            }
+        )
+        got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
+        counter = HttpCounterClient(
+            asyncio.get_running_loop(), config.counter, config.settings.counter_timeout_ms, got.put_nowait
+        )
+        counter.call(api.IncrementCounter("a", 1, 1000))
+        await fake.until(lambda fake: len(fake.seen) == 1)
+        await asyncio.sleep(0.4)
+        fake.seen[0].writer.write(reply(b"7"))
+        answer = await got.get()
+        assert (answer.result, answer.total) == (AttemptResult.OK, 7)
+        counter.stop()
+        fake.stop()
+
+    on_loop(scenario)
+
+
+def test_silent_counter_is_dialled_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A counter that is cut off leaves its connection open; the calls must not go there for ever."""
+
+    async def scenario() -> None:
+        fake = Fake(lambda seen: None)
+        counter, got = await start_counter_client(monkeypatch, fake, 30)
+        counter.call(api.IncrementCounter("a", 1, 1000))
+        assert (await got.get()).result == AttemptResult.TIMED_OUT
+        await fake.until(lambda fake: fake.closed == 1)
+        fake.behave = lambda seen: reply(b"1")
+        counter.call(api.IncrementCounter("a", 1, 1000))
+        await fake.until(lambda fake: len(fake.seen) == 2)
+        assert fake.seen[0].writer is not fake.seen[1].writer
+        counter.stop()
+        fake.stop()
+
+    on_loop(scenario, 10)
+
+
+def test_connection_reset_while_it_opens_is_dialled_again(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Its loss is told before its dial is over; it must not stand for the slot's connection from then on."""
+
+    async def scenario() -> None:
+        monkeypatch.setattr(counter_client, "CONNECTIONS", 1)
+        listener = socket.create_server((LOOP, 0))
+        made, gone = (
+            counter_channel.CounterConnection.connection_made,
+            counter_channel.CounterConnection.connection_lost,
+        )
+        ended = asyncio.Event()
+
+        def made_and_reset(connection, transport: asyncio.BaseTransport) -> None:
+            accepted, _ = listener.accept()
+            accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            accepted.close()
+            monkeypatch.setattr(counter_channel.CounterConnection, "connection_made", made)
+            made(connection, transport)
+
+        def lost(connection, exc: Exception | None) -> None:
+            gone(connection, exc)
+            ended.set()
+
+        monkeypatch.setattr(counter_channel.CounterConnection, "connection_made", made_and_reset)
+        monkeypatch.setattr(counter_channel.CounterConnection, "connection_lost", lost)
+        got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
+        counter = HttpCounterClient(asyncio.get_running_loop(), listener.getsockname(), 5000, got.put_nowait)
+        counter.start()
+        await ended.wait()
+        await asyncio.sleep(0.01)  # the dial's task has ended, too
+        fake = Fake(lambda seen: reply(b"1"))
+        fake.server = await asyncio.start_server(fake._serve, sock=listener)
+        counter.call(api.IncrementCounter("a", 1, 1000))
+        assert (await got.get()).result == AttemptResult.OK
+        counter.stop()
+        fake.stop()
+
+    on_loop(scenario, 3)
+
+
+def test_dial_cancelled_as_its_connection_opens_is_repeated(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The loop tells nobody of that connection's end; its slot would hold a dead one for good."""
+
+    async def scenario() -> None:
+        monkeypatch.setattr(counter_client, "CONNECTIONS", 1)
+        fake = Fake(lambda seen: reply(b"1"))
+        await fake.start()
+        got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
+        counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), 5000, got.put_nowait)
+        made = counter_channel.CounterConnection.connection_made
+
+        def made_and_called_off(connection, transport: asyncio.BaseTransport) -> None:
+            monkeypatch.setattr(counter_channel.CounterConnection, "connection_made", made)
+            dial = counter._channels[0]._dial
+            made(connection, transport)
+            dial.cancel()
+
+        monkeypatch.setattr(counter_channel.CounterConnection, "connection_made", made_and_called_off)
+        counter.start()
+        while counter_channel.CounterConnection.connection_made is not made:
+            await asyncio.sleep(0)
+        await asyncio.sleep(0.05)
+        counter.call(api.IncrementCounter("a", 1, 1000))
+        assert (await got.get()).result == AttemptResult.OK
+        counter.stop()
+        fake.stop()
+
+    on_loop(scenario, 3)
+
+
+def test_call_made_while_a_connection_ends_uses_another_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
+        monkeypatch.setattr(counter_client, "CONNECTIONS", 2)
+        fake = Fake(lambda seen: reply(b"many" if len(fake.seen) == 1 else b"1"))
+        await fake.start()
+        got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
+
+        def replied(answer: api.CounterReply) -> None:
+            got.put_nowait(answer)
+            if answer.result == AttemptResult.MALFORMED_RESPONSE:
+                counter.call(api.IncrementCounter("a", 1, 1000))
+
+        counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), 5000, replied)
+        counter.call(api.IncrementCounter("a", 1, 1000))
+        assert [(await got.get()).result, (await got.get()).result] == [
+            AttemptResult.MALFORMED_RESPONSE,
+            AttemptResult.OK,
+        ]
+        counter.stop()
+        fake.stop()
+
+    on_loop(scenario, 3)
+
+
+@pytest.mark.parametrize(
+    ("stuck", "results"),
+    [
+        (1, {AttemptResult.CONNECTION_LOST}),  # what waits behind the call that ran out is cut with it
+        (2, {AttemptResult.TIMED_OUT}),  # on more than one connection it is the counter that is slow
+    ],
+)
+def test_only_silent_connection_is_closed(
+    monkeypatch: pytest.MonkeyPatch, stuck: int, results: set[str]
+) -> None:
+    async def scenario() -> None:
+        monkeypatch.setattr(counter_client, "CONNECTIONS", 3)
+        silent: list[asyncio.StreamWriter] = []
+
+        def behave(seen: Seen) -> bytes | None:
+            if "/stuck" in seen.line:
+                silent.append(seen.writer)
+            return None if seen.writer in silent else reply(b"1")
+
+        fake = Fake(behave)
+        await fake.start()
+        got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
+        counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), 200, got.put_nowait)
+        counter.start()
+        while not all(slot._connection for slot in counter._channels):
+            await asyncio.sleep(0.01)
+        for i in range(stuck):
+            counter.call(api.IncrementCounter(f"stuck{i}", 1, 1000))
+        await fake.until(lambda fake: len(silent) == stuck)
+        counter.call(api.IncrementCounter("well", 1, 1000))
+        assert (await got.get()).result == AttemptResult.OK
+        ends = [await got.get() for _ in range(stuck)]
+        assert {end.result for end in ends} == results
+        counter.stop()
+        fake.stop()
+
+    on_loop(scenario, 5)
+
+
+def test_lost_connection_is_dialled_before_a_call_needs_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
+        fake = Fake(lambda seen: b"" if len(fake.seen) == 1 else None)
+        counter, got = await start_counter_client(monkeypatch, fake, 5000)
+        counter.call(api.IncrementCounter("a", 1, 1000))
+        assert (await got.get()).result == AttemptResult.CONNECTION_LOST
+        await fake.until(lambda fake: fake.opened == 2)
+        counter.stop()
+        await fake.until(lambda fake: fake.closed == 1)
+        await asyncio.sleep(0.2)  # longer than the rests so far
+        assert fake.opened == 2  # what is stopped dials no more
+        fake.stop()
+
+    on_loop(scenario, 5)
+
+
+def test_calls_fail_while_the_counter_refuses_connections_and_recover(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def scenario() -> None:
+        def behave(seen: Seen) -> bytes:
+            return reply(b"1")
+
+        fake = Fake(behave)
+        counter, got = await start_counter_client(monkeypatch, fake, 5000)
+        fake.stop()
+        await fake.server.wait_closed()
+        counter.call(api.IncrementCounter("a", 1, 1000))
+        assert (await got.get()).result == AttemptResult.CONNECT_FAILED
+        fake.server = await asyncio.start_server(fake._serve, LOOP, fake.port)
+        while True:  # calls in its rest fail at once; then it dials again
+            counter.call(api.IncrementCounter("a", 1, 1000))
+            if (await got.get()).result == AttemptResult.OK:
+                break
+            await asyncio.sleep(0.01)
+        counter.stop()
+        fake.stop()
+
+    on_loop(scenario)
--- a/tests/crossings/test_watch.py
+++ b/tests/net/test_discovery_races.py
@@ -8,8 +8,8 @@
 
 import pytest
 from conftest import LOOP, Seen, on_loop, reply
-from fakes.agent import Agent, listing
-from fakes.core import HeldDials
+from fakes.discovery import FakeDiscovery, listing
+from fakes.gateway_core import LoopWithHeldDials
 
 from hillmux.net import discovery_watch
 from hillmux.net.discovery_response import DiscoveryResponse
@@ -26,7 +26,7 @@
 TOLD_S, TOLD_AFTER_SIGHUP_S = 6.0, 4.0  # the operators' terms
 
 
-def test_the_longest_way_to_a_change_is_shorter_than_the_terms() -> None:
+def test_longest_time_to_learn_of_a_change_is_within_the_terms() -> None:
     """A watch falls silent right before a change; then a dial, or a call, fails in the slowest way."""
     silent = MAX_WATCH_MS / 1000 + SILENCE_TIMEOUT_S + READ_GRACE_S
     dial = DIAL_TIMEOUT_S + READ_GRACE_S
@@ -49,9 +49,7 @@
 
 
 @pytest.mark.parametrize("state", ["silent", "reset", "503", "spoilt", "half", "closed"])
-def test_a_watch_that_fails_in_any_way_is_followed_by_a_call_that_waits_for_nothing(
-    quick: None, state: str
-) -> None:
+def test_failed_watch_is_followed_by_a_call_that_does_not_wait(quick: None, state: str) -> None:
     """It tells at once what was missed, and whether anybody answers at all on the new connection."""
 
     async def scenario() -> None:
@@ -63,7 +61,9 @@
             "half": listing(3, "c", whole=False)[:-10],
             "closed": reply(b"", 503, headers=b"Connection: close\r\n"),
         }[state]
-        agent = await Agent(listing(1, "a"), failure, listing(2, "b", whole=state == "spoilt")).start()
+        agent = await FakeDiscovery(
+            listing(1, "a"), failure, listing(2, "b", whole=state == "spoilt")
+        ).start()
         assert [(await agent.told.get()).generation for _ in range(2)] == [1, 2]
         await agent.fake.until(lambda fake: len(fake.seen) == 4)
         first, failed, missed, watch = agent.waits()
@@ -74,11 +74,11 @@
     on_loop(scenario, 5)
 
 
-def test_a_version_that_falls_means_the_whole_list(quick: None) -> None:
+def test_lower_generation_makes_the_watch_request_the_full_list(quick: None) -> None:
     """Discovery was started anew: what it calls 2 is not what we called 2."""
 
     async def scenario() -> None:
-        agent = await Agent(listing(9, "a"), listing(2, "b", whole=False), listing(2, "c")).start()
+        agent = await FakeDiscovery(listing(9, "a"), listing(2, "b", whole=False), listing(2, "c")).start()
         assert [(await agent.told.get()).generation for _ in range(2)] == [9, 2]
         assert agent.waits()[2] == -1
         agent.stop()
@@ -86,34 +86,34 @@
     on_loop(scenario, 5)
 
 
-def test_a_dial_that_never_comes_up_is_begun_again(quick: None) -> None:
+def test_dial_that_never_succeeds_is_repeated(quick: None) -> None:
     async def scenario() -> None:
-        agent = Agent(listing(1, "a"))
+        agent = FakeDiscovery(listing(1, "a"))
         await agent.fake.start()
-        dials = HeldDials(asyncio.get_running_loop())
+        dials = LoopWithHeldDials(asyncio.get_running_loop())
         agent.discovery = DiscoveryWatch(dials, (LOOP, agent.fake.port), agent.told.put_nowait, 0, 1)
         agent.discovery.start()
-        await dials.asked.wait()
-        dials.asked.clear()
-        await dials.asked.wait()  # the second one, with the first never up
-        dials.go.set()
+        await dials.started.wait()
+        dials.started.clear()
+        await dials.started.wait()  # the second one, with the first never up
+        dials.release.set()
         assert (await agent.told.get()).generation == 1
         agent.stop()
 
     on_loop(scenario, 5)
 
 
-def test_a_move_while_a_dial_is_under_way_asks_at_the_new_address_alone(quick: None) -> None:
+def test_address_change_during_a_dial_polls_the_new_address_only(quick: None) -> None:
     async def scenario() -> None:
-        old, new = Agent(listing(1, "a")), Agent(listing(1, "b"))
+        old, new = FakeDiscovery(listing(1, "a")), FakeDiscovery(listing(1, "b"))
         await old.fake.start()
         await new.fake.start()
-        dials = HeldDials(asyncio.get_running_loop())
+        dials = LoopWithHeldDials(asyncio.get_running_loop())
         discovery = new.discovery = DiscoveryWatch(dials, (LOOP, old.fake.port), new.told.put_nowait, 0, 1)
         discovery.start()
-        await dials.asked.wait()
+        await dials.started.wait()
         discovery.change_address((LOOP, new.fake.port))
-        dials.go.set()
+        dials.release.set()
         assert [s.name for s in (await new.told.get()).endpoints] == ["b"]
         assert not old.fake.seen
         old.fake.stop()
@@ -122,7 +122,7 @@
     on_loop(scenario, 5)
 
 
-def test_a_stall_of_our_own_is_no_silence_of_the_agents(quick: None) -> None:
+def test_stall_of_the_loop_is_not_taken_for_silence_of_the_agent(quick: None) -> None:
     """The answer came in time and lies unread: timers fire first, and must not end the watch."""
 
     async def scenario() -> None:
@@ -156,11 +156,11 @@
     on_loop(scenario, 5)
 
 
-def test_an_agent_that_needs_its_time_is_not_asked_forever(quick: None) -> None:
+def test_slow_agent_gets_a_longer_timeout_on_the_next_call(quick: None) -> None:
     """What was given up once is waited for longer: else a slow whole list would never be had."""
 
     async def scenario() -> None:
-        agent = Agent()
+        agent = FakeDiscovery()
         calls: list[Seen] = []
 
         def slow(seen: Seen) -> bytes | None:
@@ -178,7 +178,7 @@
     on_loop(scenario, 5)
 
 
-def test_watches_do_not_fall_into_step() -> None:
+def test_watches_of_a_fleet_do_not_synchronise() -> None:
     """200 gateways that began at once would else all call in the same moment, again and again."""
     waits = set()
     for seed in range(200):
--- a/tests/test_discovery.py
+++ b/tests/net/test_discovery_watch.py
@@ -6,15 +6,15 @@
 
 import pytest
 from conftest import on_loop, reply
-from fakes.agent import Agent, listing
+from fakes.discovery import FakeDiscovery, listing
 
 from hillmux.net.discovery_response import DiscoveryResponse
 from hillmux.net.discovery_watch import DiscoveryWatch
 
 
-def test_what_is_known_already_is_not_asked_for_again() -> None:
+def test_known_generation_is_not_requested_again() -> None:
     async def scenario() -> None:
-        watch = await Agent(listing(43, "b", whole=False)).start(41)
+        watch = await FakeDiscovery(listing(43, "b", whole=False)).start(41)
         assert [s.name for s in (await watch.told.get()).endpoints] == ["b"]
         await watch.fake.until(lambda fake: len(fake.seen) == 2)
         assert watch.asked() == ["/v1/endpoints?after=41", "/v1/endpoints?after=43"]
@@ -23,12 +23,12 @@
     on_loop(scenario)
 
 
-def test_an_agent_that_turns_away_is_asked_for_changes_still() -> None:
+def test_rejected_call_is_followed_by_a_call_for_changes() -> None:
     """The whole list is the dearest call there is: a 503 loses nothing of what is known."""
 
     async def scenario() -> None:
         busy = reply(b"", 503)
-        watch = await Agent(listing(7, "a"), busy, busy, busy, listing(8, "b", whole=False)).start()
+        watch = await FakeDiscovery(listing(7, "a"), busy, busy, busy, listing(8, "b", whole=False)).start()
         assert (await watch.told.get()).is_full
         assert not (await watch.told.get()).is_full
         assert watch.asked()[:5] == ["/v1/endpoints", *["/v1/endpoints?after=7"] * 4]
@@ -38,9 +38,9 @@
 
 
 @pytest.mark.parametrize("spoilt", [reply(b"{"), listing(3, "a", whole=False)])
-def test_what_cannot_be_read_means_the_whole_list(spoilt: bytes) -> None:
+def test_malformed_answer_makes_the_watch_request_the_full_list(spoilt: bytes) -> None:
     async def scenario() -> None:
-        watch = await Agent(listing(7, "a"), spoilt, listing(9, "b")).start()
+        watch = await FakeDiscovery(listing(7, "a"), spoilt, listing(9, "b")).start()
         await watch.told.get()
         assert (await watch.told.get()).is_full
         assert watch.asked()[:3] == ["/v1/endpoints", "/v1/endpoints?after=7", "/v1/endpoints"]
@@ -49,7 +49,7 @@
     on_loop(scenario)
 
 
-def test_an_agent_that_breaks_connections_as_they_come_up_is_asked_again() -> None:
+def test_agent_that_resets_new_connections_is_polled_again() -> None:
     """Such a connection is closing before it can be written to; the watch must not hang on it."""
 
     async def scenario() -> None:
@@ -76,11 +76,11 @@
     on_loop(scenario, 10)
 
 
-def test_a_connection_that_is_closing_is_not_written_to() -> None:
+def test_closing_connection_is_not_written_to() -> None:
     """What the loop has not yet told of: the watch is begun anew, and nothing is raised."""
 
     async def scenario() -> None:
-        watch = await Agent(listing(1, "a"), None, listing(2, "b")).start()
+        watch = await FakeDiscovery(listing(1, "a"), None, listing(2, "b")).start()
         await watch.told.get()
         await watch.fake.until(lambda fake: len(fake.seen) == 2)
         watch.discovery._connection.transport.abort()
--- a/tests/crossings/test_sending.py
+++ b/tests/net/test_sending_races.py
@@ -12,7 +12,13 @@
 
 import pytest
 from conftest import LOOP, Driver, Fake, message, on_loop, reply
-from fakes.core import Answers, HeldDials, Script, an_order, core_with
+from fakes.gateway_core import (
+    LoopWithHeldDials,
+    RecordingClient,
+    ScriptedDecisionModule,
+    forward_request,
+    start_gateway_core,
+)
 
 from hillmux import interface as api
 from hillmux.interface import AttemptResult, ListKind
@@ -24,7 +30,7 @@
 LONG_MS = 5000.0
 
 
-def told(core: GatewayCore, lifecycle: str, port: int) -> None:
+def apply_lifecycle(core: GatewayCore, lifecycle: str, port: int) -> None:
     """Discovery tells a change of the one host."""
     entry = {"instanceId": "s-0", "hostPort": f"{LOOP}:{port}", "lifecycle": lifecycle}
     core.apply_endpoints(
@@ -32,55 +38,64 @@
     )
 
 
-def drains(core: GatewayCore, port: int) -> None:
-    told(core, "draining", port)
+def host_drains(core: GatewayCore, port: int) -> None:
+    apply_lifecycle(core, "draining", port)
 
 
-def is_gone(core: GatewayCore, port: int) -> None:
-    told(core, "gone", port)
+def host_is_removed(core: GatewayCore, port: int) -> None:
+    apply_lifecycle(core, "gone", port)
 
 
-def moves(core: GatewayCore, port: int) -> None:
-    told(core, "ready", port + 1 if port < 65535 else port - 1)
+def host_changes_address(core: GatewayCore, port: int) -> None:
+    apply_lifecycle(core, "ready", port + 1 if port < 65535 else port - 1)
 
 
-def is_out_by_hand(core: GatewayCore, port: int) -> None:
+def host_is_disabled(core: GatewayCore, port: int) -> None:
     core.upstreams.set_disabled(frozenset({"s-0"}))
 
 
-def client_leaves(core: GatewayCore, port: int) -> None:
+def client_disconnects(core: GatewayCore, port: int) -> None:
     core.client_disconnected("r1")
 
 
-def guard_answers(core: GatewayCore, port: int) -> None:
+def deadline_timer_answers(core: GatewayCore, port: int) -> None:
     core.deadline_reached(core.requests["r1"])
 
 
-def time_runs_out(core: GatewayCore, port: int) -> None:
+def request_expires(core: GatewayCore, port: int) -> None:
     core.requests["r1"].deadline = 0.0
 
 
 @pytest.mark.parametrize(
-    "happens", [drains, is_gone, moves, is_out_by_hand, client_leaves, guard_answers, time_runs_out]
+    "happens",
+    [
+        host_drains,
+        host_is_removed,
+        host_changes_address,
+        host_is_disabled,
+        client_disconnects,
+        deadline_timer_answers,
+        request_expires,
+    ],
 )
-def test_what_happens_while_a_dial_is_under_way_keeps_the_request_from_its_host(
+def test_attempt_is_not_sent_if_it_becomes_invalid_during_its_dial(
     monkeypatch: pytest.MonkeyPatch, happens: Callable[[GatewayCore, int], None]
 ) -> None:
     """The module calls nothing off: some settings do not let it, and its events may wait for news."""
 
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
-        core, script = await core_with(monkeypatch, host)
-        dials = core.upstreams.loop = HeldDials(core.loop)
+        core, decisions = await start_gateway_core(monkeypatch, host)
+        dials = core.upstreams.loop = LoopWithHeldDials(core.loop)
         core.upstreams.dialer.timeout_s = 10.0
-        script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
-        core.request(Answers(), an_order())
-        await dials.asked.wait()
+        decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
+        core.request(RecordingClient(), forward_request())
+        await dials.started.wait()
         happens(core, host.port)
-        dials.go.set()
-        while not script.outcomes():
+        dials.release.set()
+        while not decisions.outcomes():
             await asyncio.sleep(0)
-        assert script.outcomes() == [AttemptResult.NOT_SENT]
+        assert decisions.outcomes() == [AttemptResult.NOT_SENT]
         assert not core.requests or core.requests["r1"].open_attempts == 0
         await asyncio.sleep(0.02)
         assert not host.seen
@@ -89,81 +104,87 @@
     on_loop(scenario, 5)
 
 
-@pytest.mark.parametrize("happens", [drains, is_gone, is_out_by_hand])
-def test_what_happens_after_the_first_byte_leaves_the_request_alone(
+@pytest.mark.parametrize("happens", [host_drains, host_is_removed, host_is_disabled])
+def test_attempt_that_was_sent_is_not_affected_by_later_changes(
     monkeypatch: pytest.MonkeyPatch, happens: Callable[[GatewayCore, int], None]
 ) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: None)
-        core, script = await core_with(monkeypatch, host)
-        script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
-        client = Answers()
-        core.request(client, an_order())
+        core, decisions = await start_gateway_core(monkeypatch, host)
+        decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
+        client = RecordingClient()
+        core.request(client, forward_request())
         await host.until(lambda fake: len(fake.seen) == 1)
         happens(core, host.port)
         host.seen[0].writer.write(reply(b"served"))
-        assert await client.got.get() == 200
-        assert script.outcomes() == [AttemptResult.OK]
+        assert await client.statuses.get() == 200
+        assert decisions.outcomes() == [AttemptResult.OK]
         await host.until(lambda fake: fake.closed == 1)  # and its connection is not kept
         host.stop()
 
     on_loop(scenario, 5)
 
 
-def test_a_decision_made_on_an_older_list_is_not_sent_to_a_host_that_drains(
+def test_decision_on_an_older_list_is_not_sent_to_a_draining_host(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """News and a send cross in the process: the module hears of the drain one event after its decision."""
 
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
-        core, script = await core_with(monkeypatch, host)
-        client = Answers()
-        script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
-        core.request(client, an_order())
-        assert await client.got.get() == 200
+        core, decisions = await start_gateway_core(monkeypatch, host)
+        client = RecordingClient()
+        decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
+        core.request(client, forward_request())
+        assert await client.statuses.get() == 200
         await asyncio.sleep(0.02)  # its connection is kept, and rested
-        before = len(script.events)
+        before = len(decisions.events)
         core._handling = True  # another event is being handled
-        core.request(client, an_order())
-        drains(core, host.port)
+        core.request(client, forward_request())
+        host_drains(core, host.port)
         core._handling = False
-        script.plan[api.Request] = [api.SendAttempt("r2", "s-0", LONG_MS)]
+        decisions.actions[api.Request] = [api.SendAttempt("r2", "s-0", LONG_MS)]
         core.post(core._queued_events.popleft())
-        assert [type(e) for e in script.events[before:]] == [api.Request, api.EndpointList, api.AttemptEnded]
-        assert script.outcomes()[-1] == AttemptResult.NOT_SENT and len(host.seen) == 1
+        assert [type(e) for e in decisions.events[before:]] == [
+            api.Request,
+            api.EndpointList,
+            api.AttemptEnded,
+        ]
+        assert decisions.outcomes()[-1] == AttemptResult.NOT_SENT and len(host.seen) == 1
         host.stop()
 
     on_loop(scenario, 5)
 
 
 @pytest.mark.parametrize("recalled", [True, False])
-def test_a_repeat_is_sent_only_while_the_hosts_recall_its_key(
+def test_retry_is_sent_only_while_hosts_recall_its_idempotency_key(
     monkeypatch: pytest.MonkeyPatch, recalled: bool
 ) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
-        core, script = await core_with(monkeypatch, host)
-        dials = core.upstreams.loop = HeldDials(core.loop)
+        core, decisions = await start_gateway_core(monkeypatch, host)
+        dials = core.upstreams.loop = LoopWithHeldDials(core.loop)
         core.upstreams.dialer.timeout_s = 10.0
-        script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS, LONG_MS if recalled else 20.0)]
-        core.request(Answers(), an_order())
-        await dials.asked.wait()
+        decisions.actions[api.Request] = [
+            api.SendAttempt("r1", "s-0", LONG_MS, LONG_MS if recalled else 20.0)
+        ]
+        core.request(RecordingClient(), forward_request())
+        await dials.started.wait()
         attempt = core.requests["r1"].attempts[0]
         assert attempt is not None
         while not recalled and time.monotonic() < attempt.delivery_deadline:
             await asyncio.sleep(0.001)
-        dials.go.set()
-        while not script.outcomes():
+        dials.release.set()
+        while not decisions.outcomes():
             await asyncio.sleep(0)
-        assert script.outcomes() == [AttemptResult.OK if recalled else AttemptResult.NOT_SENT]
+        assert decisions.outcomes() == [AttemptResult.OK if recalled else AttemptResult.NOT_SENT]
         assert len(host.seen) == recalled
         host.stop()
 
     on_loop(scenario, 5)
 
 
-def test_the_module_tells_how_long_a_repeat_may_still_arrive() -> None:
+def test_decision_states_the_delivery_window_of_a_retry() -> None:
     """The window runs from the first attempt that may have run, not from the one that surely did not."""
     driver = Driver()
     rid, out = driver.ask("put")
@@ -180,31 +201,31 @@
     assert last.delivery_window_ms == 3000 - 2 * 2 - 300  # window, two ticks, since the second one was sent
 
 
-def test_a_connection_that_came_up_for_nothing_serves_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_dialled_for_an_invalid_attempt_serves_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
-        core, script = await core_with(monkeypatch, host)
-        dials = core.upstreams.loop = HeldDials(core.loop)
+        core, decisions = await start_gateway_core(monkeypatch, host)
+        dials = core.upstreams.loop = LoopWithHeldDials(core.loop)
         core.upstreams.dialer.timeout_s = 10.0
-        script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
-        core.request(Answers(), an_order())
-        await dials.asked.wait()
+        decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
+        core.request(RecordingClient(), forward_request())
+        await dials.started.wait()
         core.client_disconnected("r1")
-        dials.go.set()
-        while not script.outcomes():
+        dials.release.set()
+        while not decisions.outcomes():
             await asyncio.sleep(0)
         await asyncio.sleep(0.02)
-        client = Answers()
-        script.plan[api.Request] = [api.SendAttempt("r2", "s-0", LONG_MS)]
-        core.request(client, an_order())
-        assert await client.got.get() == 200
+        client = RecordingClient()
+        decisions.actions[api.Request] = [api.SendAttempt("r2", "s-0", LONG_MS)]
+        core.request(client, forward_request())
+        assert await client.statuses.get() == 200
         assert (host.opened, len(host.seen)) == (1, 1)
         host.stop()
 
     on_loop(scenario, 5)
 
 
-def test_an_attempt_that_is_given_up_is_out_no_more_when_the_module_hears_of_it(
+def test_timed_out_attempt_has_ended_when_its_outcome_is_reported(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What the module sends next would else be a second copy, with the first one still out."""
@@ -212,25 +233,25 @@
     async def scenario() -> None:
         listener = socket.create_server((LOOP, 0))
         host = Fake(lambda seen: None)
-        core, script = await core_with(monkeypatch, host)
+        core, decisions = await start_gateway_core(monkeypatch, host)
         core.upstreams.update({"s-0": (LOOP, listener.getsockname()[1])}, set())
-        script.plan[api.Request] = [api.SendAttempt("r1", "s-0", 60.0)]
+        decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", 60.0)]
         ended: list[bytes] = []
-        heard = Script.handle
+        heard = ScriptedDecisionModule.handle
 
-        def handle(self: Script, now_ms: float, event: api.Event) -> list[api.Action]:
+        def handle(self: ScriptedDecisionModule, now_ms: float, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.AttemptEnded):
                 peer.setblocking(False)
                 peer.recv(65536)  # the request
                 ended.append(peer.recv(1))  # the end, or BlockingIOError where there is none yet
             return heard(self, now_ms, event)
 
-        monkeypatch.setattr(Script, "handle", handle)
-        core.request(Answers(), an_order())
+        monkeypatch.setattr(ScriptedDecisionModule, "handle", handle)
+        core.request(RecordingClient(), forward_request())
         peer, _ = await asyncio.get_running_loop().run_in_executor(None, listener.accept)
-        while not script.outcomes():
+        while not decisions.outcomes():
             await asyncio.sleep(0.001)
-        assert script.outcomes() == [AttemptResult.TIMED_OUT] and ended == [b""]
+        assert decisions.outcomes() == [AttemptResult.TIMED_OUT] and ended == [b""]
         peer.close()
         listener.close()
         host.stop()
@@ -238,37 +259,37 @@
     on_loop(scenario, 5)
 
 
-def test_an_attempt_is_given_up_though_no_descriptor_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_timed_out_attempt_ends_without_a_free_descriptor(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         def none_left(descriptor: int) -> int:
             raise OSError(errno.EMFILE, "Too many open files")
 
         host = Fake(lambda seen: None)
-        core, script = await core_with(monkeypatch, host)
-        script.plan[api.Request] = [api.SendAttempt("r1", "s-0", 60.0)]
-        core.request(Answers(), an_order())
+        core, decisions = await start_gateway_core(monkeypatch, host)
+        decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", 60.0)]
+        core.request(RecordingClient(), forward_request())
         await host.until(lambda fake: len(fake.seen) == 1)
         monkeypatch.setattr(os, "dup", none_left)
         await host.until(lambda fake: fake.closed == 1)
-        assert script.outcomes() == [AttemptResult.TIMED_OUT]
+        assert decisions.outcomes() == [AttemptResult.TIMED_OUT]
         host.stop()
 
     on_loop(scenario, 5)
 
 
-def test_a_connection_past_its_idle_time_is_not_written_to_before_the_sweep(
+def test_connection_past_its_idle_time_is_not_reused_before_the_sweep(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A host with a short idle limit closes it between two sweeps: what crosses that may have run."""
 
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
-        core, script = await core_with(monkeypatch, host)
-        client = Answers()
+        core, decisions = await start_gateway_core(monkeypatch, host)
+        client = RecordingClient()
         for serial, opened in ((1, 1), (2, 1), (3, 2)):
-            script.plan[api.Request] = [api.SendAttempt(f"r{serial}", "s-0", LONG_MS)]
-            core.request(client, an_order())
-            assert await client.got.get() == 200
+            decisions.actions[api.Request] = [api.SendAttempt(f"r{serial}", "s-0", LONG_MS)]
+            core.request(client, forward_request())
+            assert await client.statuses.get() == 200
             assert host.opened == opened
             await asyncio.sleep(0.02)
             if serial == 2:  # no sweep comes: the core was not started
@@ -279,7 +300,7 @@
     on_loop(scenario, 5)
 
 
-def test_what_never_left_took_nothing_of_a_quota_or_a_ceiling() -> None:
+def test_attempt_that_was_not_sent_consumes_no_quota_and_no_ceiling() -> None:
     driver = Driver(counter_available=False)
     driver.now += 60_000  # ceilings are earned anew after a start
     rid, out = driver.ask("read", "capped", units=2, width=1)
@@ -296,31 +317,31 @@
 
 
 @pytest.mark.parametrize("behind", [True, False])
-def test_a_request_read_before_its_clients_end_is_not_sent_on_after_a_stall(
+def test_request_of_a_disconnected_client_is_not_forwarded_after_a_stall(
     monkeypatch: pytest.MonkeyPatch, behind: bool
 ) -> None:
     """Both came while we stood still; the loop reads the request first. Without a stall there is no look."""
 
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
-        core, script = await core_with(monkeypatch, host)
+        core, decisions = await start_gateway_core(monkeypatch, host)
         server = StreamingListener(core, core.loop, 1024)
         ((_, port),) = server.start((LOOP, 0))
         client = socket.create_connection((LOOP, port))
         client.sendall(message("pay", rid=b"first"))
-        script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
+        decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
         await host.until(lambda fake: len(fake.seen) == 1)
-        while not script.outcomes():
+        while not decisions.outcomes():
             await asyncio.sleep(0)
         await asyncio.sleep(0.02)  # the client has its answer, the host's connection is rested
-        script.plan[api.Request] = [api.SendAttempt("r2", "s-0", LONG_MS)]
+        decisions.actions[api.Request] = [api.SendAttempt("r2", "s-0", LONG_MS)]
         if behind:
             core.loop_lag._next_heartbeat_at = time.monotonic() - 0.2
         client.sendall(message("pay", rid=b"second"))
         client.shutdown(socket.SHUT_WR)
-        while len(script.outcomes()) < 2:
+        while len(decisions.outcomes()) < 2:
             await asyncio.sleep(0)
-        assert script.outcomes()[1] == (AttemptResult.NOT_SENT if behind else AttemptResult.OK)
+        assert decisions.outcomes()[1] == (AttemptResult.NOT_SENT if behind else AttemptResult.OK)
         assert len(host.seen) == (1 if behind else 2)
         client.close()
         server.stop_accepting()
@@ -329,26 +350,26 @@
     on_loop(scenario, 5)
 
 
-def test_a_client_that_left_while_it_waited_to_be_accepted_is_not_sent_on(
+def test_request_of_a_client_that_disconnected_before_accept_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
-        core, script = await core_with(monkeypatch, host)
+        core, decisions = await start_gateway_core(monkeypatch, host)
         server = StreamingListener(core, core.loop, 1024)
         ((_, port),) = server.start((LOOP, 0))
-        before = Answers()
-        script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
-        core.request(before, an_order())
-        assert await before.got.get() == 200
+        before = RecordingClient()
+        decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
+        core.request(before, forward_request())
+        assert await before.statuses.get() == 200
         await asyncio.sleep(0.02)  # the host's connection is kept, and rested
-        script.plan[api.Request] = [api.SendAttempt("r2", "s-0", LONG_MS)]
+        decisions.actions[api.Request] = [api.SendAttempt("r2", "s-0", LONG_MS)]
         client = socket.create_connection((LOOP, port))
         client.sendall(message("pay"))
         client.close()  # the loop has had no turn since it connected
-        while len(script.outcomes()) < 2:
+        while len(decisions.outcomes()) < 2:
             await asyncio.sleep(0)
-        assert script.outcomes()[1] == AttemptResult.NOT_SENT
+        assert decisions.outcomes()[1] == AttemptResult.NOT_SENT
         await asyncio.sleep(0.02)
         assert len(host.seen) == 1
         server.stop_accepting()
@@ -357,7 +378,7 @@
     on_loop(scenario, 5)
 
 
-def test_a_counter_call_does_not_cross_the_counters_idle_close() -> None:
+def test_counter_call_is_not_written_to_a_connection_the_counter_has_closed() -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         listener = socket.create_server((LOOP, 0))
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -20,7 +20,7 @@
     "tests/test_wire.py",
     "tests/test_net.py",
     "tests/test_flows.py",
-    "tests/test_discovery.py",
+    "tests/net/test_discovery_watch.py",
     "tests/operate/test_operated.py",
     "tests/handover/test_upgrade.py",
 )
