--- /dev/null
+++ b/tests/compatibility/record_previous_version.py
@@ -0,0 +1,269 @@
+"""Writes `recorded/` with the last version that had the package name `yewstage` (commit f277e92).
+
+Run in that version's checkout with an interpreter that has this version's requirements:
+`PYTHONPATH=.:TESTS python TESTS/compatibility/record_previous_version.py`, TESTS being the
+folder above this one.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import io
+import json
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any
+
+import click
+from compatibility import follow_up, inputs
+from compatibility.inputs import RECORDED
+from compatibility.values import plain, schema_keys
+from decision.event_stream import INSTANCE, EventStream
+from pydantic import TypeAdapter
+from yewstage import interface as api
+from yewstage.cli import main as command_line
+from yewstage.handover.state import export, restore
+from yewstage.hosted import config as hosted_config
+from yewstage.hosted import shape
+from yewstage.lab import scenario
+from yewstage.net import config as platform_config
+from yewstage.net.counter import request_bytes
+from yewstage.net.discovery import Discovery
+from yewstage.net.hosts import Attempt
+from yewstage.net.requests import Message, Terms, order
+from yewstage.operate.byhand import HandFile
+from yewstage.operate.calls import answer
+from yewstage.recovery.memory import believed
+from yewstage.recovery.node import KeptNode
+from yewstage.recovery.snapshot import Builder, Head, Identity
+from yewstage.wirehost import Host
+
+from benchmarks.capacity.measurement import Measurements
+
+LAB_SCENARIOS = ("herd", "split")
+
+
+class Adapter:
+    """A simulator's adapter that is fed a batch at a time."""
+
+    def __init__(self) -> None:
+        self.lines: list[str] = []
+        self.host = Host(self._feed(), io.StringIO())
+
+    def _feed(self) -> Iterator[str]:
+        while True:
+            yield self.lines.pop(0)
+
+    def batch(self, now_ms: float, lines: list[str]) -> list[str]:
+        """Play one batch."""
+        self.lines = [line + "\n" for line in (*lines, "END")]
+        return self.host.batch(now_ms)
+
+
+def write(name: str, document: Any) -> None:
+    """One JSON document, an entry of the outermost list or object a line."""
+    items = document.items() if isinstance(document, dict) else enumerate(document)
+    begin, end = "{}" if isinstance(document, dict) else "[]"
+    lines = [
+        (f"{json.dumps(key)}: " if isinstance(document, dict) else "") + json.dumps(value)
+        for key, value in items
+    ]
+    (RECORDED / name).write_text(f"{begin}\n" + ",\n".join(lines) + f"\n{end}\n")
+
+
+def record_hot_restart(seed: int) -> list[dict[str, Any]]:
+    """Documents of a busy gateway, what a restored one exports, and how it goes on."""
+    old = Adapter()
+    stream = EventStream(seed, inputs.STREAM_EVENTS, old.batch, lambda now, name, rng: [])
+    opened: list[str] = []
+    open_line = stream._open_line
+
+    def noted_open_line() -> list[str]:
+        opened[:] = open_line()
+        return list(opened)
+
+    stream._open_line = noted_open_line  # type: ignore[method-assign]
+    stream.play()
+    gateway = old.host.gateways[INSTANCE]
+    gateway.quotas.registry.ceilings_from.put(inputs.SKETCH_KEY, inputs.SKETCH_TIME_MS)
+    documents = json.loads(json.dumps(list(export(gateway))))
+    write(f"hot-restart-{seed}.json", documents)
+
+    new = Adapter()
+    words = opened[0].split(" ")
+    words[2] = str(inputs.NEW_SEED)
+    start_lines = [" ".join(words), *stream._list_lines("Complete", stream.hosts)]
+    start_reply = new.batch(stream.now_ms, start_lines)
+    successor = new.host.gateways[INSTANCE]
+    restore(successor, documents)
+    exported = list(export(successor))
+    transcript = follow_up.record(stream.now_ms + 1.0, new.batch, INSTANCE)
+    write(
+        f"follow-up-{seed}.json",
+        {
+            "start": [stream.now_ms, start_lines, start_reply],
+            "exported": exported,
+            "transcript": transcript,
+            "exported_after": list(export(successor)),
+        },
+    )
+    return documents
+
+
+def record_snapshots(documents: list[dict[str, Any]]) -> None:
+    """The documents as snapshots of several ages, and what each age retains of them."""
+    retained = {}
+    for serial, (name, (age_ms, exact)) in enumerate(inputs.SNAPSHOT_AGES_MS.items(), 1):
+        builder = Builder()
+        for document in documents:
+            builder.add(document)
+        identity = Identity("g3", "sites", "0123abcd", "17:42")
+        taken_ms = inputs.READ_AT_MS - age_ms
+        head = Head(identity, "feedc0de", serial, taken_ms, exact)
+        (RECORDED / name).write_bytes(builder.data(head))
+        retained[name] = believed(documents, taken_ms, exact, inputs.READ_AT_MS, inputs.STARTED_AT_MS)
+    write("retained.json", retained)
+
+
+def record_configurations() -> None:
+    """What configurations, a scenario and a file of overrides are parsed to."""
+    (RECORDED / "platform.json").write_text(json.dumps(inputs.PLATFORM_CONFIG, indent=1) + "\n")
+    environment = {"ROUTER_CONFIG": str(RECORDED / "platform.json"), "ROUTER_NAME": "g4", "TMPDIR": "/tmp/g4"}
+    platform = platform_config.load(environment)
+    (RECORDED / "hosted.toml").write_text(inputs.HOSTED_CONFIG)
+    hosted = hosted_config.parse(
+        hosted_config.read_toml(RECORDED / "hosted.toml"), "hosted.toml", Path("/srv")
+    )
+    lab = {}
+    for name in LAB_SCENARIOS:
+        source = Path("examples/lab") / f"{name}.toml"
+        (RECORDED / f"scenario-{name}.toml").write_text(source.read_text())
+        found = scenario.load(RECORDED / f"scenario-{name}.toml")
+        lab[name] = [plain(found), plain(scenario.schedule(found))]
+    write(
+        "parsed.json",
+        {
+            "platform": plain(platform),
+            "hosted": plain(hosted),
+            "lab": lab,
+            "schema": {
+                "file": schema_keys(TypeAdapter(shape.FileShape).json_schema()),
+                "tenant": schema_keys(TypeAdapter(shape.TenantShape).json_schema()),
+                "hosts": schema_keys(TypeAdapter(shape.HostsFileShape).json_schema()),
+                "scenario": schema_keys(TypeAdapter(scenario.Scenario).json_schema()),
+            },
+        },
+    )
+    record_measurements()
+    for name in ("hosts-out.json", "hosts-out.json.lock"):
+        (RECORDED / name).unlink(missing_ok=True)
+    overrides = HandFile(str(RECORDED))
+    for name in inputs.OVERRIDDEN_HOSTS:
+        overrides.change(name, True)
+    (RECORDED / "hosts-out.json.lock").unlink()
+
+
+def record_measurements() -> None:
+    """Some figures of the stored measurements, as they are read."""
+    stored = Measurements.read()
+    figures = list(stored.figures.values())[: inputs.FIGURES]
+    Measurements(figures, stored.seeds).write(RECORDED / "measurements.json")
+    write("figures.json", [[plain(figure), figure.at(inputs.FIGURE_SIZE)] for figure in figures])
+
+
+def attempt_bytes(settings: api.Settings, number: int) -> str:
+    """The bytes of the attempt of a client's request."""
+    message = Message()
+    message.method, message.url, headers, body = inputs.CLIENT_REQUESTS[number]
+    message.headers = {**headers, b"quota-info": inputs.QUOTA_INFO}
+    message.body, message.size = [body], len(body)
+    found = order(message, Terms(settings))
+    attempt = Attempt("1", 0, "cabin-0", found.head, found.body, 100.0, 200.0)
+    attempt.timeout_s = 1.25
+    return attempt.payload(100.25).decode()
+
+
+async def discovery_requests(generation: int) -> list[str]:
+    """The first two requests of a watch that knows a generation."""
+    lines: list[str] = []
+    done = asyncio.Event()
+
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        for _ in range(2):
+            lines.append((await reader.readuntil(b"\r\n\r\n")).decode())
+            body = b'{"generation":%d,"reset":true,"instances":[]}' % (generation + len(lines))
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+        done.set()
+
+    server = await asyncio.start_server(serve, "127.0.0.1", 0)
+    port = server.sockets[0].getsockname()[1]
+    watch = Discovery(
+        asyncio.get_running_loop(), ("127.0.0.1", port), lambda listing: None, generation, seed=5
+    )
+    watch.start()
+    await done.wait()
+    watch.stop()
+    server.close()
+    return lines
+
+
+class FakeGateway:
+    """A gateway that says what an operator's call is recorded with."""
+
+    def __init__(self, is_ready: bool, phase: str, wrong: str) -> None:
+        self.is_ready, self.how_far, self.wrong = is_ready, phase, wrong
+
+    def ready(self) -> bool:
+        """Whether it serves."""
+        return self.is_ready
+
+    def phase(self) -> str:
+        """How far it has come back."""
+        return self.how_far
+
+    def figures(self) -> dict[str, object]:
+        """One figure."""
+        return {"loads": 1}
+
+    def hand(self, host: str, out: bool) -> str:
+        """Why a host cannot be taken out or put back."""
+        return self.wrong
+
+
+def help_texts(command: click.Command, name: str, parent: click.Context | None = None) -> dict[str, str]:
+    """The help of a command and of all below it."""
+    context = click.Context(command, info_name=name, parent=parent, terminal_width=inputs.HELP_COLUMNS)
+    texts = {context.command_path: command.get_help(context)}
+    if isinstance(command, click.Group):
+        for below, found in sorted(command.commands.items()):
+            texts.update(help_texts(found, below, context))
+    return texts
+
+
+async def metrics() -> dict[str, object]:
+    """All metrics of a gateway with snapshots, before its first request."""
+    config = platform_config.load({"ROUTER_CONFIG": str(RECORDED / "platform.json")})
+    return KeptNode(config, asyncio.get_running_loop()).figures()
+
+
+def record_messages() -> None:
+    """What is sent to the counter, discovery and hosts, and what operators are answered."""
+    settings = platform_config.load({"ROUTER_CONFIG": str(RECORDED / "platform.json")}).settings
+    write(
+        "messages.json",
+        {
+            "counter": [plain(request_bytes(api.Count(*call))) for call in inputs.COUNTER_CALLS],
+            "discovery": {str(number): asyncio.run(discovery_requests(number)) for number in (0, 7)},
+            "attempts": [attempt_bytes(settings, number) for number in range(len(inputs.CLIENT_REQUESTS))],
+            "operators": [plain(answer(line, FakeGateway(*state))) for line, *state in inputs.OPERATOR_CALLS],
+            "metrics": asyncio.run(metrics()),
+            "help": help_texts(command_line, "hillmux"),
+        },
+    )
+
+
+if __name__ == "__main__":
+    RECORDED.mkdir(exist_ok=True)
+    record_snapshots([record_hot_restart(seed) for seed in inputs.STREAM_SEEDS][0])
+    record_configurations()
+    record_messages()
--- /dev/null
+++ b/tests/compatibility/test_stored_state.py
@@ -0,0 +1,189 @@
+"""Hot-restart documents, snapshots and host overrides of the version before are read as that version did."""
+
+from __future__ import annotations
+
+import json
+import shutil
+from pathlib import Path
+from typing import Any
+
+import pytest
+from compatibility import inputs
+from compatibility.inputs import RECORDED, stored
+from decision.event_stream import INSTANCE
+from decision.playback import Playback
+
+from hillmux.admin.host_overrides import HandFile
+from hillmux.balancing.fleet import Host
+from hillmux.decision.gateway import Gateway
+from hillmux.hot_restart.state_codec import HOST, USE, export, restore
+from hillmux.quotas.state import QuotaState
+from hillmux.recovery.retention import believed
+from hillmux.recovery.snapshot_format import Builder, Identity, decode
+
+
+def documents_of(seed: int) -> list[dict[str, Any]]:
+    return stored(f"hot-restart-{seed}.json")
+
+
+def successor(seed: int) -> Playback:
+    """A new gateway with the old one's settings and hosts, before it is given what the old one knew."""
+    playback = Playback()
+    now_ms, lines, reply = stored(f"follow-up-{seed}.json")["start"]
+    assert playback.batch(now_ms, lines) == reply
+    return playback
+
+
+def restored(seed: int) -> Gateway:
+    gateway = successor(seed).adapter.gateways[INSTANCE]
+    restore(gateway, documents_of(seed))
+    return gateway
+
+
+def exported(gateway: Gateway) -> list[dict[str, Any]]:
+    return json.loads(json.dumps(list(export(gateway))))
+
+
+def host_fields(host: Host) -> dict[str, object]:
+    """A host's attributes under their stored names, listed apart from the codec's own tables."""
+    return {
+        "born": host.born,
+        "cold_from_ms": host.cold_from_ms,
+        "slow": host.slow,
+        "strikes": host.strikes,
+        "fails": host.fails,
+        "down_until": host.down_until,
+        "died": host.died,
+        "credit": host.credit,
+        "credit_at": host.credit_at,
+    }
+
+
+def use_fields(state: QuotaState) -> dict[str, object]:
+    """A customer's attributes under their stored names, listed apart from the codec's own tables."""
+    return {
+        "width": state.replicas,
+        "widest": state.replicas_in_window,
+        "window": state.window,
+        "own": state.used,
+        "added": state.reported,
+        "base": state.last_total,
+        "base_own": state.last_total_reported,
+        "base_use": state.last_total_used,
+        "base_at": state.last_total_at,
+        "base_left": state.last_total_upper_bound,
+        "most": state.upper_bound,
+        "left": state.remaining,
+        "left_at": state.remaining_at,
+        "others": state.others_rate,
+        "luck": state.grant_ratio,
+        "seen": state.seen_at,
+        "ceiling": state.ceiling_remaining,
+        "ceiling_at": state.ceiling_at,
+    }
+
+
+def scalar_fields(gateway: Gateway) -> dict[str, object]:
+    """The gateway's own attributes under their stored names."""
+    return {
+        "born": gateway.born,
+        "q": gateway.q,
+        "f": gateway.f,
+        "q_sum": gateway.q_sum,
+        "q_n": gateway.q_n,
+        "q_seen": gateway.q_seen,
+        "ok_q": gateway.ok_q,
+        "lost": gateway.lost,
+        "done": gateway.done,
+        "done_rate": gateway.done_rate,
+        "bank": gateway.bank,
+        "heard": gateway.quotas.throttle.answer_rate,
+        "call_at": gateway.quotas.throttle.called_at,
+    }
+
+
+@pytest.mark.parametrize("seed", inputs.STREAM_SEEDS)
+def test_documents_restore_to_the_attributes_they_were_exported_from(seed: int) -> None:
+    gateway = restored(seed)
+    head, *others = documents_of(seed)
+    assert scalar_fields(gateway) == head["scalars"]
+    assert gateway.fleet.warm_rate == head["warm_rate"]
+    assert gateway.latency == head["latency"]
+    assert gateway.quotas.registry.asked_at == head["asked_at"]
+    cells = [[*key, cell.value, cell.work, cell.f, cell.r] for key, cell in gateway.cells.items()]
+    assert sorted(cells) == sorted(head["cells"])
+    hosts = {name: row for document in others for name, row in document.get("hosts", {}).items()}
+    assert {name: host_fields(host) for name, host in gateway.hosts.items()} == {
+        name: dict(zip(HOST, row, strict=True)) for name, row in hosts.items()
+    }
+    uses = {(row[0], row[1]): row[2:] for document in others for row in document.get("uses", ())}
+    assert {key: use_fields(state) for key, state in gateway.quotas.registry.states.items()} == {
+        key: dict(zip(USE, row, strict=True)) for key, row in uses.items()
+    }
+    sketch = gateway.quotas.registry.ceilings_from
+    assert sketch.at(inputs.SKETCH_KEY) == inputs.SKETCH_TIME_MS
+
+
+@pytest.mark.parametrize("seed", inputs.STREAM_SEEDS)
+def test_restored_gateway_exports_the_documents_that_the_version_before_exports(seed: int) -> None:
+    assert exported(restored(seed)) == stored(f"follow-up-{seed}.json")["exported"]
+
+
+@pytest.mark.parametrize("seed", inputs.STREAM_SEEDS)
+def test_restored_gateway_decides_as_the_version_before_would(seed: int) -> None:
+    playback = successor(seed)
+    gateway = playback.adapter.gateways[INSTANCE]
+    restore(gateway, documents_of(seed))
+    recorded = stored(f"follow-up-{seed}.json")
+    for number, (now_ms, lines, reply) in enumerate(recorded["transcript"]):
+        assert playback.batch(now_ms, lines) == reply, f"batch {number}: {lines}"
+    assert exported(gateway) == recorded["exported_after"]
+
+
+def test_recorded_documents_hold_hosts_that_fail_and_warm_up_and_customers_with_totals() -> None:
+    _, *others = documents_of(inputs.STREAM_SEEDS[0])
+    hosts = [row for document in others for row in document.get("hosts", {}).values()]
+    uses = [row for document in others for row in document.get("uses", ())]
+    assert any(row[HOST.index("fails")] for row in hosts)
+    assert any(row[HOST.index("credit")] for row in hosts)
+    assert any(row[HOST.index("born")] for row in hosts)
+    assert any(row[2 + USE.index("base")] is not None for row in uses)
+    assert documents_of(inputs.STREAM_SEEDS[1])[0]["scalars"]["f"] < 1
+
+
+@pytest.mark.parametrize(("name", "age_and_end"), inputs.SNAPSHOT_AGES_MS.items())
+def test_snapshot_is_read_and_retained_as_before(name: str, age_and_end: tuple[float, bool]) -> None:
+    age_ms, exact = age_and_end
+    snapshot = decode((RECORDED / name).read_bytes())
+    head = snapshot.head
+    assert head.who == Identity("g3", "sites", "0123abcd", "17:42")
+    assert (head.incarnation, head.taken_ms, head.exact) == ("feedc0de", inputs.READ_AT_MS - age_ms, exact)
+    assert snapshot.documents == documents_of(inputs.STREAM_SEEDS[0])
+    retained = believed(
+        snapshot.documents, head.taken_ms, head.exact, inputs.READ_AT_MS, inputs.STARTED_AT_MS
+    )
+    assert retained == stored("retained.json")[name]
+
+
+@pytest.mark.parametrize("name", inputs.SNAPSHOT_AGES_MS)
+def test_snapshot_is_written_byte_for_byte_as_before(name: str) -> None:
+    data = (RECORDED / name).read_bytes()
+    snapshot = decode(data)
+    builder = Builder()
+    for document in snapshot.documents:
+        builder.add(document)
+    assert builder.data(snapshot.head) == data
+
+
+def test_ages_of_the_recorded_snapshots_retain_different_documents() -> None:
+    retained = stored("retained.json")
+    assert len({json.dumps(documents) for documents in retained.values()}) == len(retained)
+
+
+def test_host_overrides_are_read_and_written_as_before(tmp_path: Path) -> None:
+    shutil.copy(RECORDED / "hosts-out.json", tmp_path)
+    overrides = HandFile(str(tmp_path))
+    assert overrides.refresh() == set(inputs.OVERRIDDEN_HOSTS)
+    overrides.change("another", True)
+    overrides.change("another", False)
+    assert (tmp_path / "hosts-out.json").read_bytes() == (RECORDED / "hosts-out.json").read_bytes()
