--- a/tests/compatibility/record_previous_version.py
+++ b/tests/compatibility/record_previous_version.py
@@ -33,9 +33,10 @@
 from yewstage.net.requests import Message, Terms, order
 from yewstage.operate.byhand import HandFile
 from yewstage.operate.calls import answer
-from yewstage.recovery.memory import believed
+from yewstage.recovery.commands import shown
+from yewstage.recovery.memory import ITEMS, believed
 from yewstage.recovery.node import KeptNode
-from yewstage.recovery.snapshot import Builder, Head, Identity
+from yewstage.recovery.snapshot import Builder, Head, Identity, decode
 from yewstage.wirehost import Host
 
 from benchmarks.capacity.measurement import Measurements
@@ -123,6 +124,8 @@
         (RECORDED / name).write_bytes(builder.data(head))
         retained[name] = believed(documents, taken_ms, exact, inputs.READ_AT_MS, inputs.STARTED_AT_MS)
     write("retained.json", retained)
+    shown_lines = shown(decode((RECORDED / "snapshot-minutes").read_bytes()))
+    write("snapshot-rules.json", {"items": plain(ITEMS), "shown": shown_lines})
 
 
 def record_configurations() -> None:
--- a/tests/compatibility/test_stored_state.py
+++ b/tests/compatibility/test_stored_state.py
@@ -10,15 +10,17 @@
 import pytest
 from compatibility import inputs
 from compatibility.inputs import RECORDED, stored
+from compatibility.values import plain
 from decision.event_stream import INSTANCE
 from decision.playback import Playback
 
 from hillmux.admin.host_overrides import HandFile
 from hillmux.balancing.fleet import Host
 from hillmux.decision.gateway import Gateway
-from hillmux.hot_restart.state_codec import HOST, USE, export, restore
+from hillmux.hot_restart.state_codec import export, restore
 from hillmux.quotas.state import QuotaState
-from hillmux.recovery.retention import believed
+from hillmux.recovery.commands import shown
+from hillmux.recovery.retention import ITEMS, believed
 from hillmux.recovery.snapshot_format import Builder, Identity, decode
 
 
@@ -45,7 +47,7 @@
 
 
 def host_fields(host: Host) -> dict[str, object]:
-    """A host's attributes under their stored names, listed apart from the codec's own tables."""
+    """A host's attributes under their stored names and in the stored order, apart from the codec's tables."""
     return {
         "born": host.born,
         "cold_from_ms": host.cold_from_ms,
@@ -60,7 +62,7 @@
 
 
 def use_fields(state: QuotaState) -> dict[str, object]:
-    """A customer's attributes under their stored names, listed apart from the codec's own tables."""
+    """A customer's attributes under their stored names and in the stored order, as `host_fields`."""
     return {
         "width": state.replicas,
         "widest": state.replicas_in_window,
@@ -83,7 +85,7 @@
     }
 
 
-def scalar_fields(gateway: Gateway) -> dict[str, object]:
+def scalar_fields(gateway: Gateway) -> dict[str, Any]:
     """The gateway's own attributes under their stored names."""
     return {
         "born": gateway.born,
@@ -113,13 +115,10 @@
     cells = [[*key, cell.value, cell.work, cell.f, cell.r] for key, cell in gateway.cells.items()]
     assert sorted(cells) == sorted(head["cells"])
     hosts = {name: row for document in others for name, row in document.get("hosts", {}).items()}
-    assert {name: host_fields(host) for name, host in gateway.hosts.items()} == {
-        name: dict(zip(HOST, row, strict=True)) for name, row in hosts.items()
-    }
+    assert {name: list(host_fields(host).values()) for name, host in gateway.hosts.items()} == hosts
     uses = {(row[0], row[1]): row[2:] for document in others for row in document.get("uses", ())}
-    assert {key: use_fields(state) for key, state in gateway.quotas.registry.states.items()} == {
-        key: dict(zip(USE, row, strict=True)) for key, row in uses.items()
-    }
+    states = gateway.quotas.registry.states
+    assert {key: list(use_fields(state).values()) for key, state in states.items()} == uses
     sketch = gateway.quotas.registry.ceilings_from
     assert sketch.at(inputs.SKETCH_KEY) == inputs.SKETCH_TIME_MS
 
@@ -141,14 +140,22 @@
 
 
 def test_recorded_documents_hold_hosts_that_fail_and_warm_up_and_customers_with_totals() -> None:
-    _, *others = documents_of(inputs.STREAM_SEEDS[0])
-    hosts = [row for document in others for row in document.get("hosts", {}).values()]
-    uses = [row for document in others for row in document.get("uses", ())]
-    assert any(row[HOST.index("fails")] for row in hosts)
-    assert any(row[HOST.index("credit")] for row in hosts)
-    assert any(row[HOST.index("born")] for row in hosts)
-    assert any(row[2 + USE.index("base")] is not None for row in uses)
-    assert documents_of(inputs.STREAM_SEEDS[1])[0]["scalars"]["f"] < 1
+    first, second = (restored(seed) for seed in inputs.STREAM_SEEDS)
+    hosts = [host_fields(host) for host in first.hosts.values()]
+    uses = [use_fields(state) for state in first.quotas.registry.states.values()]
+    assert any(host["fails"] for host in hosts)
+    assert any(host["credit"] and host["born"] for host in hosts)
+    assert any(use["base"] is not None for use in uses)
+    assert scalar_fields(second)["f"] < 1
+
+
+def test_each_item_is_retained_for_as_long_as_before() -> None:
+    assert plain(ITEMS) == stored("snapshot-rules.json")["items"]
+
+
+def test_snapshot_is_shown_to_operators_as_before() -> None:
+    snapshot = decode((RECORDED / "snapshot-minutes").read_bytes())
+    assert shown(snapshot) == stored("snapshot-rules.json")["shown"]
 
 
 @pytest.mark.parametrize(("name", "age_and_end"), inputs.SNAPSHOT_AGES_MS.items())
