--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -89,25 +89,32 @@
 )
 CALM = ({"at_s": 1.0, "what": "slow", "who": "host:h0", "value": 1.5},)
 TIGHT = {**PLAN, "ceiling": 0.5}  # it binds before the quota does
-QUOTAS, POLICY = "hillmux/quotas/quotas.py", "hillmux/decision/gateway.py"
+QUOTAS, RETRIES = "hillmux/quotas/quotas.py", "hillmux/decision/retries.py"
 CEILING, REGISTRY = "hillmux/quotas/ceiling.py", "hillmux/quotas/registry.py"
 PLANTED = (
     Planted(
         "an unsafe request is sent again",
-        POLICY,
-        'if risky and held.cls.effect != "safe":',
-        'if risky and held.cls.effect == "keyed":',
+        RETRIES,
+        "if request_class.idempotency == Idempotency.IDEMPOTENT:",
+        "if request_class.idempotency != Idempotency.KEYED:",
         "effects",
         day(*FAILING),
     ),
     Planted(
         "a keyed request is sent again after its window",
-        POLICY,
-        "if self.now - risky[0].sent > held.cls.window_ms - 2 * self.s.tick_ms:",
+        RETRIES,
+        "if now - risky[0].sent_at > request_class.idempotency_window_ms - 2 * clock_resolution_ms:",
         "if False:",
         "effects",
         day(*SLOW, *FAILING, booking=KEYED),
-        ((POLICY, "return ran[0] + held.cls.window_ms - 2 * self.s.tick_ms - self.now", "return inf"),),
+        (
+            (
+                RETRIES,
+                "return sent_at[0] + pending.request_class.idempotency_window_ms"
+                " - 2 * clock_resolution_ms - now",
+                "return inf",
+            ),
+        ),
     ),
     Planted(
         "a host that drains goes on being used",
--- /dev/null
+++ b/hillmux/decision/admission.py
@@ -0,0 +1,134 @@
+"""Admission control by SiRED: the admit fraction falls as the smoothed occupancy of the hosts rises.
+
+Occupancy is the share of its latency objective that a response takes. Its smoothed value maps to a fraction
+of requests to admit, which an accumulator per class and plan turns into single decisions. Fractions are
+staggered, so that requests with the least priority per work are shed first.
+"""
+
+from __future__ import annotations
+
+from typing import Final
+
+from hillmux import interface as api
+from hillmux.decision.context import HOUSEKEEPING_INTERVAL_MS, DecisionContext
+from hillmux.decision.latency import LatencyEstimates
+from hillmux.decision.occupancy import MAX_OCCUPANCY, MIN_OCCUPANCY, OccupancyEstimator
+from hillmux.quotas.quotas import Quotas
+
+MIN_ADMIT_FRACTION: Final = 0.05
+BEYOND_QUOTA_OCCUPANCY: Final = 0.5 * MIN_OCCUPANCY  # below this, requests beyond their quota may be admitted
+LOGGED_ADMIT_FRACTION: Final = 0.9  # a lower one is logged
+ROUNDING: Final = 1e-9  # what a sum of fractions may lack of 1
+
+
+def admit_fraction_for(occupancy: float) -> float:
+    """The SiRED admit fraction for a smoothed occupancy."""
+    slope = (MAX_OCCUPANCY - occupancy) / (MAX_OCCUPANCY - MIN_OCCUPANCY)
+    return max(MIN_ADMIT_FRACTION, min(slope, 1.0))
+
+
+class AdmissionShare:
+    """Requests of one class and plan: their priority, their work and the fraction admitted."""
+
+    __slots__ = ("value", "work", "admit_fraction", "accumulator")
+
+    def __init__(self) -> None:
+        self.value = 0.0  # priority per work
+        self.work = 0.0  # expected work of recent requests, decaying
+        self.admit_fraction = 1.0
+        self.accumulator = 0.0
+
+
+class AdmissionControl:
+    """The fractions of requests that the occupancy of the hosts admits."""
+
+    __slots__ = (
+        "_context",
+        "_quotas",
+        "_latency",
+        "_occupancy",
+        "admit_fraction",
+        "shares",
+    )
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        quotas: Quotas,
+        latency: LatencyEstimates,
+        occupancy: OccupancyEstimator,
+    ) -> None:
+        self._context = context
+        self._quotas = quotas
+        self._latency = latency
+        self._occupancy = occupancy
+        self.admit_fraction = 1.0
+        self.shares: dict[tuple[str, str], AdmissionShare] = {}  # by class name and plan name
+
+    def admits(self, request_class: api.RequestClass, plan: api.Plan, units: float) -> bool:
+        """Whether a request is admitted; each call counts as one request of its class and plan."""
+        key = (request_class.name, plan.name)
+        share = self.shares.get(key)
+        if share is None:
+            share = self.shares[key] = AdmissionShare()
+        per_unit_ms = self._latency.per_unit_ms[request_class.name]
+        share.value = request_class.priority_weight * plan.priority_weight / max(per_unit_ms, 1e-6)
+        share.work += per_unit_ms * max(units, 0.0)
+        share.accumulator += share.admit_fraction
+        if share.accumulator < 1.0 - ROUNDING:
+            return False
+        share.accumulator = max(share.accumulator - 1.0, 0.0)
+        return True
+
+    def reject(self, request_id: str, reason: api.RejectReason, wait_ms: float = 0.0) -> None:
+        """Reject a request; the client should wait for `wait_ms`, or longer while hosts are overloaded."""
+        wait_ms = max(wait_ms, HOUSEKEEPING_INTERVAL_MS / self.admit_fraction)
+        wait_ms = min(wait_ms, self._context.settings.max_retry_after_ms)
+        self._context.actions.append(api.Reject(request_id, wait_ms, reason))
+
+    def has_spare_capacity(self) -> bool:
+        """Whether the hosts may serve requests beyond their quota."""
+        return self._occupancy.smoothed < BEYOND_QUOTA_OCCUPANCY
+
+    def decay_work(self, factor: float) -> None:
+        """Let the work of earlier requests weigh less."""
+        for share in self.shares.values():
+            share.work *= factor
+
+    def retain_classes(self, names: set[str]) -> None:
+        """Forget classes that have none of these names."""
+        self.shares = {key: share for key, share in self.shares.items() if key[0] in names}
+
+    def reset(self) -> None:
+        """Go back to the state of a new gateway, which admits all requests."""
+        self._occupancy.reset()
+        self.admit_fraction = 1.0
+        self._quotas.pressed = False
+        for share in self.shares.values():
+            share.admit_fraction = 1.0
+            share.accumulator = 0.0
+
+    def update(self) -> None:
+        """Update the occupancy, and the admit fractions by it."""
+        self._occupancy.update()
+        self.admit_fraction = admit_fraction_for(self._occupancy.value())
+        self._quotas.pressed = self.admit_fraction < 1
+        self._stagger_fractions()
+        if self.admit_fraction < LOGGED_ADMIT_FRACTION:
+            self._context.log_rate_limited(
+                "pressed",
+                f"back end pressed: q {self._occupancy.smoothed:.2f}, letting in {self.admit_fraction:.0%}",
+            )
+
+    def _stagger_fractions(self) -> None:
+        """Give the admitted work to the shares in order of priority per work; the sum stays the same."""
+        total = sum(share.work for share in self.shares.values())
+        above = 0.0
+        for share in sorted(self.shares.values(), key=lambda share: -share.value):
+            part = share.work / total if total > 0 else 1.0
+            if part > 0:
+                left = (self.admit_fraction - above) / part
+                share.admit_fraction = max(MIN_ADMIT_FRACTION, min(left, 1.0))
+            else:
+                share.admit_fraction = self.admit_fraction
+            above += part
--- /dev/null
+++ b/hillmux/decision/host_health.py
@@ -0,0 +1,54 @@
+"""What the result of an attempt says of its host."""
+
+from __future__ import annotations
+
+from typing import Final
+
+from hillmux import interface as api
+from hillmux.balancing.fleet import Fleet, Host
+from hillmux.decision.context import DecisionContext
+from hillmux.decision.latency import LatencyEstimates
+from hillmux.decision.request_state import PendingRequest
+from hillmux.interface import AttemptResult
+
+MAX_CONSECUTIVE_FAILURES: Final = 3  # failed or slow attempts, or resets, after which a host is ejected
+FAILURE_LATENCY_RATIO: Final = 2.0  # a failed attempt counts as at least this slow
+
+
+class HostHealth:
+    """Updates latency and consecutive failures of hosts, and ejects those that fail."""
+
+    __slots__ = ("_context", "_fleet", "_latency")
+
+    def __init__(self, context: DecisionContext, fleet: Fleet, latency: LatencyEstimates) -> None:
+        self._context = context
+        self._fleet = fleet
+        self._latency = latency
+
+    def record(self, pending: PendingRequest, host: Host, event: api.AttemptEnded) -> None:
+        """Take account of a finished attempt."""
+        result = event.result
+        if result == AttemptResult.OK:
+            self._fleet.recovered(host)
+            self._fleet.paced(host, self._latency.record_response(pending, event))
+        elif result == AttemptResult.CONNECT_FAILED:
+            # A reset ends one connection only. Taken for the host's death it would eject a good host, and
+            # count it as warming up afterwards; a dead one refuses the next connection.
+            host.died = True
+            self._eject(host)
+        elif result in (AttemptResult.RESET, AttemptResult.INCOMPLETE_REQUEST):
+            self._record_failures(host, 1)
+        elif result in (AttemptResult.ERROR, AttemptResult.TIMED_OUT, AttemptResult.QUEUE_FULL):
+            ratio = pending.request_class.latency_objective_ms / self._latency.expected_ms(pending)
+            self._fleet.paced(host, max(ratio, FAILURE_LATENCY_RATIO))
+            outlier_timed_out = result == AttemptResult.TIMED_OUT and self._fleet.unwell(host)
+            self._record_failures(host, int(outlier_timed_out or result == AttemptResult.ERROR))
+
+    def _record_failures(self, host: Host, count: int) -> None:
+        host.strikes += count
+        if host.fails or host.strikes >= MAX_CONSECUTIVE_FAILURES:
+            self._eject(host)
+
+    def _eject(self, host: Host) -> None:
+        if self._fleet.down(host):
+            self._context.log_rate_limited("host", f"{host.name} fails: resting it")
--- a/hillmux/hosted/core.py
+++ b/hillmux/hosted/core.py
@@ -306,7 +306,7 @@
         if act.name == "sweep":
             self._sweeps += 1
             idle = self._loop.time() - self._busy_at > DOZE_AFTER_S and not self._requests
-            self._dozing = idle and self._gateway.idle()
+            self._dozing = idle and self._gateway.is_idle()
             if self._dozing:
                 delay_s = min(DOZE_S, self.tenant.idle_ms / 2000)
             if self._dozing or self._sweeps % RETIRE_EVERY == 0:
@@ -321,7 +321,7 @@
     def _timer_due(self, name: str) -> None:
         self._timers.pop(name, None)
         self._post(api.TimerFired(name))
-        if self._dozing and name == "sweep" and self._gateway.settled() and not self._requests:
+        if self._dozing and name == "sweep" and self._gateway.is_quiescent() and not self._requests:
             self._settled(self)
 
     # The end
--- a/hillmux/hot_restart/state_codec.py
+++ b/hillmux/hot_restart/state_codec.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from hillmux.balancing.fleet import FASTEST, OUT, SLOWEST
-from hillmux.decision import gateway as policy
+from hillmux.decision.admission import AdmissionShare
 from hillmux.decision.gateway import Gateway
 from hillmux.quotas.latest_times import SLOTS
 from hillmux.quotas.state import QuotaState
@@ -41,6 +41,19 @@
 )  # fmt: skip
 # The names in documents are fixed: processes of two versions read each other's. These are the attributes that
 # they stand for, where those have other names.
+SCALAR_ATTRIBUTES = {  # part of the gateway, and the attribute there
+    "born": ("context", "started_at"),
+    "q": ("occupancy", "smoothed"),
+    "f": ("admission", "admit_fraction"),
+    "q_sum": ("occupancy", "interval_sum"),
+    "q_n": ("occupancy", "interval_count"),
+    "q_seen": ("occupancy", "samples_seen"),
+    "ok_q": ("occupancy", "response_occupancy"),
+    "lost": ("occupancy", "lost_ratio"),
+    "done": ("occupancy", "completions"),
+    "done_rate": ("occupancy", "completion_rate"),
+    "bank": ("retry_budget", "balance"),
+}
 COUNTER_ATTRIBUTES = {"heard": "answer_rate", "call_at": "called_at"}
 USE_ATTRIBUTES = {name: name for name in USE} | {
     "width": "replicas",
@@ -90,12 +103,15 @@
     yield {
         "t": MODULE,
         "version": VERSION,
-        "scalars": {name: getattr(gateway, name) for name in SCALARS}
+        "scalars": {name: _scalar(gateway, name) for name in SCALARS}
         | {name: getattr(quotas.throttle, COUNTER_ATTRIBUTES[name]) for name in COUNTER},
         "warm_rate": fleet.warm_rate,
-        "latency": dict(gateway.latency),
+        "latency": dict(gateway.latency.per_unit_ms),
         "asked_at": dict(quotas.registry.asked_at),
-        "cells": [[*key, c.value, c.work, c.f, c.r] for key, c in gateway.cells.items()],
+        "cells": [
+            [*key, share.value, share.work, share.admit_fraction, share.accumulator]
+            for key, share in gateway.admission.shares.items()
+        ],
     }
     hosts = list(fleet.hosts.values())
     for at in range(0, len(hosts), AT_ONCE):
@@ -155,26 +171,33 @@
         if name in COUNTER_ATTRIBUTES:
             setattr(gateway.quotas.throttle, COUNTER_ATTRIBUTES[name], value)
         else:
-            setattr(gateway, name, value)
+            part, attribute = SCALAR_ATTRIBUTES[name]
+            setattr(getattr(gateway, part), attribute, value)
     registry = gateway.quotas.registry
-    gateway.quotas.born = gateway.born
-    gateway.quotas.pressed = gateway.f < 1
-    gateway.latency.update({n: v for n, v in latency.items() if n in gateway.classes})
-    registry.asked_at.update({n: v for n, v in asked_at.items() if n in gateway.plans})
+    gateway.quotas.born = gateway.context.started_at
+    gateway.quotas.pressed = gateway.admission.admit_fraction < 1
+    gateway.latency.per_unit_ms.update({n: v for n, v in latency.items() if n in gateway.context.classes})
+    registry.asked_at.update({n: v for n, v in asked_at.items() if n in gateway.context.plans})
     gateway.fleet.warm_rate = warm_rate
-    for cls, plan, (value, work, f, r) in cells:
-        if cls in gateway.classes and plan in gateway.plans:
-            cell = gateway.cells[cls, plan] = policy._Cell()
-            cell.value, cell.work, cell.f, cell.r = value, work, f, r
+    for class_name, plan, (value, work, admit_fraction, accumulator) in cells:
+        if class_name in gateway.context.classes and plan in gateway.context.plans:
+            share = gateway.admission.shares[class_name, plan] = AdmissionShare()
+            share.value, share.work = value, work
+            share.admit_fraction, share.accumulator = admit_fraction, accumulator
     for name, fields in hosts.items():
         _restore_host(gateway, name, fields)
     for customer, plan, fields in uses:
-        if plan in gateway.plans and len(registry.states) < gateway.s.max_customers:
+        if plan in gateway.context.plans and len(registry.states) < gateway.settings.max_customers:
             _restore_use(gateway, customer, plan, fields)
     if times is not None:
         registry.ceilings_from.times = times
 
 
+def _scalar(gateway: Gateway, name: str) -> Any:
+    part, attribute = SCALAR_ATTRIBUTES[name]
+    return getattr(getattr(gateway, part), attribute)
+
+
 def _restore_host(gateway: Gateway, name: str, fields: dict[str, Any]) -> None:
     fleet, host = gateway.fleet, gateway.fleet.hosts[name]
     born = host.born
@@ -194,14 +217,14 @@
     key, registry = (customer, plan), gateway.quotas.registry
     state = registry.states.get(key)
     if state is None:
-        state = QuotaState(key, gateway.plans[plan], fields["width"], gateway.now, 0.0)
+        state = QuotaState(key, gateway.context.plans[plan], fields["width"], gateway.context.now, 0.0)
         registry.states[key] = state
         registry.ring.append(state)
     for name, value in fields.items():
         setattr(state, USE_ATTRIBUTES[name], value)
     state.set_replicas(state.replicas)
     state.lease_confirmed = False
-    state.uncover(gateway.now)
+    state.uncover(gateway.context.now)
 
 
 # --- Reading ---
--- a/hillmux/lab/virtual/gateway.py
+++ b/hillmux/lab/virtual/gateway.py
@@ -246,7 +246,7 @@
                 total,
             )
 
-        self.loop.after(self.module.s.counter_timeout_ms, end, AttemptResult.TIMED_OUT, 0.0)
+        self.loop.after(self.module.settings.counter_timeout_ms, end, AttemptResult.TIMED_OUT, 0.0)
         self.loop.after(
             world.counter_way_ms, world.counter.call, act.name, act.amount, act.retention_ms, answered
         )
--- a/hillmux/recovery/snapshotting_gateway.py
+++ b/hillmux/recovery/snapshotting_gateway.py
@@ -116,13 +116,13 @@
         late = now - self._looked > LOOK_S + STALL_MS / 1000
         self._looked = now
         asked = self.settings.counter_available and gateway.quotas.throttle.called_at > self._born_ms
-        stalled = late or clock - gateway.stalled_at < STALL_MS
+        stalled = late or clock - gateway.context.stalled_at < STALL_MS
         view = View(
             self.ready(),
             self._heard,
             not asked or gateway.quotas.throttle.answer_rate >= SILENT_RATE,
             self._outcomes,
-            gateway.f,
+            gateway.admission.admit_fraction,
             fleet.up,
             fleet.cold,
             fleet.failing,
--- a/tests/decision/playback.py
+++ b/tests/decision/playback.py
@@ -44,9 +44,9 @@
                     dataclasses.replace(
                         c, latency_objective_ms=c.latency_objective_ms * rng.choice((0.5, 1.0, 2.0))
                     )
-                    for c in gateway.s.classes
+                    for c in gateway.settings.classes
                 )
-                event = api.SettingsChanged(dataclasses.replace(gateway.s, classes=classes))
+                event = api.SettingsChanged(dataclasses.replace(gateway.settings, classes=classes))
             case "drain":
                 event = api.DrainStarted()
             case _:
--- a/tests/hosted/test_rest.py
+++ b/tests/hosted/test_rest.py
@@ -93,12 +93,12 @@
         1,
     )
     cold.handle(1e6, api.EndpointList(ListKind.FULL, (server(0, started_at_ms=1e6),)))
-    assert not cold.settled()
+    assert not cold.is_quiescent()
     cold.handle(1e6 + 5001, api.TimerFired("sweep"))
-    assert cold.settled()
+    assert cold.is_quiescent()
     (host,) = cold.hosts.values()
     host.died = True
-    assert not cold.settled()
+    assert not cold.is_quiescent()
 
 
 def test_a_module_that_forgot_a_customer_early_rests_only_when_that_ceiling_is_full_again() -> None:
@@ -119,9 +119,9 @@
     assert ask(1e6 + 30_001, "other", "open") and ("spends", "slow") not in gateway.quotas.registry.states
     for s in range(31, 50):
         gateway.handle(1e6 + 1000 * s, api.TimerFired("sweep"))
-        assert not gateway.settled()
+        assert not gateway.is_quiescent()
     gateway.handle(1e6 + 50_001, api.TimerFired("sweep"))
-    assert gateway.settled()
+    assert gateway.is_quiescent()
 
 
 def test_a_request_that_is_out_keeps_its_tenant_awake_for_as_long_as_it_lasts() -> None:
@@ -176,9 +176,9 @@
             driver.now += max(pause - 3000, 0)
             driver.sweep(3)
         # The bank of retries and the usual latencies are learnt, not rules; they may differ.
-        if rests.gateway.settled():
+        if rests.gateway.is_quiescent():
             fresh += 1
-            rests.gateway = Gateway(rests.gateway.s, seed)
+            rests.gateway = Gateway(rests.gateway.settings, seed)
             rests.gateway.handle(born, api.EndpointList(ListKind.CACHED, ()))
             rests.give(api.EndpointList(ListKind.FULL, tuple(server(i) for i in range(4))))
         plan, count = rng.choice((("basic", 4), ("capped", 9), ("open", 3))), rng.randint(1, 12)
--- a/tests/operate/test_module.py
+++ b/tests/operate/test_module.py
@@ -121,7 +121,7 @@
     assert of(out, api.Reject)[0].reason == RejectReason.UNKNOWN_CLASS_OR_PLAN
     assert of(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
     assert d.end(rid) == []
-    assert not d.gateway.held
+    assert not d.gateway.pending
 
 
 def test_a_request_that_waits_for_a_total_keeps_its_class() -> None:
@@ -132,7 +132,7 @@
             break
         d.end(rid)
         rid, out = d.ask("read", "basic", customer="c", units=1)
-    assert rid in d.gateway.asking
+    assert rid in d.gateway.new_requests.waiting
     d.give(changed(classes=(KEYED, UNSAFE)))
     (use,) = d.gateway.quotas.registry.states.values()
     d.give(api.CounterReply(use.count_name, AttemptResult.OK, 0.0), after=5)
@@ -147,8 +147,8 @@
         d.give(changed(classes=(dataclasses.replace(SAFE, name=name),)))
         d.end(d.ask(name)[0])
     gateway = d.gateway
-    assert set(gateway.latency) == set(gateway.patience) == {"read49"}
-    assert len(gateway.cells) == 1
+    assert set(gateway.latency.per_unit_ms) == set(gateway.new_requests.deadline_samples) == {"read49"}
+    assert len(gateway.admission.shares) == 1
 
 
 def test_a_new_scope_of_repeats_finds_its_hosts() -> None:
@@ -166,7 +166,7 @@
     d = Driver(servers=2)
     with pytest.raises(ValueError, match="plans"):
         d.give(changed(plans=(PLAN,), classes=(KEYED,)))
-    assert set(d.gateway.classes) == {"read", "put", "pay"}
+    assert set(d.gateway.context.classes) == {"read", "put", "pay"}
 
 
 # --- Answers that have begun at their clients ---
@@ -184,7 +184,7 @@
     assert (host.open, fleet.open_well) == (0, 0)
     for rid in streams:
         assert of(d.end(rid, took=40, after=5000), api.SendAttempt | api.Reject) == []
-    assert (host.open, fleet.open_well, d.gateway.held) == (0, 0, {})
+    assert (host.open, fleet.open_well, d.gateway.pending) == (0, 0, {})
 
 
 def test_an_answer_that_breaks_off_is_not_sent_again() -> None:
--- a/tests/recovery/test_memory.py
+++ b/tests/recovery/test_memory.py
@@ -75,7 +75,7 @@
     d = busy()
     assert any(use.ceiling_remaining > 0 for use in d.gateway.quotas.registry.states.values())
     new = heir(d, age, exact=False)
-    assert new.gateway.born == new.now
+    assert new.gateway.context.started_at == new.now
     for use in new.gateway.quotas.registry.states.values():
         assert (use.ceiling_remaining, use.used, use.reported) == (0.0, 0.0, 0.0)
         assert (use.remaining, use.last_total) == (0.0, None)
@@ -102,12 +102,14 @@
 
 def test_an_old_fraction_lets_a_calm_fleet_in_and_a_young_one_holds() -> None:
     d = busy()
-    d.gateway.f = 0.3
-    for cell in d.gateway.cells.values():
-        cell.f = 0.2
+    d.gateway.admission.admit_fraction = 0.3
+    for share in d.gateway.admission.shares.values():
+        share.admit_fraction = 0.2
     young, old = heir(d, 500, exact=False).gateway, heir(d, 60_000, exact=True).gateway
-    assert young.f == 0.3 and young.quotas.pressed and {c.f for c in young.cells.values()} == {0.2}
-    assert old.f == 1.0 and not old.quotas.pressed and {c.f for c in old.cells.values()} == {1.0}
+    assert young.admission.admit_fraction == 0.3 and young.quotas.pressed
+    assert {share.admit_fraction for share in young.admission.shares.values()} == {0.2}
+    assert old.admission.admit_fraction == 1.0 and not old.quotas.pressed
+    assert {share.admit_fraction for share in old.admission.shares.values()} == {1.0}
 
 
 def test_a_start_that_the_list_tells_goes_before_what_was_known_of_the_host() -> None:
--- a/tests/recovery/test_waking.py
+++ b/tests/recovery/test_waking.py
@@ -9,7 +9,7 @@
 from lab.test_run import count, day, held
 
 from hillmux import interface as api
-from hillmux.decision.gateway import OLD_MS
+from hillmux.decision.gateway import OUTDATED_MS
 from hillmux.interface import AttemptResult
 from hillmux.lab import record
 from hillmux.lab.run import play
@@ -34,7 +34,7 @@
     """A module that lets in a few only."""
     d = Driver(servers=6, counter_available=False)
     press(d, 3000, every_ms=2)
-    assert d.gateway.f < 0.2
+    assert d.gateway.admission.admit_fraction < 0.2
     return d
 
 
@@ -49,14 +49,14 @@
     return sent
 
 
-@pytest.mark.parametrize("stood_ms", [OLD_MS + 200, 60_000, 3_600_000])
+@pytest.mark.parametrize("stood_ms", [OUTDATED_MS + 200, 60_000, 3_600_000])
 def test_a_fraction_from_before_a_long_stall_refuses_nobody(stood_ms: float) -> None:
     d = jammed()
     d.now += stood_ms
     assert let_in(d) == 50 and not d.gateway.quotas.pressed
 
 
-@pytest.mark.parametrize("stood_ms", [0, 300, OLD_MS - 500])
+@pytest.mark.parametrize("stood_ms", [0, 300, OUTDATED_MS - 500])
 def test_a_fraction_from_a_moment_ago_holds_through_a_short_one(stood_ms: float) -> None:
     d = jammed()
     d.now += stood_ms
@@ -67,7 +67,7 @@
     d = jammed()
     d.now += 60_000
     press(d, 1500, every_ms=2)
-    assert d.gateway.f < 0.5
+    assert d.gateway.admission.admit_fraction < 0.5
 
 
 def test_gateways_that_wake_send_nothing_by_the_list_of_before(tmp_path: Path) -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -15,8 +15,9 @@
 
 from hillmux import interface as api
 from hillmux.balancing import fleet
-from hillmux.decision import gateway as policy
-from hillmux.decision.gateway import Gateway, ramp
+from hillmux.decision import admission, occupancy, retries
+from hillmux.decision.admission import admit_fraction_for
+from hillmux.decision.gateway import Gateway
 from hillmux.interface import NEVER_EXECUTED, AttemptResult, HostStatus, ListKind, RejectReason
 from hillmux.quotas.estimate import SPLIT
 from hillmux.quotas.latest_times import LatestTimes
@@ -44,41 +45,43 @@
 # --- The ordinary path ---
 
 
-def test_ramp_by_hand() -> None:
-    lo, hi = policy.Q_MIN, policy.Q_MAX
-    assert ramp(0.0) == 1.0
-    assert ramp(lo) == 1.0
-    assert ramp((lo + hi) / 2) == pytest.approx(0.5)
-    assert ramp(hi) == policy.F_MIN
-    assert ramp(1.0) == policy.F_MIN
+def test_admit_fraction_by_occupancy() -> None:
+    lo, hi = occupancy.MIN_OCCUPANCY, occupancy.MAX_OCCUPANCY
+    assert admit_fraction_for(0.0) == 1.0
+    assert admit_fraction_for(lo) == 1.0
+    assert admit_fraction_for((lo + hi) / 2) == pytest.approx(0.5)
+    assert admit_fraction_for(hi) == admission.MIN_ADMIT_FRACTION
+    assert admit_fraction_for(1.0) == admission.MIN_ADMIT_FRACTION
 
 
 def test_accumulator_lets_in_two_of_five_at_f_04() -> None:
     d = Driver()
     d.ask()
-    cell = d.gateway.cells[("read", "open")]
-    cell.f, cell.r = 0.4, 0.0
+    share = d.gateway.admission.shares[("read", "open")]
+    share.admit_fraction, share.accumulator = 0.4, 0.0
     sent = [bool(of(d.ask()[1], api.SendAttempt)) for _ in range(10)]
     assert sent == [False, False, True, False, True] * 2
 
 
 def test_q_moves_by_w_of_the_mean() -> None:
     d = Driver()
-    d.gateway.q_seen = 100  # a fresh gateway's q is the plain mean
+    d.gateway.occupancy.samples_seen = 100  # a fresh gateway's q is the plain mean
     for _ in range(2):
         rid, _ = d.ask()
         d.end(rid, took=500)
-    assert d.gateway.q_n == 2
+    assert d.gateway.occupancy.interval_count == 2
     d.sweep()
-    assert d.gateway.q == pytest.approx(policy.W * 0.5)
+    assert d.gateway.occupancy.smoothed == pytest.approx(occupancy.OCCUPANCY_WEIGHT * 0.5)
     rid, _ = d.ask()
     d.sweep()
-    assert d.gateway.q == pytest.approx(policy.W * 0.5)  # holds with no outcomes while one is out
+    assert d.gateway.occupancy.smoothed == pytest.approx(
+        occupancy.OCCUPANCY_WEIGHT * 0.5
+    )  # holds with no outcomes while one is out
 
 
 def test_a_lone_gateway_finds_out_that_a_jam_is_over() -> None:
     d = Driver()
-    d.gateway.q = 1.0
+    d.gateway.occupancy.smoothed = 1.0
     served = 0
     for _ in range(20):  # two requests a second, answered fast
         rid, out = d.ask(after=0)
@@ -93,11 +96,13 @@
     d = Driver()
     rids = [d.ask(after=20)[0] for _ in range(8)]
     d.sweep(6)
-    assert d.gateway.f < 0.1  # nothing has come back, much is older than Qmax of its aim
+    assert (
+        d.gateway.admission.admit_fraction < 0.1
+    )  # nothing has come back, much is older than Qmax of its aim
     for rid in rids:
         d.end(rid, took=60)
     d.sweep()
-    assert d.gateway.f == 1.0
+    assert d.gateway.admission.admit_fraction == 1.0
 
 
 def test_pressed_sheds_least_worth_per_work_first() -> None:
@@ -105,21 +110,21 @@
     for _ in range(5):
         d.ask("read")
         d.ask("put")
-    d.gateway.q = (policy.Q_MIN + policy.Q_MAX) / 2
+    d.gateway.occupancy.smoothed = (occupancy.MIN_OCCUPANCY + occupancy.MAX_OCCUPANCY) / 2
     d.sweep()
-    cells = d.gateway.cells
-    assert cells[("put", "open")].f > 0.9 > cells[("read", "open")].f
+    shares = d.gateway.admission.shares
+    assert shares[("put", "open")].admit_fraction > 0.9 > shares[("read", "open")].admit_fraction
 
 
 def test_own_stall_is_no_sample() -> None:
     d = Driver()
     rid, _ = d.ask()
     d.end(rid, took=5000, after=5000)
-    assert d.gateway.q_n == 0
+    assert d.gateway.occupancy.interval_count == 0
     d.sweep()
     rid, _ = d.ask()
     d.end(rid, took=40, after=40)
-    assert d.gateway.q_n == 1
+    assert d.gateway.occupancy.interval_count == 1
 
 
 def test_one_bad_host_does_not_cut_f() -> None:
@@ -135,7 +140,7 @@
         else:
             d.end(rid, took=50)
     d.sweep(5)
-    assert d.gateway.f == 1.0
+    assert d.gateway.admission.admit_fraction == 1.0
     assert held_on_bad is None or d.gateway.hosts["h0"].slow > 1
 
 
@@ -144,9 +149,9 @@
         d = Driver(servers=1)
         rid, _ = d.ask()
         slow_down(d, "h0", 10.0)
-        d.gateway.fleet.mid, d.gateway.ok_q = mid, 0.5
+        d.gateway.fleet.mid, d.gateway.occupancy.response_occupancy = mid, 0.5
         d.end(rid, AttemptResult.TIMED_OUT, took=90)
-        assert d.gateway.q_n == samples
+        assert d.gateway.occupancy.interval_count == samples
 
 
 # --- One timely answer ---
@@ -234,7 +239,7 @@
             )
         )
     assert all(answers(d, rid, served) == 1 for rid in asked)
-    assert not gw.held
+    assert not gw.pending
 
 
 def test_odd_requests_get_one_legal_answer() -> None:
@@ -335,7 +340,7 @@
     assert not of(out, api.SendAttempt) and not of(out, api.Reject) and of(out, api.IncrementCounter)
     out = d.give(api.CounterReply(calls_of(d)[-1].name, AttemptResult.TIMED_OUT, 0.0), 30)
     assert len(of(out, api.SendAttempt)) + len(of(out, api.Reject)) == 1
-    assert rid not in d.gateway.asking
+    assert rid not in d.gateway.new_requests.waiting
 
 
 def test_a_refused_reservation_is_given_back_while_the_counter_answers() -> None:
@@ -353,7 +358,7 @@
     d = Driver(counter_timeout_ms=30)
     rid, out = d.ask(plan="basic", left=left)
     assert len(of(out, api.SendAttempt)) + len(of(out, api.Reject)) == 1
-    assert rid not in d.gateway.asking
+    assert rid not in d.gateway.new_requests.waiting
 
 
 def test_a_reply_that_never_comes_does_not_cost_the_answer() -> None:
@@ -363,7 +368,7 @@
     rid, out = d.ask(plan="basic")
     d.sweep(3)
     finals = [a for _, a in d.log if isinstance(a, api.SendAttempt | api.Reject) and a.request_id == rid]
-    assert len(finals) == 1 and not d.gateway.asking
+    assert len(finals) == 1 and not d.gateway.new_requests.waiting
 
 
 def test_silent_counter_keeps_to_the_split() -> None:
@@ -407,11 +412,13 @@
         rid, out = d.ask(plan="basic", customer=f"k{i}")
         for act in of(out, api.IncrementCounter):
             d.give(api.CounterReply(act.name, AttemptResult.TIMED_OUT, 0.0))
-        if rid in d.gateway.held:
+        if rid in d.gateway.pending:
             d.end(rid)
     d.sweep(1210)
     quotas = d.gateway.quotas
-    assert not quotas.registry.states and not quotas.registry.ring and not quotas.calls and not d.gateway.held
+    assert (
+        not quotas.registry.states and not quotas.registry.ring and not quotas.calls and not d.gateway.pending
+    )
 
 
 def test_a_customer_long_unseen_gets_our_split_untold_and_no_more() -> None:
@@ -559,7 +566,8 @@
             known = f"known{i // 50 % 10}"
             let_in[known] += ask(f"k{i}", known)
     assert (
-        len(gateway.quotas.registry.states) == len(gateway.quotas.registry.ring) == 8192 and not gateway.held
+        len(gateway.quotas.registry.states) == len(gateway.quotas.registry.ring) == 8192
+        and not gateway.pending
     )
     assert refused <= 100_000 * 0.01
     allowed = full + rate * (now - start)
@@ -661,7 +669,7 @@
             store = min(plan.ceiling_burst, store + (now - last) * plan.ceiling_rate / 1000) - 1
             last, sends = now, sends + 1
             assert store >= -1e-6
-        if rid in d.gateway.held:
+        if rid in d.gateway.pending:
             d.end(rid)
     assert sends > 50
 
@@ -696,7 +704,7 @@
     cold = gw.hosts["h9"]
     saved = 0.2 * 0.1 * 2000 / 2  # at most half a span's worth is saved up
     assert gw.fleet.cold_room(cold, 0.2, saved - 0.1)
-    gw.latency["read"] = saved / 4.5
+    gw.latency.per_unit_ms["read"] = saved / 4.5
     outs = [d.ask()[1] for _ in range(20)]
     assert (
         4 <= sum(len(of(out, api.SendAttempt)) for out in outs) <= 5
@@ -710,7 +718,7 @@
         d = Driver(servers=1, seed=i, fleet_size=300)
         d.gateway.fleet.warm_rate, work = 0.1, 0.36 * 0.1 * 1000 / part  # 2 of 10 s: at least 0.36 warm
         d.give(api.EndpointList(ListKind.FULL, (server(9, started_at_ms=d.now - 2000),)))
-        d.gateway.latency["read"] = work
+        d.gateway.latency.per_unit_ms["read"] = work
         sent += any(of(d.ask()[1], api.SendAttempt) for _ in range(10))
     assert abs(sent - 300 * part) < 3 * (300 * part * (1 - part)) ** 0.5 + 1
 
@@ -727,17 +735,17 @@
 def test_keys_are_repeated_only_while_they_are_remembered() -> None:
     d = Driver(servers=4)
     d.give(api.Request("k", "put", "open", "c", 4000.0))
-    held = d.gateway.held["k"]
+    held = d.gateway.pending["k"]
     first = held.attempts[0].host
     other = [h for h in d.gateway.hosts.values() if h.zone != first.zone][0]
-    assert d.gateway._pick(held) is None  # the first one is still out
-    held.attempts[0].open, held.out = False, 0
+    assert d.gateway.attempts.select_host(held) is None  # the first one is still out
+    held.attempts[0].open, held.open_attempts = False, 0
     for _ in range(5):  # the other zone's hosts are free, this one's are loaded, one was tried
         d.gateway.fleet.began(first, 0.0)
-    picked = {d.gateway._pick(held) for _ in range(30)}
+    picked = {d.gateway.attempts.select_host(held) for _ in range(30)}
     assert other not in picked and {h.zone for h in picked} == {first.zone}
-    d.gateway.now += 3000
-    assert d.gateway._pick(held) is None
+    d.gateway.context.now += 3000
+    assert d.gateway.attempts.select_host(held) is None
 
 
 def test_host_back_from_connect_failures_counts_as_cold() -> None:
@@ -773,7 +781,7 @@
         d.end(rid, result)
     host = d.gateway.hosts["h0"]
     assert (host.died, host.fails > 0) == (result == AttemptResult.CONNECT_FAILED, rests)
-    assert host.open == 0 and d.gateway.q == 0
+    assert host.open == 0 and d.gateway.occupancy.smoothed == 0
 
 
 def test_a_bound_of_our_own_ends_the_request_at_once() -> None:
@@ -801,10 +809,10 @@
         rid, out = d.ask(after=50)
         sends += len(of(out, api.SendAttempt))
         for _ in range(4):
-            if rid not in d.gateway.held:
+            if rid not in d.gateway.pending:
                 break
             sends += len(of(d.end(rid, AttemptResult.QUEUE_FULL), api.SendAttempt))
-    assert sends <= 300 * (1 + policy.RETRY_SHARE) + policy.RETRY_BANK + 1
+    assert sends <= 300 * (1 + retries.RETRY_RATIO) + retries.MAX_RETRY_BALANCE + 1
 
 
 # --- Answers that never come ---
@@ -836,12 +844,12 @@
         d = Driver(servers=8)
         for i in range(60):
             rid, _ = d.ask(after=20)
-            if i % 4 == 0 and rid in d.gateway.held:
+            if i % 4 == 0 and rid in d.gateway.pending:
                 d.end(rid, AttemptResult.TIMED_OUT, took=took)
-            if rid in d.gateway.held:
+            if rid in d.gateway.pending:
                 d.end(rid, took=took)
             d.give(api.TimerFired("sweep"))
-        assert (d.gateway.f < 1) == pressed
+        assert (d.gateway.admission.admit_fraction < 1) == pressed
 
 
 # --- A crowded counter ---
@@ -858,7 +866,7 @@
             for act in of(out, api.IncrementCounter):
                 made += 1
                 out = out + d.give(api.CounterReply(act.name, result, act.amount))
-            if rid in d.gateway.held:
+            if rid in d.gateway.pending:
                 d.end(rid)
         return made
 
