--- a/hillmux/net/config.py
+++ b/hillmux/net/config.py
@@ -9,7 +9,7 @@
 
 from hillmux import interface as api
 from hillmux.net.discovery import Listing, parse_listing
-from hillmux.simulator import codec as wire
+from hillmux.platform_settings import parse_number, parse_settings
 
 Address = tuple[str, int]
 COUNT_PATIENCE = 3.0  # how long a counter call is waited for, in the time that the settings give it
@@ -159,7 +159,7 @@
 
 
 def _flatten(path: str, value: object) -> Iterator[tuple[str, str]]:
-    """Nested settings as the path=value pairs of the simulator's wire."""
+    """Nested settings by path, as `hillmux.platform_settings` reads them."""
     if isinstance(value, dict):
         for key, item in value.items():
             yield from _flatten(f"{path}.{key}" if path else str(key), item)
@@ -178,7 +178,7 @@
 
 def _settings(pairs: dict[str, str]) -> api.Settings:
     try:
-        settings = wire.settings([f"{key}={value}" for key, value in pairs.items()])
+        settings = parse_settings(pairs)
         settings.check()
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from None
@@ -187,7 +187,7 @@
 
 def _positive(pairs: dict[str, str], key: str, default: float) -> float:
     try:
-        value = wire.number(pairs[key]) if key in pairs else default
+        value = parse_number(pairs[key]) if key in pairs else default
     except ValueError as error:
         raise ConfigError(f"settings: {key}: {error}") from None
     if value <= 0:
--- a/hillmux/simulator/__init__.py
+++ b/hillmux/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway behind the simulator's wire, on standard input and output."""
+"""The simulator's edge: its wire format, and the adapter that hosts gateways behind it."""
--- a/hillmux/simulator/adapter.py
+++ b/hillmux/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: hosts gateways behind the wire on standard input and output. Translation only."""
+"""Hosts gateways for the simulator, which sends batches of events and reads actions on standard streams."""
 
 from __future__ import annotations
 
@@ -9,122 +9,136 @@
 
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
-from hillmux.simulator import codec as wire
+from hillmux.interface import ListKind
+from hillmux.simulator import codec
+from hillmux.simulator.codec import InstanceClosed, InstanceOpened, WireEvent, WireFormatError
 
+EXIT_OK = 0
+EXIT_OUTPUT_CLOSED = 1
+EXIT_MALFORMED_INPUT = 2
 
-class Host:
-    """Reads batches, hands each event to its instance and writes the replies."""
+
+class SimulatorAdapter:
+    """Reads batches, gives each event to its gateway, and writes the actions."""
 
     def __init__(self, lines: Iterable[str], out: TextIO) -> None:
-        self.lines: Iterator[str] = iter(lines)
-        self.out = out
-        self.line_no = 0
-        self.gateways: dict[str, Gateway] = {}
-        self.catalogs: dict[int, tuple[api.Endpoint, ...]] = {}
-
-    def read(self) -> list[str] | None:
-        """The next line's parts; None at the end of input."""
-        line = next(self.lines, None)
-        if line is None:
-            return None
-        self.line_no += 1
-        if not line.endswith("\n"):
-            raise wire.WireError("truncated line")
-        return line.rstrip("\r\n").split(" ")
+        self._lines: Iterator[str] = iter(lines)
+        self._out = out
+        self.line_number = 0  # of the line that was read last
+        self.gateways: dict[str, Gateway] = {}  # by the instance's name
+        self._endpoint_lists: dict[int, tuple[api.Endpoint, ...]] = {}  # by the list's number
 
     def run(self) -> None:
-        """Answer batches until the input ends between two of them."""
-        while (parts := self.read()) is not None:
+        """Answer batches until the input ends between two of them.
+
+        Raises:
+            WireFormatError: the input is malformed.
+        """
+        while (parts := self._read_line()) is not None:
             if parts == [""]:
                 continue
             if parts[0] != "BATCH" or len(parts) != 2:
-                raise wire.WireError("expected BATCH and the clock")
-            reply = self.batch(wire.number(parts[1]))
-            self.out.write("".join(line + "\n" for line in reply))
-            self.out.flush()
+                raise WireFormatError("expected BATCH and the clock")
+            reply = self.answer_batch(codec.parse_float(parts[1]))
+            self._out.write("".join(line + "\n" for line in reply))
+            self._out.flush()
+
+    def answer_batch(self, now_ms: float) -> list[str]:
+        """Read the events of one batch, and return all lines of its reply.
 
-    def batch(self, now_ms: float) -> list[str]:
-        """The reply to one batch, whole."""
+        Raises:
+            WireFormatError: the batch is malformed.
+        """
         reply: list[str] = []
         while True:
-            parts = self.read()
+            parts = self._read_line()
             if parts is None:
-                raise wire.WireError("input ended inside a batch")
+                raise WireFormatError("input ended inside a batch")
             if parts == ["END"]:
                 return [*reply, "OK"]
             if parts[0] == "CATALOG":
-                self.catalog(parts)
+                self._read_endpoint_list(parts)
                 continue
             try:
-                event = self.server_list(parts) if parts[0] == "DIRECTORY_UPDATE" else wire.event(parts)
-            except wire.WireError:
+                event = self._parse_event(parts)
+            except WireFormatError:
                 raise
             except ValueError as error:  # settings that make no sense
-                reply.append(broken(parts[1], error))
+                reply.append(codec.format_failure(parts[1], error))
                 continue
             reply.extend(self.deliver(now_ms, parts[1], event))
 
-    def catalog(self, parts: list[str]) -> None:
-        """A numbered list of servers, used by the events that follow."""
-        if len(parts) != 3:
-            raise wire.WireError("CATALOG: wrong number of values")
-        number, count = wire.integer(parts[1]), wire.integer(parts[2])
-        servers = []
-        for _ in range(count):
-            entry = self.read()
-            if entry is None:
-                raise wire.WireError("input ended inside a list")
-            servers.append(wire.server(entry))
-        self.catalogs[number] = tuple(servers)
-
-    def server_list(self, parts: list[str]) -> api.EndpointList:
-        """A list event with the entries it refers to."""
-        if len(parts) != 5:
-            raise wire.WireError("DIRECTORY_UPDATE: wrong number of values")
-        kind = wire.one_of(wire.LIST_KINDS, parts[2])
-        wire.integer(parts[3])
-        if kind == "failed":
-            return api.EndpointList(kind)
-        number = wire.integer(parts[4])
-        if number not in self.catalogs:
-            raise wire.WireError(f"no list number {number}")
-        return api.EndpointList(kind, self.catalogs[number])
-
-    def deliver(self, now_ms: float, instance: str, event: object) -> list[str]:
-        """Hand one event to its instance; a failure of the module is reported for that instance."""
+    def deliver(self, now_ms: float, instance: str, event: WireEvent) -> list[str]:
+        """Give an event to its gateway; returns the lines of its actions, or one that reports its failure."""
         try:
-            if isinstance(event, wire.Open):
+            if isinstance(event, InstanceOpened):
                 self.gateways[instance] = Gateway(event.settings, event.seed)
                 return []
-            if isinstance(event, wire.Close):
+            if isinstance(event, InstanceClosed):
                 self.gateways.pop(instance, None)
                 return []
             gateway = self.gateways.get(instance)
             if gateway is None:
                 return []
-            return [wire.action(instance, act) for act in gateway.handle(now_ms, cast(api.Event, event))]
-        except Exception as error:  # the module broke: say so on the wire
-            return [broken(instance, error)]
+            return [codec.format_action(instance, action) for action in gateway.handle(now_ms, event)]
+        except Exception as error:  # one gateway's failure must not end the others
+            return [codec.format_failure(instance, error)]
+
+    def _read_line(self) -> list[str] | None:
+        """The next line, split at single spaces; None at the end of input."""
+        line = next(self._lines, None)
+        if line is None:
+            return None
+        self.line_number += 1
+        if not line.endswith("\n"):
+            raise WireFormatError("truncated line")
+        return line.rstrip("\r\n").split(" ")
 
+    def _read_endpoint_list(self, parts: list[str]) -> None:
+        """Store a numbered endpoint list, to which later events refer."""
+        if len(parts) != 3:
+            raise WireFormatError("CATALOG: wrong number of values")
+        number, count = codec.parse_int(parts[1]), codec.parse_int(parts[2])
+        endpoints = []
+        for _ in range(count):
+            entry = self._read_line()
+            if entry is None:
+                raise WireFormatError("input ended inside a list")
+            endpoints.append(codec.parse_endpoint(entry))
+        self._endpoint_lists[number] = tuple(endpoints)
 
-def broken(instance: str, error: Exception) -> str:
-    """The line that reports a failure of one instance."""
-    return f"BROKEN {instance} {type(error).__name__}: {' '.join(str(error).split())}"
+    def _parse_event(self, parts: list[str]) -> WireEvent:
+        if parts[0] == "DIRECTORY_UPDATE":
+            return self._parse_directory_update(parts)
+        return codec.parse_event(parts)
+
+    def _parse_directory_update(self, parts: list[str]) -> api.EndpointList:
+        """An endpoint list event, with the list whose number it names."""
+        if len(parts) != 5:
+            raise WireFormatError("DIRECTORY_UPDATE: wrong number of values")
+        kind = codec.parse_member(codec.LIST_KINDS, parts[2])
+        codec.parse_int(parts[3])
+        if kind == ListKind.FAILED:
+            return api.EndpointList(kind)
+        number = codec.parse_int(parts[4])
+        if number not in self._endpoint_lists:
+            raise WireFormatError(f"no list number {number}")
+        return api.EndpointList(kind, self._endpoint_lists[number])
 
 
 def main() -> int:
-    """Serve standard input; 0 at its end, 2 with one plain line on a malformed message."""
+    """Serve standard input; on malformed input, print one line that says where and what."""
     for stream in (sys.stdin, sys.stdout):
         cast(io.TextIOWrapper, stream).reconfigure(encoding="utf-8", newline="\n")
-    host = Host(sys.stdin, sys.stdout)
+    adapter = SimulatorAdapter(sys.stdin, sys.stdout)
     try:
-        host.run()
-    except (wire.WireError, UnicodeDecodeError) as error:
-        print(f"line {host.line_no}: {error}", file=sys.stderr)
-        return 2
+        adapter.run()
+    except (WireFormatError, UnicodeDecodeError) as error:
+        print(f"line {adapter.line_number}: {error}", file=sys.stderr)
+        return EXIT_MALFORMED_INPUT
     except BrokenPipeError:
-        return 1
-    return 0
+        return EXIT_OUTPUT_CLOSED
+    return EXIT_OK
 
 
 if __name__ == "__main__":
--- a/hillmux/simulator/codec.py
+++ b/hillmux/simulator/codec.py
@@ -1,17 +1,16 @@
-"""The codec of the wire: lines to events, actions to lines. Translation only."""
+"""The simulator's wire format: lines to events of the decision module, its actions to lines."""
 
 from __future__ import annotations
 
-import math
 from collections.abc import Callable
 from dataclasses import dataclass
-from enum import StrEnum
 from typing import TypeVar
 
 from hillmux import interface as api
-from hillmux.interface import AttemptResult, HostStatus, Idempotency, KeyScope, ListKind
+from hillmux.interface import AttemptResult, HostStatus, ListKind
+from hillmux.platform_settings import ABSENT, NumberFormatError, parse_number, parse_settings
 
-RESULTS = {
+ATTEMPT_RESULTS = {
     "Ok": AttemptResult.OK,
     "Failed": AttemptResult.ERROR,
     "QueueFull": AttemptResult.QUEUE_FULL,
@@ -27,270 +26,269 @@
     "Persisted": ListKind.CACHED,
     "Error": ListKind.FAILED,
 }
+ENDPOINT_TAG = "M"
+RETRY_FLAG = 2  # in the flags of a request
 
+Member = TypeVar("Member")
 
-Choice = TypeVar("Choice", bound=StrEnum)
 
-
-class WireError(ValueError):
-    """A line that does not follow the wire's format."""
+class WireFormatError(ValueError):
+    """A line that does not follow the simulator's format."""
 
 
 @dataclass(slots=True)
-class Open:
-    """A new instance with its seed and settings."""
+class InstanceOpened:
+    """A gateway starts, with its seed and settings."""
 
     seed: int
     settings: api.Settings
 
 
 @dataclass(slots=True)
-class Close:
-    """The instance was killed."""
+class InstanceClosed:
+    """A gateway was killed."""
+
+
+WireEvent = api.Event | InstanceOpened | InstanceClosed
+
 
+# --- Fields of a line ---
 
-def number(text: str) -> float:
-    """A finite number; '-' is absent and reads as 0."""
-    if text == "-":
-        return 0.0
+
+def parse_float(text: str) -> float:
+    """A finite number; an absent one reads as 0.
+
+    Raises:
+        WireFormatError: it is none.
+    """
     try:
-        value = float(text)
-    except ValueError:
-        raise WireError(f"bad number {text!r}") from None
-    if not math.isfinite(value):
-        raise WireError(f"bad number {text!r}")
-    return value
+        return parse_number(text)
+    except NumberFormatError as error:
+        raise WireFormatError(str(error)) from None
+
 
+def parse_int(text: str) -> int:
+    """A whole number; an absent one reads as 0.
 
-def integer(text: str) -> int:
-    """A whole number; '-' reads as 0."""
-    if text == "-":
+    Raises:
+        WireFormatError: it is none.
+    """
+    if text == ABSENT:
         return 0
     try:
         return int(text)
     except ValueError:
-        raise WireError(f"bad whole number {text!r}") from None
+        raise WireFormatError(f"bad whole number {text!r}") from None
+
 
+def parse_flag(text: str) -> bool:
+    """1, or 0; an absent one reads as 0.
 
-def flag(text: str) -> bool:
-    """1 or 0."""
-    if text not in ("0", "1", "-"):
-        raise WireError(f"bad truth value {text!r}")
+    Raises:
+        WireFormatError: it is neither.
+    """
+    if text not in ("0", "1", ABSENT):
+        raise WireFormatError(f"bad truth value {text!r}")
     return text == "1"
 
 
-def one_of(table: dict[str, Choice], text: str) -> Choice:
-    """A word of a fixed table."""
+def parse_member(table: dict[str, Member], text: str) -> Member:
+    """What a word stands for.
+
+    Raises:
+        WireFormatError: the table does not have it.
+    """
     if text not in table:
-        raise WireError(f"unknown word {text!r}")
+        raise WireFormatError(f"unknown word {text!r}")
     return table[text]
 
 
-def choice(kind: type[Choice], text: str, field: str, allowed: str) -> Choice:
-    """The member with a value.
+def parse_load_report(text: str) -> dict[str, float]:
+    """The name:value pairs of a load report, separated by commas.
 
     Raises:
-        ValueError: there is none; the text names the field and what is allowed.
+        WireFormatError: a pair has no colon, or its value is no number.
     """
-    if text not in set(kind):
-        raise ValueError(f"{field}: found {text!r}, expected {allowed}")
-    return kind(text)
-
-
-def report(text: str) -> dict[str, float]:
-    """A load report: name:value pairs set apart by commas."""
-    values = {}
-    if text != "-":
-        for pair in text.split(","):
-            name, colon, value = pair.partition(":")
-            if not colon:
-                raise WireError(f"bad load report {text!r}")
-            values[name] = number(value)
+    values: dict[str, float] = {}
+    if text == ABSENT:
+        return values
+    for pair in text.split(","):
+        name, colon, value = pair.partition(":")
+        if not colon:
+            raise WireFormatError(f"bad load report {text!r}")
+        values[name] = parse_float(value)
     return values
 
 
-def settings(parts: list[str]) -> api.Settings:
-    """The path=value pairs of an instance's first message; unknown keys are skipped."""
-    pairs: dict[str, str] = {}
-    for part in parts:
-        key, equals, value = part.partition("=")
-        if not equals:
-            raise WireError(f"bad setting {part!r}")
-        pairs[key] = value
-
-    def num(key: str, default: float = 0.0) -> float:
-        try:
-            return number(pairs[key]) if key in pairs else default
-        except WireError as error:
-            raise WireError(f"{key}: {error}") from None
-
-    def yes(key: str) -> bool:
-        return pairs.get(key, "false") in ("true", "1")
-
-    classes = tuple(
-        api.RequestClass(
-            name=pairs.get(f"grades.{i}.name", ""),
-            latency_objective_ms=num(f"grades.{i}.objective_ms"),
-            deadline_ms=num(f"grades.{i}.deadline_ms"),
-            priority_weight=num(f"grades.{i}.worth", 1.0),
-            late_priority_weight=num(f"grades.{i}.late_worth"),
-            idempotency=choice(
-                Idempotency,
-                pairs.get(f"grades.{i}.effect", "safe"),
-                f"classes[{pairs.get(f'grades.{i}.name', '')}].effect",
-                "safe, keyed or unsafe",
-            ),
-            key_scope=choice(
-                KeyScope,
-                pairs.get(f"grades.{i}.key_scope", "all"),
-                f"classes[{pairs.get(f'grades.{i}.name', '')}].key_scope",
-                "all, zone or cell",
-            ),
-            idempotency_window_ms=num(f"grades.{i}.window_ms"),
-            streaming=yes(f"grades.{i}.stream"),
-        )
-        for i in range(int(num("grades.count")))
-    )
-    plans = tuple(
-        api.Plan(
-            name=pairs.get(f"packages.{i}.name", ""),
-            rate=num(f"packages.{i}.refill"),
-            burst=num(f"packages.{i}.burst"),
-            priority_weight=num(f"packages.{i}.worth_factor", 1.0),
-            over_quota_weight=num(f"packages.{i}.over_worth"),
-            over_quota_cost=num(f"packages.{i}.over_cost"),
-            ceiling_rate=num(f"packages.{i}.ceiling_rate"),
-            ceiling_burst=num(f"packages.{i}.hard_burst"),
-            ceiling_tolerance=num(f"packages.{i}.tolerance"),
-            max_concurrency=int(num(f"packages.{i}.parallel")),
-        )
-        for i in range(int(num("packages.count")))
-    )
-    return api.Settings(
-        classes=classes,
-        plans=plans,
-        gateway_index=int(num("me")),
-        fleet_size=int(num("fleet_size", 1)),
-        zone=pairs.get("zone", ""),
-        max_attempts=int(num("bounds.try_limit", 1)),
-        hedging_allowed=yes("bounds.second_copies"),
-        cancellation_allowed=yes("bounds.cancel"),
-        max_retry_after_ms=num("bounds.max_retry_after_ms"),
-        health_checks_allowed=yes("bounds.probing"),
-        gossip_allowed=yes("bounds.peers"),
-        must_subscribe=pairs.get("membership_mode", "pushed") == "on_request",
-        counter_available=yes("family_info.may_count"),
-        counter_timeout_ms=num("family_info.count_wait_ms", 50.0),
-        max_request_units=num("family_info.most_units") or math.inf,
-        actual_units_reported=yes("family_info.trued_up"),
-        usage_period_ms=num("family_info.use_period_ms"),
-        clock_resolution_ms=num("tick_ms", 1.0),
-        answer_slack_ms=num("rules.answer_slack_ms"),
-        drain_grace_ms=num("rules.stop_sending_within_ms"),
-        slow_start_min_share=num("rules.cold_from", 1.0),
-        slow_start_ms=num("rules.cold_ms"),
-        overload_multiple=num("rules.fall_multiple", 1.0),
-        overload_after_ms=num("rules.tip_after_ms"),
-    )
+def parse_endpoint(parts: list[str]) -> api.Endpoint:
+    """One entry of an endpoint list, split at single spaces.
 
-
-def server(parts: list[str]) -> api.Endpoint:
-    """One entry of a list of servers."""
-    if len(parts) != 8 or parts[0] != "M":
-        raise WireError("a list entry needs M and 7 values")
-    if parts[5] not in set(HostStatus):
-        raise WireError(f"unknown status {parts[5]!r}")
+    Raises:
+        WireFormatError: a value is missing or malformed.
+    """
+    if len(parts) != 8 or parts[0] != ENDPOINT_TAG:
+        raise WireFormatError("a list entry needs M and 7 values")
+    _, name, zone, _, cell, status, capacity, started_at_ms = parts
+    if status not in set(HostStatus):
+        raise WireFormatError(f"unknown status {status!r}")
     return api.Endpoint(
-        parts[1], parts[2], integer(parts[4]), HostStatus(parts[5]), number(parts[6]), number(parts[7])
+        name,
+        zone,
+        parse_int(cell),
+        HostStatus(status),
+        parse_float(capacity),
+        parse_float(started_at_ms),
     )
 
 
-def _open(f: list[str]) -> Open:
-    return Open(integer(f[0]), settings(f[1:]))
+# --- Events: each reader gets the values that follow the instance's name ---
 
 
-def _request(f: list[str]) -> api.Request:
+def _instance_opened(values: list[str]) -> InstanceOpened:
+    seed = parse_int(values[0])
+    pairs: dict[str, str] = {}
+    for pair in values[1:]:
+        path, equals, value = pair.partition("=")
+        if not equals:
+            raise WireFormatError(f"bad setting {pair!r}")
+        pairs[path] = value
+    try:
+        return InstanceOpened(seed, parse_settings(pairs))
+    except NumberFormatError as error:
+        raise WireFormatError(str(error)) from None
+
+
+def _instance_closed(values: list[str]) -> InstanceClosed:
+    return InstanceClosed()
+
+
+def _request(values: list[str]) -> api.Request:
+    request_id, class_name, plan_name, customer, time_left_ms, units, replicas, first_replica, flags = values
     return api.Request(
-        f[0],
-        f[1],
-        f[2],
-        f[3],
-        number(f[4]),
-        number(f[5]),
-        integer(f[6]),
-        integer(f[7]),
-        bool(integer(f[8]) & 2),
+        request_id,
+        class_name,
+        plan_name,
+        customer,
+        parse_float(time_left_ms),
+        parse_float(units),
+        parse_int(replicas),
+        parse_int(first_replica),
+        bool(parse_int(flags) & RETRY_FLAG),
     )
 
 
-def _outcome(f: list[str]) -> api.AttemptEnded:
+def _attempt_ended(values: list[str]) -> api.AttemptEnded:
+    request_id, attempt, host, result, elapsed_ms, final, usage_percent, actual_units, load_report = values
     return api.AttemptEnded(
-        f[0],
-        integer(f[1]),
-        f[2],
-        one_of(RESULTS, f[3]),
-        number(f[4]),
-        flag(f[5]),
-        number(f[6]),
-        number(f[7]),
-        report(f[8]),
+        request_id,
+        parse_int(attempt),
+        host,
+        parse_member(ATTEMPT_RESULTS, result),
+        parse_float(elapsed_ms),
+        parse_flag(final),
+        parse_float(usage_percent),
+        parse_float(actual_units),
+        parse_load_report(load_report),
     )
 
 
-def _peer(f: list[str]) -> api.GossipMessage:
+def _gossip_message(values: list[str]) -> api.GossipMessage:
+    sender, data = values
     try:
-        return api.GossipMessage(integer(f[0]), bytes.fromhex("" if f[1] == "-" else f[1]))
+        return api.GossipMessage(parse_int(sender), bytes.fromhex("" if data == ABSENT else data))
     except ValueError:
-        raise WireError(f"bad bytes {f[1]!r}") from None
+        raise WireFormatError(f"bad bytes {data!r}") from None
+
+
+def _health_check_reply(values: list[str]) -> api.HealthCheckReply:
+    elapsed_ms, host, result, load_report = values
+    return api.HealthCheckReply(
+        host,
+        parse_member(ATTEMPT_RESULTS, result),
+        parse_float(elapsed_ms),
+        parse_load_report(load_report),
+    )
+
+
+def _client_disconnected(values: list[str]) -> api.ClientDisconnected:
+    return api.ClientDisconnected(values[0])
+
 
+def _response_started(values: list[str]) -> api.ResponseStarted:
+    request_id, attempt, _, _ = values
+    return api.ResponseStarted(request_id, parse_int(attempt))
 
-# Message name: number of values after the instance (None: any), and how to read them.
-READERS: dict[str, tuple[int | None, Callable[[list[str]], object]]] = {
-    "OPEN_INSTANCE": (None, _open),
+
+def _timer_fired(values: list[str]) -> api.TimerFired:
+    return api.TimerFired(values[0])
+
+
+def _counter_reply(values: list[str]) -> api.CounterReply:
+    total, result, elapsed_ms, name = values
+    return api.CounterReply(
+        name, parse_member(ATTEMPT_RESULTS, result), parse_float(total), parse_float(elapsed_ms)
+    )
+
+
+# By message name: the number of values after the instance (None: one or more), and their reader.
+EVENT_READERS: dict[str, tuple[int | None, Callable[[list[str]], WireEvent]]] = {
+    "OPEN_INSTANCE": (None, _instance_opened),
     "REQ": (9, _request),
-    "ENDED": (9, _outcome),
-    "INBOX": (2, _peer),
-    "DETACH": (0, lambda f: Close()),
-    "PROBE_DONE": (
-        4,
-        lambda f: api.HealthCheckReply(f[1], one_of(RESULTS, f[2]), number(f[0]), report(f[3])),
-    ),
-    "CLIENT_LEFT": (1, lambda f: api.ClientDisconnected(f[0])),
-    "HEAD_RECEIVED": (4, lambda f: api.ResponseStarted(f[0], integer(f[1]))),
-    "TICK_DUE": (1, lambda f: api.TimerFired(f[0])),
-    "COUNTER_REPLY": (4, lambda f: api.CounterReply(f[3], one_of(RESULTS, f[1]), number(f[0]), number(f[2]))),
+    "ENDED": (9, _attempt_ended),
+    "INBOX": (2, _gossip_message),
+    "DETACH": (0, _instance_closed),
+    "PROBE_DONE": (4, _health_check_reply),
+    "CLIENT_LEFT": (1, _client_disconnected),
+    "HEAD_RECEIVED": (4, _response_started),
+    "TICK_DUE": (1, _timer_fired),
+    "COUNTER_REPLY": (4, _counter_reply),
 }
 
 
-def event(parts: list[str]) -> object:
-    """One event line, split at single spaces, as an event of the interface (or Open, Close)."""
+def parse_event(parts: list[str]) -> WireEvent:
+    """The event of one line, split at single spaces.
+
+    Raises:
+        WireFormatError: the line is malformed.
+        ValueError: settings have a value that is none of its choices.
+    """
     name = parts[0]
-    if name not in READERS:
-        raise WireError(f"unknown message {name!r}")
-    count, reader = READERS[name]
+    if name not in EVENT_READERS:
+        raise WireFormatError(f"unknown message {name!r}")
+    count, reader = EVENT_READERS[name]
     values = parts[2:]
     if len(parts) < 2 or (count is None and not values) or (count is not None and len(values) != count):
-        raise WireError(f"{name}: wrong number of values")
+        raise WireFormatError(f"{name}: wrong number of values")
     return reader(values)
 
 
-def action(instance: str, act: api.Action) -> str:
-    """One action as a line."""
-    match act:
+def format_action(instance: str, action: api.Action) -> str:
+    """The line of one action."""
+    match action:
         case api.SendAttempt():
-            return f"DELIVER {instance} {act.request_id} {act.timeout_ms:.3f} {act.host}"
+            return f"DELIVER {instance} {action.request_id} {action.timeout_ms:.3f} {action.host}"
         case api.Reject():
-            return f"REFUSE {instance} {act.request_id} {act.retry_after_ms:.3f}"
+            return f"REFUSE {instance} {action.request_id} {action.retry_after_ms:.3f}"
         case api.Fail():
-            return f"GIVE_UP {instance} {act.request_id}"
+            return f"GIVE_UP {instance} {action.request_id}"
         case api.CancelAttempt():
-            return f"UNDO_SEND {instance} {act.request_id} {act.attempt}"
+            return f"UNDO_SEND {instance} {action.request_id} {action.attempt}"
         case api.SetTimer():
-            return f"AFTER {instance} {act.delay_ms:.3f} {act.name}"
+            return f"AFTER {instance} {action.delay_ms:.3f} {action.name}"
         case api.IncrementCounter():
-            return f"ADD {instance} {act.name} {act.amount:g} {act.retention_ms:.3f}"
+            return f"ADD {instance} {action.name} {action.amount:g} {action.retention_ms:.3f}"
         case api.Subscribe():
             return f"OBSERVE {instance} 1"
         case api.Log():
-            return f"NOTE_DOWN {instance} {' '.join(act.text.split())}"
-    raise TypeError(f"not an action: {act!r}")
+            return f"NOTE_DOWN {instance} {single_line(action.text)}"
+    raise TypeError(f"not an action: {action!r}")
+
+
+def format_failure(instance: str, error: Exception) -> str:
+    """The line that reports that an instance's decision module failed."""
+    return f"BROKEN {instance} {type(error).__name__}: {single_line(str(error))}"
+
+
+def single_line(text: str) -> str:
+    """The text with single spaces in place of all white space."""
+    return " ".join(text.split())
--- a/tests/decision/playback.py
+++ b/tests/decision/playback.py
@@ -10,7 +10,7 @@
 from decision.event_stream import INSTANCE, EventStream, Recording
 
 from hillmux import interface as api
-from hillmux.simulator.adapter import Host
+from hillmux.simulator.adapter import SimulatorAdapter
 
 SEEDS = tuple(range(901, 913))
 EVENTS = 9000
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         self.lines: list[str] = []
-        self.adapter = Host(self._feed(), io.StringIO())
+        self.adapter = SimulatorAdapter(self._feed(), io.StringIO())
 
     def _feed(self) -> Iterator[str]:
         while True:
@@ -30,7 +30,7 @@
     def batch(self, now_ms: float, lines: list[str]) -> list[str]:
         """Play the lines of one batch, and return the reply."""
         self.lines = [line + "\n" for line in (*lines, "END")]
-        return self.adapter.batch(now_ms)
+        return self.adapter.answer_batch(now_ms)
 
     def inject(self, now_ms: float, name: str, rng: random.Random) -> list[str]:
         """Deliver an event that has no line on the simulator's wire."""
