--- a/tests/test_wire.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter by transcript: good batches, bad lines, odd splits, the README's example."""
+"""The simulator's adapter by transcript: good batches, malformed lines, the example of the docs."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
-SETUP = (
+ROOT = Path(__file__).parents[2]
+SETTINGS = (
     "bounds.try_limit=4 bounds.cancel=true bounds.retry_after=true bounds.max_retry_after_ms=1000 "
     "family_info.may_count=true family_info.count_wait_ms=30 fleet_size=3 "
     "grades.count=1 grades.0.name=read grades.0.objective_ms=1000 grades.0.deadline_ms=4000 "
@@ -23,9 +23,9 @@
 )
 
 
-def opening(*names: str) -> str:
+def open_instances(*names: str) -> str:
     lines = ["BATCH 1000.0"]
-    lines += [f"OPEN_INSTANCE {n} {7 + i} me={i} {SETUP}" for i, n in enumerate(names)]
+    lines += [f"OPEN_INSTANCE {n} {7 + i} me={i} {SETTINGS}" for i, n in enumerate(names)]
     lines += ["CATALOG 0 2", "M 10.0.0.1:80 a std 0 up 1 -", "M 10.0.0.2:80 b std 1 up 1 -"]
     lines += [f"DIRECTORY_UPDATE {n} Persisted 1 0" for n in names]
     return "\n".join([*lines, "END", ""])
@@ -35,7 +35,7 @@
     return "\n".join([f"BATCH {now}", *lines, "END", ""])
 
 
-def run(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+def run_adapter(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     env = {**os.environ, "PYTHONHASHSEED": hash_seed}
     return subprocess.run(
         [sys.executable, "-m", "hillmux.simulator.adapter"],
@@ -48,29 +48,31 @@
     )
 
 
-def req(name: str, rid: str, customer: str = "key:c") -> str:
-    return f"REQ {name} {rid} read basic {customer} 4000.0 1 3 0 0"
+def request(name: str, request_id: str, customer: str = "key:c") -> str:
+    return f"REQ {name} {request_id} read basic {customer} 4000.0 1 3 0 0"
 
 
-def test_a_day_in_four_batches() -> None:
-    done = run("BATCH 900\nEND\n" + opening("gateway/0") + batch(1010, req("gateway/0", "r-a")))
+def test_request_waits_for_the_counter_and_is_sent_to_a_host() -> None:
+    done = run_adapter(
+        "BATCH 900\nEND\n" + open_instances("gateway/0") + batch(1010, request("gateway/0", "r-a"))
+    )
     assert done.returncode == 0 and done.stderr == ""
     lines = done.stdout.splitlines()
     assert lines[0] == "OK" and lines.count("OK") == 3
     name = re.search(r"ADD gateway/0 (\S+) \S+ \S+", done.stdout)
     assert name and name[1].isascii() and len(name[1]) <= 64
-    again = run(
+    again = run_adapter(
         "BATCH 900\nEND\n"
-        + opening("gateway/0")
-        + batch(1010, req("gateway/0", "r-a"))
+        + open_instances("gateway/0")
+        + batch(1010, request("gateway/0", "r-a"))
         + batch(1014, f"COUNTER_REPLY gateway/0 1 Ok 2.15 {name[1]}")
     )
     sent = re.search(r"DELIVER gateway/0 r-a ([\d.]+) (10\.0\.0\.\d:80)", again.stdout)
     assert sent and 0 < float(sent[1]) <= 1000
-    served = run(
+    served = run_adapter(
         "BATCH 900\nEND\n"
-        + opening("gateway/0")
-        + batch(1010, req("gateway/0", "r-a"))
+        + open_instances("gateway/0")
+        + batch(1010, request("gateway/0", "r-a"))
         + batch(1014, f"COUNTER_REPLY gateway/0 1 Ok 2.15 {name[1]}")
         + batch(
             1100,
@@ -99,45 +101,48 @@
         "",
     ],
 )
-def test_malformed_lines_end_it_with_one_plain_line(line: str) -> None:
-    done = run(opening("gateway/0") + f"BATCH 1010\n{line}\nEND\n")
+def test_malformed_line_ends_the_adapter_with_one_line_that_names_it(line: str) -> None:
+    done = run_adapter(open_instances("gateway/0") + f"BATCH 1010\n{line}\nEND\n")
     assert done.returncode not in (0, 1)
     assert re.fullmatch(r"line \d+: .+\n", done.stderr)
     assert "Traceback" not in done.stderr
     assert done.stdout.endswith("OK\n") and done.stdout.count("OK") == 1
 
 
-def test_truncated_input() -> None:
-    for text in (opening("gateway/0") + "BATCH 1010\nREQ gate", opening("gateway/0") + "BATCH 1010\n"):
-        done = run(text)
+def test_truncated_input_ends_the_adapter() -> None:
+    for text in (
+        open_instances("gateway/0") + "BATCH 1010\nREQ gate",
+        open_instances("gateway/0") + "BATCH 1010\n",
+    ):
+        done = run_adapter(text)
         assert done.returncode != 0 and done.stderr.count("\n") == 1
 
 
-def test_a_module_that_breaks_is_reported_for_its_instance() -> None:
-    done = run("BATCH 1\nOPEN_INSTANCE gateway/0 5 fleet_size=0 grades.count=0\nEND\n")
+def test_failure_of_a_gateway_is_reported_for_its_instance() -> None:
+    done = run_adapter("BATCH 1\nOPEN_INSTANCE gateway/0 5 fleet_size=0 grades.count=0\nEND\n")
     assert done.returncode == 0
     assert done.stdout == "BROKEN gateway/0 ValueError: classes: found none, expected at least one\nOK\n"
 
 
-def script(*names: str) -> str:
-    text = opening(*names)
+def transcript(*names: str) -> str:
+    text = open_instances(*names)
     for step in range(60):
         now = 30000 + 40 * step
-        lines = [req(n, f"r-{n[-1]}{step}", f"key:c{step % 7}") for n in names]
+        lines = [request(n, f"r-{n[-1]}{step}", f"key:c{step % 7}") for n in names]
         text += batch(now, *lines, *(f"TICK_DUE {n} sweep" for n in names))
     return text
 
 
-def test_same_actions_whatever_the_hash_seed_and_the_split() -> None:
-    together = run(script("gateway/0", "gateway/1")).stdout
+def test_actions_do_not_depend_on_the_hash_seed_or_on_other_instances() -> None:
+    together = run_adapter(transcript("gateway/0", "gateway/1")).stdout
     assert together.count("DELIVER") + together.count("ADD") > 20
-    assert run(script("gateway/0", "gateway/1"), hash_seed="99").stdout == together
-    alone = run(script("gateway/0")).stdout.splitlines()
+    assert run_adapter(transcript("gateway/0", "gateway/1"), hash_seed="99").stdout == together
+    alone = run_adapter(transcript("gateway/0")).stdout.splitlines()
     mine = [x for x in together.splitlines() if " gateway/0 " in x]
     assert mine == [x for x in alone if x != "OK"]
 
 
-def test_the_page_s_example_runs() -> None:
+def test_example_of_the_platform_page_runs() -> None:
     code = re.search(r"```python\n(.*?)```", (ROOT / "docs" / "platform.md").read_text(), re.S)
     assert code
     done = subprocess.run(
@@ -147,7 +152,7 @@
     assert done.stdout.splitlines()[-1] == "served by 10.0.0.1:80"
 
 
-def test_deploy_file_is_as_agreed() -> None:
+def test_deploy_file_names_every_decision_module_and_the_adapter() -> None:
     text = (ROOT / "deploy" / "balancer.toml").read_text()
     modules = [
         str(file.relative_to(ROOT))
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -16,8 +16,8 @@
 TESTS = (  # the decisions, the adapter, and the real program between scripted peers
     "tests/test_policy.py",
     "tests/test_fleet.py",
-    "tests/test_odd_events.py",
-    "tests/test_wire.py",
+    "tests/decision/test_arbitrary_events.py",
+    "tests/simulator/test_adapter.py",
     "tests/test_net.py",
     "tests/test_flows.py",
     "tests/test_discovery.py",
