--- a/hillmux/decision/admission.py
+++ b/hillmux/decision/admission.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from hillmux import interface as api
-from hillmux.decision.context import HOUSEKEEPING_INTERVAL_MS, DecisionContext
+from hillmux.decision.context import HOUSEKEEPING_INTERVAL_MS, DecisionContext, LogSubject
 from hillmux.decision.latency import LatencyEstimates
 from hillmux.decision.occupancy import MAX_OCCUPANCY, MIN_OCCUPANCY, OccupancyEstimator
 from hillmux.quotas.quotas import Quotas
@@ -116,7 +116,7 @@
         self._stagger_fractions()
         if self.admit_fraction < LOGGED_ADMIT_FRACTION:
             self._context.log_rate_limited(
-                "pressed",
+                LogSubject.OVERLOAD,
                 f"back end pressed: q {self._occupancy.smoothed:.2f}, letting in {self.admit_fraction:.0%}",
             )
 
--- a/hillmux/decision/context.py
+++ b/hillmux/decision/context.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+from enum import StrEnum
 from typing import Final
 
 from hillmux import interface as api
@@ -12,6 +13,14 @@
 LOG_INTERVAL_MS: Final = 5000.0  # between two lines of one subject
 
 
+class LogSubject(StrEnum):
+    """What a line of the log is about; lines of one subject are limited in rate."""
+
+    OVERLOAD = "overload"
+    COUNTER = "counter"
+    HOST_EJECTION = "host ejection"
+
+
 class DecisionContext:
     """State that several parts of the decision module read. Times are ms on the caller's clock."""
 
@@ -38,14 +47,14 @@
         self.stalled_at = -1.0  # moment at which the last stall of this process was noticed
         self.actions: list[api.Action] = []  # the answer to the event at hand
         self.pending: dict[str, PendingRequest] = {}  # by request id
-        self._logged_at: dict[str, float] = {}  # by subject
+        self._logged_at: dict[LogSubject, float] = {}
 
     def change(self, settings: api.Settings) -> None:
         """Replace the settings; plans stay as they are."""
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
 
-    def log_rate_limited(self, subject: str, text: str) -> None:
+    def log_rate_limited(self, subject: LogSubject, text: str) -> None:
         """Log a line, unless one of the same subject was logged a short time ago."""
         if self.now - self._logged_at.get(subject, -1e9) >= LOG_INTERVAL_MS:
             self._logged_at[subject] = self.now
--- a/hillmux/decision/host_health.py
+++ b/hillmux/decision/host_health.py
@@ -6,7 +6,7 @@
 
 from hillmux import interface as api
 from hillmux.balancing.fleet import Fleet, Host
-from hillmux.decision.context import DecisionContext
+from hillmux.decision.context import DecisionContext, LogSubject
 from hillmux.decision.latency import LatencyEstimates
 from hillmux.decision.request_state import PendingRequest
 from hillmux.interface import AttemptResult
@@ -51,4 +51,4 @@
 
     def _eject(self, host: Host) -> None:
         if self._fleet.down(host):
-            self._context.log_rate_limited("host", f"{host.name} fails: resting it")
+            self._context.log_rate_limited(LogSubject.HOST_EJECTION, f"{host.name} fails: resting it")
--- a/hillmux/decision/new_requests.py
+++ b/hillmux/decision/new_requests.py
@@ -8,7 +8,7 @@
 from hillmux.balancing.fleet import Fleet
 from hillmux.decision.admission import AdmissionControl
 from hillmux.decision.attempts import AttemptManager
-from hillmux.decision.context import HOUSEKEEPING_INTERVAL_MS, DecisionContext
+from hillmux.decision.context import HOUSEKEEPING_INTERVAL_MS, DecisionContext, LogSubject
 from hillmux.decision.latency import LatencyEstimates
 from hillmux.decision.request_state import PendingRequest
 from hillmux.decision.retries import RetryBudget
@@ -130,7 +130,7 @@
         quota = self._quotas.replied(reply)
         if self._quotas.throttle.answer_rate < SILENT_RATE:
             self._context.log_rate_limited(
-                "counter", "counter silent or crowded: calling less, quotas go by our estimates"
+                LogSubject.COUNTER, "counter silent or crowded: calling less, quotas go by our estimates"
             )
         if quota is not None:
             self.settle(quota)
--- a/hillmux/interface/__init__.py
+++ b/hillmux/interface/__init__.py
@@ -1,7 +1,6 @@
 """Interface of the decision module: its settings, the events it handles, the actions it answers with.
 
-Neutral: no decision is made here. Times are in milliseconds on the caller's clock, amounts of use in quota
-units.
+No decision is made here. Times are in milliseconds on the caller's clock, amounts of use in quota units.
 """
 
 from hillmux.interface.actions import (
--- a/hillmux/interface/events.py
+++ b/hillmux/interface/events.py
@@ -10,13 +10,13 @@
 from hillmux.interface.results import AttemptResult, ListKind
 from hillmux.interface.settings import Endpoint, Settings
 
-# Nobody changes an event or an action, but a frozen dataclass costs three times as much to create.
-# Events of every request write their `__init__` out: mypyc does not compile the one that dataclass generates.
+# Events and actions are not changed once they are made, but a frozen dataclass takes longer to create.
+# Those of every request write their `__init__` out: mypyc does not compile the one that dataclass generates.
 
 
 @dataclass(slots=True)
 class EndpointList:
-    """Discovery's word on the hosts: all of them, those that changed, or none where it could not be asked."""
+    """Hosts from discovery: all of them, those that changed, or none where discovery could not be asked."""
 
     kind: ListKind
     endpoints: tuple[Endpoint, ...] = ()
@@ -35,7 +35,7 @@
     replicas: int = 1  # gateways that this customer's requests may come through
     first_replica: int = 0  # index of the first of them
     is_retry: bool = False
-    pool: str = ""  # of the hosts that may serve it
+    pool: str = ""  # name of the host pool that may serve it
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True, init=False)
 class AttemptEnded:
-    """How one attempt ended; `final` is set once the request is finished."""
+    """How one attempt ended; `final` is set once the request has its answer."""
 
     request_id: str
     attempt: int
@@ -70,7 +70,7 @@
     result: AttemptResult
     elapsed_ms: float
     final: bool
-    usage_percent: float = 0.0  # 1 + the customer's metered use; 0: not reported
+    usage_percent: float = 0.0  # 1 + the customer's metered use in percent; 0: not reported
     actual_units: float = 0.0  # 0: not reported
     load_report: dict[str, float] = field(default_factory=dict)
 
@@ -122,8 +122,8 @@
 class CounterReply:
     """How one `IncrementCounter` ended.
 
-    With MALFORMED_RESPONSE it was answered, so added, but without a total; with CONNECTION_LOST its
-    connection broke while the call was open, and it may have been added.
+    With MALFORMED_RESPONSE the amount was added, but the total is not known; with CONNECTION_LOST it may have
+    been added.
     """
 
     name: str
@@ -144,7 +144,7 @@
 
 @dataclass(slots=True)
 class HostDisabled:
-    """An operator disables or enables a host. A disabled one counts as draining, whatever discovery says."""
+    """An operator has disabled or enabled a host; a disabled one drains, whatever discovery lists."""
 
     host: str
     disabled: bool
@@ -152,20 +152,20 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """New settings. Open requests keep the class, and the number of attempts, that they began with."""
+    """New settings; open requests keep the class and the number of attempts that they began with."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class DrainStarted:
-    """This process ends soon without a successor: units that it leased ahead of use are returned."""
+    """This process ends soon, without a successor: it returns the units that it leased ahead of use."""
 
 
 @dataclass(slots=True)
 class TakenOver:
-    """Another process of this gateway decides from now on and owns its part of ceilings; or, where
-    `by_successor` is false, it ended before it did."""
+    """A successor of this process decides from now on and owns this gateway's part of ceilings; where
+    `by_successor` is false, it has ended before it did, and this process goes on."""
 
     by_successor: bool
 
--- a/hillmux/interface/results.py
+++ b/hillmux/interface/results.py
@@ -10,7 +10,7 @@
 
 
 class RejectReason(StrEnum):
-    """Why a request is rejected before any attempt, or after attempts that surely never ran."""
+    """Why a request is rejected: before any attempt, or after attempts that certainly never ran."""
 
     QUOTA = "quota"
     CEILING = "ceiling"
@@ -34,17 +34,17 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "moot"
-    """Stopped before its first byte: the request was no longer wanted, or its host began to drain."""
+    """Stopped before its first byte: the request had been answered, or its host was draining."""
     MALFORMED_RESPONSE = "spoilt"
-    """A response that cannot be parsed: it may have run, and says little of the host."""
+    """The response could not be parsed: the request may have run, and the host may be healthy."""
     STALE_CONNECTION = "stale"
-    """A kept connection was reset by its next request: it may have run, the host is no worse."""
+    """An idle connection was reset on reuse: the request may have run, and the host may be healthy."""
     INCOMPLETE_REQUEST = "unsent"
-    """The connection broke before the last byte was written: it never ran."""
+    """The connection broke before the last byte was written: the request never ran."""
     CONNECTION_LOST = "cut"
-    """The connection broke under a counter call: it may have been added, the counter may be well."""
+    """The connection broke during a counter call: the amount may have been added."""
     LOCAL_LIMIT = "no_room"
-    """A limit of this gateway kept it from being sent: it says nothing of the host."""
+    """A limit of this gateway kept the request from being sent, which says nothing of the host."""
 
 
 class Idempotency(StrEnum):
@@ -77,12 +77,12 @@
 
     FULL = "full"
     CACHED = "kept"
-    """The whole list as it was stored earlier, not discovery's word of now."""
+    """The whole list as it was stored earlier, not as discovery has it now."""
     CHANGES = "changes"
     FAILED = "failed"
 
 
-# An attempt with one of these results surely never ran at its host.
+# An attempt with one of these results certainly never ran at its host.
 NEVER_EXECUTED: Final = frozenset(
     (
         AttemptResult.QUEUE_FULL,
@@ -92,7 +92,7 @@
         AttemptResult.LOCAL_LIMIT,
     )
 )
-# One with these never arrived there either, and took nothing of a quota or a ceiling.
+# With one of these it never reached the host either, and used nothing of a quota or a ceiling.
 NEVER_DELIVERED: Final = frozenset(
     (AttemptResult.NOT_SENT, AttemptResult.INCOMPLETE_REQUEST, AttemptResult.LOCAL_LIMIT)
 )
--- a/hillmux/interface/settings.py
+++ b/hillmux/interface/settings.py
@@ -1,4 +1,4 @@
-"""What a gateway is told when it starts, and the hosts that discovery lists.
+"""Settings of a gateway, and the hosts that discovery lists.
 
 Every time is in milliseconds on the caller's clock, every amount of use in quota units.
 """
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a gateway is told when it starts."""
+    """Settings of one gateway."""
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...] = ()
@@ -60,14 +60,14 @@
     must_subscribe: bool = False  # the endpoint list comes on request only
     counter_available: bool = False
     max_request_units: float = math.inf
-    max_customers: int = 8192  # bounds the memory that a flood of new names may take
+    max_customers: int = 8192  # known at once: bounds the memory that a flood of new names takes
     counter_timeout_ms: float = 50.0
     actual_units_reported: bool = False
     usage_period_ms: float = 0.0
     clock_resolution_ms: float = 1.0
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
-    slow_start_min_share: float = 1.0  # of its capacity, that a host bears at its start
+    slow_start_min_share: float = 1.0  # of its capacity that a host can serve at its start
     slow_start_ms: float = 0.0
     overload_multiple: float = 1.0
     overload_after_ms: float = 0.0
@@ -149,5 +149,5 @@
     cell: int = 0
     status: HostStatus = HostStatus.UP
     capacity: float = 1.0
-    started_at_ms: float = 0.0  # 0: a long time ago
-    pool: str = ""  # it serves the requests that name this pool, and no others
+    started_at_ms: float = 0.0  # 0: long ago, it needs no slow start
+    pool: str = ""  # it serves requests that name this pool, and no others
--- a/tests/decision/test_answers.py
+++ b/tests/decision/test_answers.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import dataclasses
 import random
 
 import pytest
@@ -12,6 +13,16 @@
 from hillmux.interface import NEVER_EXECUTED, AttemptResult, HostStatus, ListKind
 
 
+@dataclasses.dataclass
+class SentAttempt:
+    """An attempt as the test saw it."""
+
+    host: str
+    sent_at: float
+    may_have_run: bool = True
+    open: bool = True
+
+
 def count_answers(d: Driver, request_id: str, served: set[str]) -> int:
     finals = sum(1 for _, a in d.log if isinstance(a, api.Reject | api.Fail) and a.request_id == request_id)
     return finals + (request_id in served)
@@ -32,7 +43,7 @@
         AttemptResult.RESET,
     ]
     asked: dict[str, str] = {}
-    attempts: dict[str, list[list]] = {}  # [server, may have run, sent, open]
+    attempts: dict[str, list[SentAttempt]] = {}
     status = {f"h{i}": HostStatus.UP for i in range(6)}
 
     def note(out: list[api.Action]) -> None:
@@ -40,21 +51,22 @@
             if isinstance(action, api.SendAttempt):
                 request_class = asked[action.request_id]
                 past = attempts.setdefault(action.request_id, [])
-                risky = [a for a in past if a[1]]
+                risky = [attempt for attempt in past if attempt.may_have_run]
                 assert status[action.host] == HostStatus.UP, "sent to a drained host"
                 assert count_answers(d, action.request_id, served) == 0, "sent after the final answer"
                 assert action.timeout_ms > 0
-                assert hedging or not any(a[3] for a in past)
+                assert hedging or not any(attempt.open for attempt in past)
                 assert request_class != "pay" or not risky, "unsafe sent twice"
                 if request_class == "put" and risky:
                     zone = {f"h{i}": "ab"[i % 2] for i in range(6)}
-                    assert all(zone[a[0]] == zone[action.host] for a in risky)
-                    assert d.now - risky[0][2] < 3000
-                past.append([action.host, True, d.now, True])
+                    assert all(zone[attempt.host] == zone[action.host] for attempt in risky)
+                    assert d.now - risky[0].sent_at < 3000
+                past.append(SentAttempt(action.host, d.now))
                 open_attempts[(action.request_id, len(past) - 1)] = d.now + action.timeout_ms
             elif isinstance(action, api.Reject):
                 request_class = asked[action.request_id]
-                assert request_class == "read" or not any(a[1] for a in attempts.get(action.request_id, []))
+                past = attempts.get(action.request_id, [])
+                assert request_class == "read" or not any(attempt.may_have_run for attempt in past)
 
     for step in range(700):
         d.now += rng.expovariate(1 / 15)
@@ -68,13 +80,15 @@
             key = pick[0] if due else rng.choice(pick)
             del open_attempts[key]
             result = AttemptResult.TIMED_OUT if due else rng.choice(results)
-            record = attempts[key[0]][key[1]]
-            record[1], record[3] = result not in NEVER_EXECUTED, False
+            attempt = attempts[key[0]][key[1]]
+            attempt.may_have_run, attempt.open = result not in NEVER_EXECUTED, False
             done = count_answers(d, key[0], served) > 0
             if result == AttemptResult.OK and not done:
                 served.add(key[0])
             final = done or result == AttemptResult.OK
-            note(d.give(api.AttemptEnded(key[0], key[1], record[0], result, d.now - record[2], final)))
+            note(
+                d.give(api.AttemptEnded(key[0], key[1], attempt.host, result, d.now - attempt.sent_at, final))
+            )
         if step % 40 == 0:
             name = rng.choice(sorted(status))
             status[name] = rng.choice([HostStatus.UP, HostStatus.DRAINING])
@@ -83,14 +97,14 @@
     while open_attempts:
         key = min(open_attempts)
         del open_attempts[key]
-        record = attempts[key[0]][key[1]]
-        record[1], record[3] = True, False
+        attempt = attempts[key[0]][key[1]]
+        attempt.may_have_run, attempt.open = True, False
         note(
             d.give(
                 api.AttemptEnded(
                     key[0],
                     key[1],
-                    record[0],
+                    attempt.host,
                     AttemptResult.TIMED_OUT,
                     1000,
                     count_answers(d, key[0], served) > 0,
