--- a/tests/crossings/test_sending.py
+++ b/tests/crossings/test_sending.py
@@ -16,10 +16,9 @@
 
 from hillmux import interface as api
 from hillmux.interface import AttemptResult, ListKind
-from hillmux.net import core as core_module
-from hillmux.net.core import GatewayCore
-from hillmux.net.counter import CONNECTIONS, HttpCounterClient
-from hillmux.net.discovery import parse_discovery_response
+from hillmux.net.counter_client import CONNECTIONS, HttpCounterClient
+from hillmux.net.discovery_response import parse_discovery_response
+from hillmux.net.gateway_core import GatewayCore
 from hillmux.net.streaming import FlowServer
 
 LONG_MS = 5000.0
@@ -73,7 +72,7 @@
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
         dials = core.upstreams.loop = HeldDials(core.loop)
-        core.upstreams._dial_timeout_s = 10.0
+        core.upstreams.dialer.timeout_s = 10.0
         script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
         core.request(Answers(), an_order())
         await dials.asked.wait()
@@ -146,13 +145,13 @@
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
         dials = core.upstreams.loop = HeldDials(core.loop)
-        core.upstreams._dial_timeout_s = 10.0
+        core.upstreams.dialer.timeout_s = 10.0
         script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS, LONG_MS if recalled else 20.0)]
         core.request(Answers(), an_order())
         await dials.asked.wait()
         attempt = core.requests["r1"].attempts[0]
         assert attempt is not None
-        while not recalled and core_module.time.monotonic() < attempt.delivery_deadline:
+        while not recalled and time.monotonic() < attempt.delivery_deadline:
             await asyncio.sleep(0.001)
         dials.go.set()
         while not script.outcomes():
@@ -186,7 +185,7 @@
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
         dials = core.upstreams.loop = HeldDials(core.loop)
-        core.upstreams._dial_timeout_s = 10.0
+        core.upstreams.dialer.timeout_s = 10.0
         script.plan[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
         core.request(Answers(), an_order())
         await dials.asked.wait()
@@ -273,8 +272,8 @@
             assert host.opened == opened
             await asyncio.sleep(0.02)
             if serial == 2:  # no sweep comes: the core was not started
-                for connection in core.upstreams._idle:
-                    connection.idle_since -= core.upstreams._idle_timeout_s
+                for connection in core.upstreams.idle.oldest_first:
+                    connection.idle_since -= core.upstreams.idle.timeout_s
         host.stop()
 
     on_loop(scenario, 5)
