--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -232,7 +232,7 @@
     def answer(self, *words: object, **named: object) -> None:
         """The one answer."""
 
-    def has_left(self, behind: bool) -> bool:
+    def has_disconnected(self, behind: bool) -> bool:
         """It waits for it."""
         return False
 
--- a/hillmux/net/counter_channel.py
+++ b/hillmux/net/counter_channel.py
@@ -10,8 +10,8 @@
 
 from hillmux import interface as api
 from hillmux.interface import AttemptResult
-from hillmux.net.http1 import Reply, ReplyProtocol, number
-from hillmux.net.lingering_close import unread
+from hillmux.net.http1 import Response, ResponseProtocol, parse_decimal
+from hillmux.net.lingering_close import has_unread_input
 
 DIAL_TIMEOUT_S: Final = 0.25
 MIN_BACKOFF_S: Final = 0.05
@@ -150,7 +150,7 @@
     def _dial_ended(self, connection: CounterConnection, task: asyncio.Task[Any]) -> None:
         failed = task.cancelled() or task.exception() is not None
         if failed:
-            connection.called_off()
+            connection.on_dial_failed()
         if task is self._dial and failed:
             self._dial = None
             self._stop_dial_timer()
@@ -166,7 +166,7 @@
         self._stop_dial_timer()
         self._connection = connection
         if self._retired:
-            connection.drop()
+            connection.abort()
             return
         # A call that timed out while it waited was reported as not added: it must not be written now.
         self._calls = deque(call for call in self._calls if not call.done)
@@ -196,11 +196,11 @@
         for call in self._calls:
             call.written = True
 
-    def replied(self, reply: Reply, reusable: bool) -> None:
+    def on_response(self, response: Response, reusable: bool) -> None:
         """The answer to the oldest call on the connection."""
         self._failures, self._last_reply_at = 0, self._loop.time()
-        total = number(reply.body.strip()) if reply.status == 200 else None
-        if total is None and reply.status not in STATUSES_NOTHING_ADDED:
+        total = parse_decimal(response.body.strip()) if response.status == 200 else None
+        if total is None and response.status not in STATUSES_NOTHING_ADDED:
             # An answer without a number: the call was added, but nothing that follows can be trusted.
             self.malformed_response()
             return
@@ -231,9 +231,9 @@
         A call that crosses the counter's close is cut, and may have been added or not.
         """
         idle = not self._calls and self._loop.time() - self._last_reply_at > IDLE_CHECK_AFTER_S
-        if idle and unread(connection.transport):
+        if idle and has_unread_input(connection.transport):
             self._connection = None
-            connection.drop()
+            connection.abort()
 
     def _check_silence(self) -> None:
         # The connections to a counter that is cut off from the network stay open and silent for good.
@@ -244,13 +244,13 @@
         if left_s > 0:
             self._silence_timer = self._loop.call_later(left_s, self._check_silence)
         else:
-            self._connection.drop()
+            self._connection.abort()
 
     def _drop(self) -> None:
         if self._connection is not None:
-            self._connection.drop()
+            self._connection.abort()
 
-    def lost(self, connection: CounterConnection) -> None:
+    def on_connection_lost(self, connection: CounterConnection) -> None:
         """A connection is gone."""
         if connection is self._connection:
             self._connection = None
@@ -269,7 +269,7 @@
         self._end_all(AttemptResult.CONNECTION_LOST)
 
 
-class CounterConnection(ReplyProtocol):
+class CounterConnection(ResponseProtocol):
     """A connection to the counter, which reports to its channel."""
 
     def __init__(self, channel: CounterChannel) -> None:
@@ -286,14 +286,14 @@
         super().resume_writing()
         self._channel.flushed()
 
-    def replied(self, reply: Reply, reusable: bool) -> None:
+    def on_response(self, response: Response, reusable: bool) -> None:
         """An answer is complete; `reusable`: the connection may be written on again."""
-        self._channel.replied(reply, reusable)
+        self._channel.on_response(response, reusable)
 
-    def spoilt(self) -> None:
+    def on_malformed_response(self) -> None:
         """What arrived is no answer."""
         self._channel.malformed_response()
 
-    def lost(self) -> None:
+    def on_connection_lost(self) -> None:
         """The connection is gone."""
-        self._channel.lost(self)
+        self._channel.on_connection_lost(self)
--- a/hillmux/net/dialer.py
+++ b/hillmux/net/dialer.py
@@ -55,7 +55,7 @@
         error = None if task.cancelled() else task.exception()
         connection, attempt.dialled_connection = attempt.dialled_connection, None
         if connection is not None and (task.cancelled() or error is not None):
-            connection.called_off()
+            connection.on_dial_failed()
         if task.cancelled():
             self._pool.finish(attempt, AttemptResult.CONNECT_FAILED)
         elif error is not None:
--- a/hillmux/net/discovery_watch.py
+++ b/hillmux/net/discovery_watch.py
@@ -10,7 +10,7 @@
 from typing import Any, Final
 
 from hillmux.net.discovery_response import DiscoveryResponse, parse_discovery_response
-from hillmux.net.http1 import LONGEST_LIST, Reply, ReplyProtocol
+from hillmux.net.http1 import MAX_ENDPOINT_LIST_BYTES, Response, ResponseProtocol
 
 log = logging.getLogger(__name__)
 
@@ -69,7 +69,7 @@
         if self._dial is not None:
             self._dial.cancel()
         if self._connection is not None:
-            self._connection.drop()
+            self._connection.abort()
 
     def change_address(self, address: tuple[str, int]) -> None:
         """Watch at another address, from its full list on; the old list holds until that arrives."""
@@ -79,7 +79,7 @@
         if dial is not None:
             dial.cancel()
         if connection is not None:
-            connection.drop()
+            connection.abort()
         self._address, self._generation, self._failures = address, None, 0
         self._poll()
 
@@ -105,7 +105,7 @@
         failed = task.cancelled() or task.exception() is not None
         if task is not self._dial:  # the address has changed since
             if not failed:
-                task.result()[1].drop()
+                task.result()[1].abort()
             return
         self._dial = None
         if failed:
@@ -144,41 +144,41 @@
             self._dial.cancel()
         elif self._connection is not None:
             self._patient = not self._patient
-            self._connection.drop()
+            self._connection.abort()
 
-    def replied(self, connection: DiscoveryConnection, reply: Reply, reusable: bool) -> None:
+    def on_response(self, connection: DiscoveryConnection, response: Response, reusable: bool) -> None:
         """Poll again, then pass the answer on."""
         if connection is not self._connection:
             return
-        if reply.status != 200:
+        if response.status != 200:
             # A rejected call missed nothing, so changes are enough the next time, too: the full list is the
             # most expensive call, and discovery is overloaded already.
-            log.warning("discovery: status %d, the list is kept", reply.status)
-            connection.drop()
+            log.warning("discovery: status %d, the list is kept", response.status)
+            connection.abort()
             return
         try:
-            response = self._parse(reply)
+            response = self._parse(response)
         except ValueError as error:
             log.warning("discovery: bad answer, the list is kept: %s", error)
             self._generation = None  # the full list makes up for what was missed
-            connection.drop()
+            connection.abort()
             return
         self._failures, self._generation, self._patient = 0, response.generation, False
         self.catching_up = self._is_stalled()
         if not reusable:
             self._connection = None
-            connection.drop()
+            connection.abort()
         self._poll()  # before the list is put in force, so that the next call is not delayed by it
         self._on_response(response)
 
-    def _parse(self, reply: Reply) -> DiscoveryResponse:
-        response = parse_discovery_response(json.loads(reply.body))
+    def _parse(self, response: Response) -> DiscoveryResponse:
+        response = parse_discovery_response(json.loads(response.body))
         known = self._generation
         if not response.is_full and (known is None or response.generation < known):
             raise ValueError("changes to a list that was never sent")
         return response
 
-    def lost(self, connection: DiscoveryConnection) -> None:
+    def on_connection_lost(self, connection: DiscoveryConnection) -> None:
         """The agent closed or reset the connection."""
         if connection is self._connection:
             self._connection = None
@@ -196,21 +196,21 @@
         self._timer = self._loop.call_later(backoff_s, self._poll)
 
 
-class DiscoveryConnection(ReplyProtocol):
+class DiscoveryConnection(ResponseProtocol):
     """The connection to the agent."""
 
     def __init__(self, watch: DiscoveryWatch) -> None:
-        super().__init__(LONGEST_LIST)
+        super().__init__(MAX_ENDPOINT_LIST_BYTES)
         self._watch = watch
 
-    def replied(self, reply: Reply, reusable: bool) -> None:
+    def on_response(self, response: Response, reusable: bool) -> None:
         """Pass an answer to the watch."""
-        self._watch.replied(self, reply, reusable)
+        self._watch.on_response(self, response, reusable)
 
-    def spoilt(self) -> None:
-        """Log a malformed answer; `lost` follows."""
+    def on_malformed_response(self) -> None:
+        """Log a malformed answer; `on_connection_lost` follows."""
         log.warning("discovery: malformed answer, the list is kept")
 
-    def lost(self) -> None:
+    def on_connection_lost(self) -> None:
         """Report the end of the connection to the watch."""
-        self._watch.lost(self)
+        self._watch.on_connection_lost(self)
--- a/hillmux/net/gateway_core.py
+++ b/hillmux/net/gateway_core.py
@@ -13,11 +13,11 @@
 from hillmux import interface as api
 from hillmux.interface import AttemptResult, HostStatus, ListKind
 from hillmux.net.attempt import Attempt
-from hillmux.net.deadlines import TICK_S, Deadlines
+from hillmux.net.deadlines import TICK_S, TimingWheel
 from hillmux.net.discovery_response import DiscoveryResponse
 from hillmux.net.event_dispatcher import EventDispatcher
 from hillmux.net.forward_request import Client, ForwardRequest, OpenRequest, StreamingClient
-from hillmux.net.http1 import Reply
+from hillmux.net.http1 import Response
 from hillmux.net.loop_lag import LoopLagMonitor
 from hillmux.net.upstream_pool import UpstreamPool
 
@@ -52,7 +52,7 @@
         self.upstreams: UpstreamPool
         self.counter: CounterClient | None = None
         self.requests: dict[str, OpenRequest] = {}
-        self.deadlines = Deadlines(loop, self.deadline_reached)
+        self.deadlines = TimingWheel(loop, self.deadline_reached)
         self._client_request_ids: set[bytes] = set()  # of `requests`
         self.last_serial = 0  # of the requests that were accepted
         self.draining = False
@@ -105,10 +105,10 @@
         timer_s = (time_left_ms - DEADLINE_MARGIN_MS) / 1000
         request = OpenRequest(request_id, client, forward_request, now + timer_s, self.settings.max_attempts)
         self.requests[request_id] = request
-        if forward_request.upload is None:
+        if forward_request.streamed_body is None:
             request.deadline_slot = self.deadlines.add(request, max(timer_s - TICK_S, 0.0))
         else:
-            self.await_upload(request)
+            self.await_streamed_body(request)
         self._post_request(request, time_left_ms - DECISION_MARGIN_MS)
         return request_id
 
@@ -129,21 +129,21 @@
             )
         )
 
-    def left(self, request_id: str) -> None:
+    def client_disconnected(self, request_id: str) -> None:
         """The client of a request has disconnected."""
         request = self.requests.get(request_id)
         if request is not None and request.client is not None:
             self._detach_client(request)
             self.post(api.ClientDisconnected(request_id))
 
-    def broken(self, request_id: str, status: int) -> None:
+    def abort_request(self, request_id: str, status: int) -> None:
         """The rest of an accepted request will never arrive: answer it, and end its attempts."""
         request = self.requests.get(request_id)
         if request is not None and request.client is not None:
             self.answer(request, status)
             self.post(api.ClientDisconnected(request_id))
 
-    def await_upload(self, request: OpenRequest) -> None:
+    def await_streamed_body(self, request: OpenRequest) -> None:
         """Start the time of a request whose body is still arriving: it runs from the last byte on."""
         raise NotImplementedError
 
@@ -161,7 +161,7 @@
         self,
         request: OpenRequest | None,
         status: int,
-        reply: Reply | None = None,
+        reply: Response | None = None,
         retry_after_ms: float = 0.0,
     ) -> None:
         """Send the one final response; a second one is dropped."""
@@ -173,14 +173,14 @@
             self.pass_on_response(client, reply)
         elif request.streaming_attempt is not None:
             # Its head has been sent: the client must see that the response is incomplete.
-            cast(StreamingClient, client).cut()
+            cast(StreamingClient, client).abort_response()
         else:
             client.answer(status, retry_after_ms=retry_after_ms)
 
-    def pass_on_response(self, client: Client, reply: Reply) -> None:
+    def pass_on_response(self, client: Client, reply: Response) -> None:
         """Send a host's successful response to the client."""
-        if reply.flowed:
-            cast(StreamingClient, client).finish()
+        if reply.streamed:
+            cast(StreamingClient, client).finish_response()
         else:
             client.answer(reply.status, reply.body, reply.headers.get(b"content-type", b""))
 
@@ -230,21 +230,21 @@
             now + action.delivery_window_ms / 1000,
         )
         attempt.timeout_s = timeout_s
-        if forward_request.upload is not None:
-            attempt.upload = forward_request.upload
-            timeout_s = timeout_s if forward_request.upload.whole else time_left_s
+        if forward_request.streamed_body is not None:
+            attempt.streamed_body = forward_request.streamed_body
+            timeout_s = timeout_s if forward_request.streamed_body.complete else time_left_s
         request.attempts.append(attempt)
         request.open_attempts += 1
         self.upstreams.send(attempt, max(timeout_s, 0.0))
 
     @staticmethod
     def _may_send(request: OpenRequest, time_left_s: float) -> bool:
-        upload = request.forward_request.upload
+        upload = request.forward_request.streamed_body
         return (
             request.client is not None
             and time_left_s > 0
             and len(request.attempts) < request.max_attempts
-            and (upload is None or bool(upload.again()))
+            and (upload is None or bool(upload.can_replay()))
         )
 
     def _report_not_sent(self, action: api.SendAttempt, request: OpenRequest | None) -> None:
@@ -265,24 +265,24 @@
         # After a stall, or on a connection that waited to be accepted, a request is read before the end of
         # its connection that arrived long ago, and would be forwarded for nobody.
         now = time.monotonic()
-        return now < request.deadline and not request.client.has_left(self.loop_lag.lag_ms(now) > 0)
+        return now < request.deadline and not request.client.has_disconnected(self.loop_lag.lag_ms(now) > 0)
 
-    def attempt_ended(self, attempt: Attempt, result: AttemptResult, reply: Reply | None) -> None:
+    def attempt_ended(self, attempt: Attempt, result: AttemptResult, reply: Response | None) -> None:
         """Answer the request if the attempt succeeded, and report the outcome to the decision module."""
         request = self.requests[attempt.request_id]
         request.open_attempts -= 1
         now = time.monotonic()
         elapsed_ms = (now - attempt.sent_at) * 1000
         if reply is not None:
-            if reply.came_at:  # the transfer of a response in parts is no latency of the host
-                elapsed_ms -= (now - reply.came_at) * 1000
+            if reply.first_byte_at:  # the transfer of a response in parts is no latency of the host
+                elapsed_ms -= (now - reply.first_byte_at) * 1000
             lag_ms = self.loop_lag.lag_ms(now)
             elapsed_ms = max(elapsed_ms - lag_ms, 0.0)  # nor is the time it waited unread for the loop
             if lag_ms > STALE_ENDPOINTS_STALL_MS:
                 self.hold_events()
         units = 0.0
         if result == AttemptResult.OK and reply is not None:
-            units = reply.amount(b"billed-units", self.settings.max_request_units)
+            units = reply.positive_number(b"billed-units", self.settings.max_request_units)
             self.answer(request, reply.status, reply)
         elif request.streaming_attempt is attempt:
             self.answer(request, 502)
--- a/hillmux/net/platform_gateway.py
+++ b/hillmux/net/platform_gateway.py
@@ -10,7 +10,7 @@
 from hillmux import interface as api
 from hillmux.interface import ListKind
 from hillmux.net.attempt import Attempt
-from hillmux.net.clients import Server
+from hillmux.net.clients import Listener
 from hillmux.net.config import GatewayConfig
 from hillmux.net.counter_client import HttpCounterClient
 from hillmux.net.discovery_response import DiscoveryResponse
@@ -22,9 +22,14 @@
     STALE_ENDPOINTS_STALL_MS,
     GatewayCore,
 )
-from hillmux.net.http1 import Reply
+from hillmux.net.http1 import Response
 from hillmux.net.loop_lag import LoopLagMonitor
-from hillmux.net.streaming import UPLOAD_S, FlowConnection, FlowHostConnection, FlowHosts
+from hillmux.net.streaming import (
+    STREAMED_REQUEST_TIMEOUT_S,
+    StreamingClientConnection,
+    StreamingUpstreamConnection,
+    StreamingUpstreamPool,
+)
 
 UPSTREAM_SOCKET_SHARE: Final = 0.36  # of the process's sockets
 # How long a start waits for discovery before it serves with the list it was given. Discovery answers at once,
@@ -35,7 +40,7 @@
 class PlatformGateway(GatewayCore):
     """A gateway whose hosts come from discovery and whose counts go to the platform's counter."""
 
-    pool_class: ClassVar[type[FlowHosts]] = FlowHosts
+    pool_class: ClassVar[type[StreamingUpstreamPool]] = StreamingUpstreamPool
 
     def __init__(self, config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config.settings, config.seed, loop, LoopLagMonitor(loop))
@@ -47,7 +52,7 @@
             self.attempt_ended,
             self.is_wanted,
         )
-        self.streaming_pool.begun = self._response_started
+        self.streaming_pool.on_stream_started = self._response_started
         self.upstreams = self.streaming_pool
         self._discovery = DiscoveryWatch(
             loop,
@@ -102,7 +107,7 @@
             OSError: the address cannot be listened on.
         """
 
-    async def open(self, server: Server[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
+    async def open(self, server: Listener[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
         """Accept clients at an address; the addresses that are listened on.
 
         Raises:
@@ -139,12 +144,12 @@
 
     # Bodies and responses that are streamed
 
-    def await_upload(self, request: OpenRequest) -> None:
+    def await_streamed_body(self, request: OpenRequest) -> None:
         """Give a body that is still arriving its own time limit; the client's starts with its last byte."""
-        request.deadline = time.monotonic() + UPLOAD_S
-        request.forward_request.upload.came = partial(self._upload_complete, request)
+        request.deadline = time.monotonic() + STREAMED_REQUEST_TIMEOUT_S
+        request.forward_request.streamed_body.on_complete = partial(self._streamed_body_complete, request)
 
-    def _upload_complete(self, request: OpenRequest) -> None:
+    def _streamed_body_complete(self, request: OpenRequest) -> None:
         if request.client is None or request.streaming_attempt is not None:
             return
         time_left_ms = request.forward_request.time_left_ms - CLIENT_TRANSIT_MS - DEADLINE_MARGIN_MS
@@ -152,39 +157,39 @@
         request.deadline_slot = self.deadlines.add(request, max(time_left_ms / 1000, 0.0))
         for attempt in request.attempts:
             if attempt is not None:
-                self.streaming_pool.came(attempt)
+                self.streaming_pool.on_body_complete(attempt)
 
     def _response_started(
-        self, attempt: Attempt, reply: Reply, source: FlowHostConnection
-    ) -> FlowConnection | None:
+        self, attempt: Attempt, reply: Response, source: StreamingUpstreamConnection
+    ) -> StreamingClientConnection | None:
         request = self.requests[attempt.request_id]
-        client = cast(FlowConnection | None, request.client)
+        client = cast(StreamingClientConnection | None, request.client)
         if client is None:
             return None
         request.streaming_attempt = attempt
         self.deadlines.cancel(request, request.deadline_slot)
         self.post(api.ResponseStarted(request.id, attempt.number))
-        client.begin(reply, source)
+        client.start_response(reply, source)
         return client
 
-    def left(self, request_id: str) -> None:
+    def client_disconnected(self, request_id: str) -> None:
         """Also end attempts whose response is streamed or whose body is incomplete."""
         request = self.requests.get(request_id)
-        super().left(request_id)
+        super().client_disconnected(request_id)
         if request is not None:
             self._cancel_useless_attempts(request)
 
-    def broken(self, request_id: str, status: int) -> None:
+    def abort_request(self, request_id: str, status: int) -> None:
         """Also end attempts whose response is streamed or whose body is incomplete."""
         request = self.requests.get(request_id)
-        super().broken(request_id, status)
+        super().abort_request(request_id, status)
         if request is not None:
             self._cancel_useless_attempts(request)
 
     def _cancel_useless_attempts(self, request: OpenRequest) -> None:
         """End the attempts with a response that nobody reads, or with half a body."""
-        upload = request.forward_request.upload
-        if request.streaming_attempt is not None or (upload is not None and not upload.whole):
+        upload = request.forward_request.streamed_body
+        if request.streaming_attempt is not None or (upload is not None and not upload.complete):
             for attempt in request.attempts:
                 if attempt is not None:
                     self.upstreams.cancel(attempt)
--- a/tests/fakes/core.py
+++ b/tests/fakes/core.py
@@ -47,7 +47,7 @@
     ) -> None:
         self.got.put_nowait(status)
 
-    def has_left(self, behind: bool) -> bool:
+    def has_disconnected(self, behind: bool) -> bool:
         return False
 
 
--- a/tests/net/test_deadlines.py
+++ b/tests/net/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines: expiry, cancellation, and many that are due at once after a stall."""
+"""TimingWheel: expiry, cancellation, and many that are due at once after a stall."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hillmux.net.deadlines import AT_ONCE, TICK_S, Deadlines
+from hillmux.net.deadlines import MAX_EXPIRED_PER_TURN, TICK_S, TimingWheel
 
 
 class FakeLoop:
@@ -46,9 +46,9 @@
             self.loop.timers.remove(self)
 
 
-def create() -> tuple[FakeLoop, list[Any], Deadlines[Any]]:
+def create() -> tuple[FakeLoop, list[Any], TimingWheel[Any]]:
     loop, expired = FakeLoop(), []
-    return loop, expired, Deadlines(loop, expired.append)  # type: ignore[arg-type]
+    return loop, expired, TimingWheel(loop, expired.append)  # type: ignore[arg-type]
 
 
 def test_deadline_expires_once_and_in_time() -> None:
@@ -80,7 +80,7 @@
         assert len(loop.timers) <= 1
     assert loop.timers_created < 30 and len(deadlines._slots) <= 5.1 / TICK_S
     loop.run_once(10.0)
-    assert not expired and not deadlines._slots and not deadlines._numbers and not loop.timers
+    assert not expired and not deadlines._slots and not deadlines._slot_numbers and not loop.timers
 
 
 def test_deadlines_cancelled_after_a_stall_do_not_expire() -> None:
@@ -88,12 +88,12 @@
     loop, expired, deadlines = create()
     slots = {i: deadlines.add(i, 0.2) for i in range(1000)}
     loop.run_once(1.2)
-    assert len(expired) == AT_ONCE
+    assert len(expired) == MAX_EXPIRED_PER_TURN
     for i in range(900):
         deadlines.cancel(i, slots[i])  # their answers were read
     for _ in range(3):
         loop.run_once()
-    assert sorted(expired) == [*range(AT_ONCE), *range(900, 1000)] and not loop.timers
+    assert sorted(expired) == [*range(MAX_EXPIRED_PER_TURN), *range(900, 1000)] and not loop.timers
 
 
 def test_earlier_deadline_moves_the_timer_forward() -> None:
@@ -114,7 +114,7 @@
         if item == 1:
             raise RuntimeError("broken")
 
-    deadlines = Deadlines[int](loop, on_expired)  # type: ignore[arg-type]
+    deadlines = TimingWheel[int](loop, on_expired)  # type: ignore[arg-type]
     for i in range(3):
         deadlines.add(i, 0.1)
     with pytest.raises(RuntimeError):
@@ -131,7 +131,7 @@
         if item < 3:
             deadlines.add(item + 1, 0.0)
 
-    deadlines = Deadlines[int](loop, on_expired)  # type: ignore[arg-type]
+    deadlines = TimingWheel[int](loop, on_expired)  # type: ignore[arg-type]
     deadlines.add(0, 0.0)
     for _ in range(8):
         loop.run_once(TICK_S)
