--- a/hillmux/net/discovery_watch.py
+++ b/hillmux/net/discovery_watch.py
@@ -157,26 +157,26 @@
             connection.abort()
             return
         try:
-            response = self._parse(response)
+            endpoints = self._parse(response)
         except ValueError as error:
             log.warning("discovery: bad answer, the list is kept: %s", error)
             self._generation = None  # the full list makes up for what was missed
             connection.abort()
             return
-        self._failures, self._generation, self._patient = 0, response.generation, False
+        self._failures, self._generation, self._patient = 0, endpoints.generation, False
         self.catching_up = self._is_stalled()
         if not reusable:
             self._connection = None
             connection.abort()
         self._poll()  # before the list is put in force, so that the next call is not delayed by it
-        self._on_response(response)
+        self._on_response(endpoints)
 
     def _parse(self, response: Response) -> DiscoveryResponse:
-        response = parse_discovery_response(json.loads(response.body))
+        endpoints = parse_discovery_response(json.loads(response.body))
         known = self._generation
-        if not response.is_full and (known is None or response.generation < known):
+        if not endpoints.is_full and (known is None or endpoints.generation < known):
             raise ValueError("changes to a list that was never sent")
-        return response
+        return endpoints
 
     def on_connection_lost(self, connection: DiscoveryConnection) -> None:
         """The agent closed or reset the connection."""
--- a/tests/capacity/test_counting_faults.py
+++ b/tests/capacity/test_counting_faults.py
@@ -130,15 +130,15 @@
     seen: dict[int, list[float]] = {}
 
     def inspect(gateway: HollowGateway) -> None:
-        seen.setdefault(gateway.life, []).append(gateway.module.now)
+        seen.setdefault(gateway.life, []).append(gateway.module.context.now)
 
     faults = [ClockJump(2000.0, 0, 7000.0), ClockJump(0.0, 1, -5000.0)]
     fleet = FaultyFleet(BUSY, faults, inspect)
     fleet.run(3.0)
     for times in seen.values():
         assert times == sorted(times)
-    assert START_MS + 9900 < fleet.gateways[0].module.now <= START_MS + 10_000
-    assert START_MS - 2100 < fleet.gateways[1].module.now <= START_MS - 2000
+    assert START_MS + 9900 < fleet.gateways[0].module.context.now <= START_MS + 10_000
+    assert START_MS - 2100 < fleet.gateways[1].module.context.now <= START_MS - 2000
     with pytest.raises(ValueError, match="by_ms"):
         FaultyFleet(BUSY, [ClockJump(1.0, 0, -1.0)])
 
--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -14,10 +14,10 @@
 from hillmux.admin.commands import answer
 from hillmux.cli import main as command_line
 from hillmux.net import config as platform_config
-from hillmux.net.counter import request_bytes
-from hillmux.net.discovery import Discovery
-from hillmux.net.hosts import Attempt
-from hillmux.net.requests import Message, Terms, order
+from hillmux.net.attempt import Attempt
+from hillmux.net.counter_channel import request_bytes
+from hillmux.net.discovery_watch import DiscoveryWatch
+from hillmux.net.requests import RequestMessage, RequestRules, parse_request
 from hillmux.recovery.snapshotting_gateway import KeptNode
 
 
@@ -47,7 +47,7 @@
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     loop = asyncio.get_running_loop()
-    watch = Discovery(loop, ("127.0.0.1", port), lambda listing: None, generation, seed=5)
+    watch = DiscoveryWatch(loop, ("127.0.0.1", port), lambda listing: None, generation, seed=5)
     watch.start()
     await asyncio.wait_for(done.wait(), 10)
     watch.stop()
@@ -62,11 +62,11 @@
 
 @pytest.mark.parametrize("number", range(len(inputs.CLIENT_REQUESTS)))
 def test_attempt_has_the_same_bytes(number: int) -> None:
-    message = Message()
+    message = RequestMessage()
     message.method, message.url, headers, body = inputs.CLIENT_REQUESTS[number]
     message.headers = {**headers, b"quota-info": inputs.QUOTA_INFO}
-    message.body, message.size = [body], len(body)
-    found = order(message, Terms(platform().settings))
+    message.body, message.body_bytes = [body], len(body)
+    found = parse_request(message, RequestRules(platform().settings))
     attempt = Attempt("1", 0, "cabin-0", found.head, found.body, 100.0, 200.0)
     attempt.timeout_s = 1.25
     assert attempt.payload(100.25).decode() == stored("messages.json")["attempts"][number]
--- a/tests/compatibility/test_stored_state.py
+++ b/tests/compatibility/test_stored_state.py
@@ -88,17 +88,17 @@
 def scalar_fields(gateway: Gateway) -> dict[str, Any]:
     """The gateway's own attributes under their stored names."""
     return {
-        "born": gateway.born,
-        "q": gateway.q,
-        "f": gateway.f,
-        "q_sum": gateway.q_sum,
-        "q_n": gateway.q_n,
-        "q_seen": gateway.q_seen,
-        "ok_q": gateway.ok_q,
-        "lost": gateway.lost,
-        "done": gateway.done,
-        "done_rate": gateway.done_rate,
-        "bank": gateway.bank,
+        "born": gateway.context.started_at,
+        "q": gateway.occupancy.smoothed,
+        "f": gateway.admission.admit_fraction,
+        "q_sum": gateway.occupancy.interval_sum,
+        "q_n": gateway.occupancy.interval_count,
+        "q_seen": gateway.occupancy.samples_seen,
+        "ok_q": gateway.occupancy.response_occupancy,
+        "lost": gateway.occupancy.lost_ratio,
+        "done": gateway.occupancy.completions,
+        "done_rate": gateway.occupancy.completion_rate,
+        "bank": gateway.retry_budget.balance,
         "heard": gateway.quotas.throttle.answer_rate,
         "call_at": gateway.quotas.throttle.called_at,
     }
@@ -110,9 +110,12 @@
     head, *others = documents_of(seed)
     assert scalar_fields(gateway) == head["scalars"]
     assert gateway.fleet.warm_rate == head["warm_rate"]
-    assert gateway.latency == head["latency"]
+    assert gateway.latency.per_unit_ms == head["latency"]
     assert gateway.quotas.registry.asked_at == head["asked_at"]
-    cells = [[*key, cell.value, cell.work, cell.f, cell.r] for key, cell in gateway.cells.items()]
+    cells = [
+        [*key, share.value, share.work, share.admit_fraction, share.accumulator]
+        for key, share in gateway.admission.shares.items()
+    ]
     assert sorted(cells) == sorted(head["cells"])
     hosts = {name: row for document in others for name, row in document.get("hosts", {}).items()}
     assert {name: list(host_fields(host).values()) for name, host in gateway.hosts.items()} == hosts
--- a/tests/hosted/test_changes.py
+++ b/tests/hosted/test_changes.py
@@ -390,7 +390,7 @@
             assert await rig.status(request("b")) == 200  # its core is made now
             for tenant in "ab":
                 core = rig.service.core(tenant)
-                assert core.decision_module.now >= before - 1000
+                assert core.decision_module.context.now >= before - 1000
                 assert core.clock is rig.service.resources.clock
 
     on_loop(scenario)
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -83,7 +83,9 @@
         began = len(script.events)
         stood_still(core)
         first = {"generation": 2, "reset": False, "instances": [instance("s-1", 9)]}
-        core._discovery.replied(core._discovery._connection, reply_of(first), True)  # read after the stall
+        core._discovery.on_response(
+            core._discovery._connection, reply_of(first), True
+        )  # read after the stall
         core.request(Answers(), an_order())
         core.loop_lag._next_heartbeat_at = time.monotonic() + 60  # caught up
         while not any(isinstance(e, api.Request) for e in script.events):
