--- a/hillmux/net/counter_channel.py
+++ b/hillmux/net/counter_channel.py
@@ -196,11 +196,11 @@
         for call in self._calls:
             call.written = True
 
-    def replied(self, reply: Response, reusable: bool) -> None:
+    def on_response(self, response: Response, reusable: bool) -> None:
         """The answer to the oldest call on the connection."""
         self._failures, self._last_reply_at = 0, self._loop.time()
-        total = parse_decimal(reply.body.strip()) if reply.status == 200 else None
-        if total is None and reply.status not in STATUSES_NOTHING_ADDED:
+        total = parse_decimal(response.body.strip()) if response.status == 200 else None
+        if total is None and response.status not in STATUSES_NOTHING_ADDED:
             # An answer without a number: the call was added, but nothing that follows can be trusted.
             self.malformed_response()
             return
@@ -250,7 +250,7 @@
         if self._connection is not None:
             self._connection.abort()
 
-    def lost(self, connection: CounterConnection) -> None:
+    def on_connection_lost(self, connection: CounterConnection) -> None:
         """A connection is gone."""
         if connection is self._connection:
             self._connection = None
@@ -286,9 +286,9 @@
         super().resume_writing()
         self._channel.flushed()
 
-    def on_response(self, reply: Response, reusable: bool) -> None:
+    def on_response(self, response: Response, reusable: bool) -> None:
         """An answer is complete; `reusable`: the connection may be written on again."""
-        self._channel.replied(reply, reusable)
+        self._channel.on_response(response, reusable)
 
     def on_malformed_response(self) -> None:
         """What arrived is no answer."""
@@ -296,4 +296,4 @@
 
     def on_connection_lost(self) -> None:
         """The connection is gone."""
-        self._channel.lost(self)
+        self._channel.on_connection_lost(self)
--- a/hillmux/net/discovery_watch.py
+++ b/hillmux/net/discovery_watch.py
@@ -146,39 +146,39 @@
             self._patient = not self._patient
             self._connection.abort()
 
-    def replied(self, connection: DiscoveryConnection, reply: Response, reusable: bool) -> None:
+    def on_response(self, connection: DiscoveryConnection, response: Response, reusable: bool) -> None:
         """Poll again, then pass the answer on."""
         if connection is not self._connection:
             return
-        if reply.status != 200:
+        if response.status != 200:
             # A rejected call missed nothing, so changes are enough the next time, too: the full list is the
             # most expensive call, and discovery is overloaded already.
-            log.warning("discovery: status %d, the list is kept", reply.status)
+            log.warning("discovery: status %d, the list is kept", response.status)
             connection.abort()
             return
         try:
-            response = self._parse(reply)
+            endpoints = self._parse(response)
         except ValueError as error:
             log.warning("discovery: bad answer, the list is kept: %s", error)
             self._generation = None  # the full list makes up for what was missed
             connection.abort()
             return
-        self._failures, self._generation, self._patient = 0, response.generation, False
+        self._failures, self._generation, self._patient = 0, endpoints.generation, False
         self.catching_up = self._is_stalled()
         if not reusable:
             self._connection = None
             connection.abort()
         self._poll()  # before the list is put in force, so that the next call is not delayed by it
-        self._on_response(response)
+        self._on_response(endpoints)
 
-    def _parse(self, reply: Response) -> DiscoveryResponse:
-        response = parse_discovery_response(json.loads(reply.body))
+    def _parse(self, response: Response) -> DiscoveryResponse:
+        endpoints = parse_discovery_response(json.loads(response.body))
         known = self._generation
-        if not response.is_full and (known is None or response.generation < known):
+        if not endpoints.is_full and (known is None or endpoints.generation < known):
             raise ValueError("changes to a list that was never sent")
-        return response
+        return endpoints
 
-    def lost(self, connection: DiscoveryConnection) -> None:
+    def on_connection_lost(self, connection: DiscoveryConnection) -> None:
         """The agent closed or reset the connection."""
         if connection is self._connection:
             self._connection = None
@@ -203,14 +203,14 @@
         super().__init__(MAX_ENDPOINT_LIST_BYTES)
         self._watch = watch
 
-    def on_response(self, reply: Response, reusable: bool) -> None:
+    def on_response(self, response: Response, reusable: bool) -> None:
         """Pass an answer to the watch."""
-        self._watch.replied(self, reply, reusable)
+        self._watch.on_response(self, response, reusable)
 
     def on_malformed_response(self) -> None:
-        """Log a malformed answer; `lost` follows."""
+        """Log a malformed answer; `on_connection_lost` follows."""
         log.warning("discovery: malformed answer, the list is kept")
 
     def on_connection_lost(self) -> None:
         """Report the end of the connection to the watch."""
-        self._watch.lost(self)
+        self._watch.on_connection_lost(self)
--- a/tests/net/test_gateway_core.py
+++ b/tests/net/test_gateway_core.py
@@ -78,7 +78,7 @@
         began = len(decisions.events)
         simulate_stall(core)
         first = {"generation": 2, "reset": False, "instances": [instance("s-1", 9)]}
-        core._discovery.replied(
+        core._discovery.on_response(
             core._discovery._connection, discovery_response(first), True
         )  # read after the stall
         core.request(RecordingClient(), forward_request())
