--- a/hillmux/net/counter_client.py
+++ b/hillmux/net/counter_client.py
@@ -51,12 +51,12 @@
             for call in channel.retire():
                 self._assign(call)
 
-    def call(self, act: api.IncrementCounter) -> None:
+    def call(self, action: api.IncrementCounter) -> None:
         """Write one call on the connection with the fewest calls out.
 
         Without a connection to write on, the call ends at once as `connect_failed`.
         """
-        call = PendingCall(act, self._loop.time())
+        call = PendingCall(action, self._loop.time())
         call.timer = self._loop.call_later(self._timeout_s, self._timeout_due, call)
         self._assign(call)
 
--- a/hillmux/net/forward_request.py
+++ b/hillmux/net/forward_request.py
@@ -27,7 +27,7 @@
 class StreamingClient(Client, Protocol):
     """A client that a long response is streamed to."""
 
-    def start_response(self, reply: Response, source: Any) -> None:
+    def start_response(self, response: Response, source: Any) -> None:
         """Send the head of the response; the body follows from `source`, a connection to a host."""
 
     def finish_response(self) -> None:
--- a/hillmux/net/gateway_core.py
+++ b/hillmux/net/gateway_core.py
@@ -32,7 +32,7 @@
 class CounterClient(Protocol):
     """Where counter calls go: each gets exactly one `CounterReply` event."""
 
-    def call(self, act: api.IncrementCounter) -> None:
+    def call(self, action: api.IncrementCounter) -> None:
         """Make one call."""
 
 
@@ -161,7 +161,7 @@
         self,
         request: OpenRequest | None,
         status: int,
-        reply: Response | None = None,
+        response: Response | None = None,
         retry_after_ms: float = 0.0,
     ) -> None:
         """Send the one final response; a second one is dropped."""
@@ -169,20 +169,20 @@
             return
         client = request.client
         self._detach_client(request)
-        if reply is not None:
-            self.pass_on_response(client, reply)
+        if response is not None:
+            self.pass_on_response(client, response)
         elif request.streaming_attempt is not None:
             # Its head has been sent: the client must see that the response is incomplete.
             cast(StreamingClient, client).abort_response()
         else:
             client.answer(status, retry_after_ms=retry_after_ms)
 
-    def pass_on_response(self, client: Client, reply: Response) -> None:
+    def pass_on_response(self, client: Client, response: Response) -> None:
         """Send a host's successful response to the client."""
-        if reply.streamed:
+        if response.streamed:
             cast(StreamingClient, client).finish_response()
         else:
-            client.answer(reply.status, reply.body, reply.headers.get(b"content-type", b""))
+            client.answer(response.status, response.body, response.headers.get(b"content-type", b""))
 
     def _detach_client(self, request: OpenRequest) -> None:
         request.client = None
@@ -267,23 +267,23 @@
         now = time.monotonic()
         return now < request.deadline and not request.client.has_disconnected(self.loop_lag.lag_ms(now) > 0)
 
-    def attempt_ended(self, attempt: Attempt, result: AttemptResult, reply: Response | None) -> None:
+    def attempt_ended(self, attempt: Attempt, result: AttemptResult, response: Response | None) -> None:
         """Answer the request if the attempt succeeded, and report the outcome to the decision module."""
         request = self.requests[attempt.request_id]
         request.open_attempts -= 1
         now = time.monotonic()
         elapsed_ms = (now - attempt.sent_at) * 1000
-        if reply is not None:
-            if reply.first_byte_at:  # the transfer of a response in parts is no latency of the host
-                elapsed_ms -= (now - reply.first_byte_at) * 1000
+        if response is not None:
+            if response.first_byte_at:  # the transfer of a response in parts is no latency of the host
+                elapsed_ms -= (now - response.first_byte_at) * 1000
             lag_ms = self.loop_lag.lag_ms(now)
             elapsed_ms = max(elapsed_ms - lag_ms, 0.0)  # nor is the time it waited unread for the loop
             if lag_ms > STALE_ENDPOINTS_STALL_MS:
                 self.hold_events()
         units = 0.0
-        if result == AttemptResult.OK and reply is not None:
-            units = reply.positive_number(b"billed-units", self.settings.max_request_units)
-            self.answer(request, reply.status, reply)
+        if result == AttemptResult.OK and response is not None:
+            units = response.positive_number(b"billed-units", self.settings.max_request_units)
+            self.answer(request, response.status, response)
         elif request.streaming_attempt is attempt:
             self.answer(request, 502)
         final = request.client is None
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -236,13 +236,13 @@
         self,
         request: OpenRequest | None,
         status: int,
-        reply: Response | None = None,
+        response: Response | None = None,
         retry_after_ms: float = 0.0,
     ) -> None:
         """Also count the response."""
         if request is not None and request.client is not None:
             self.metrics.answered(request.forward_request.class_name, status)
-        super().answer(request, status, reply, retry_after_ms)
+        super().answer(request, status, response, retry_after_ms)
 
     def attempt_sent(self, attempt: Attempt) -> None:
         """Count an attempt that has been sent completely."""
--- a/hillmux/net/platform_gateway.py
+++ b/hillmux/net/platform_gateway.py
@@ -160,7 +160,7 @@
                 self.streaming_pool.on_body_complete(attempt)
 
     def _response_started(
-        self, attempt: Attempt, reply: Response, source: StreamingUpstreamConnection
+        self, attempt: Attempt, response: Response, source: StreamingUpstreamConnection
     ) -> StreamingClientConnection | None:
         request = self.requests[attempt.request_id]
         client = cast(StreamingClientConnection | None, request.client)
@@ -169,7 +169,7 @@
         request.streaming_attempt = attempt
         self.deadlines.cancel(request, request.deadline_slot)
         self.post(api.ResponseStarted(request.id, attempt.number))
-        client.start_response(reply, source)
+        client.start_response(response, source)
         return client
 
     def client_disconnected(self, request_id: str) -> None:
--- a/hillmux/net/upstream_connection.py
+++ b/hillmux/net/upstream_connection.py
@@ -86,11 +86,11 @@
         """
         return not self.transport.is_closing() and not self._poll.poll(0)
 
-    def on_response(self, reply: Response, reusable: bool) -> None:
+    def on_response(self, response: Response, reusable: bool) -> None:
         """Pass a complete response to the pool, unless its attempt was aborted."""
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
-            self._pool.response_received(self, attempt, reply, reusable)
+            self._pool.response_received(self, attempt, response, reusable)
 
     def on_malformed_response(self) -> None:
         """Report a malformed response to the pool."""
--- a/hillmux/net/upstream_pool.py
+++ b/hillmux/net/upstream_pool.py
@@ -156,7 +156,7 @@
             attempt.connection.attempt = None
             attempt.connection.abort_attempt()
 
-    def finish(self, attempt: Attempt, result: AttemptResult, reply: Response | None = None) -> None:
+    def finish(self, attempt: Attempt, result: AttemptResult, response: Response | None = None) -> None:
         """Report an attempt's outcome, once."""
         if attempt.done:
             return
@@ -167,16 +167,16 @@
         self.timeouts.cancel(attempt, attempt.timeout_slot)
         if attempt.timeout_timer is not None:
             attempt.timeout_timer.cancel()
-        self._on_ended(attempt, result, reply)
+        self._on_ended(attempt, result, response)
 
     def end_streams(self, attempt: Attempt) -> None:
         """Stop streaming an attempt's body and response."""
 
-    def classify(self, reply: Response) -> AttemptResult:
+    def classify(self, response: Response) -> AttemptResult:
         """What a complete response means for its attempt."""
-        if reply.status == 200:
+        if response.status == 200:
             return AttemptResult.OK
-        if reply.status in (503, 504) and reply.headers.get(b"x-not-run") == b"1":
+        if response.status in (503, 504) and response.headers.get(b"x-not-run") == b"1":
             return AttemptResult.QUEUE_FULL
         return AttemptResult.ERROR
 
@@ -258,14 +258,14 @@
             self.finish(attempt, AttemptResult.RESET)
 
     def response_received(
-        self, connection: UpstreamConnection, attempt: Attempt, reply: Response, reusable: bool
+        self, connection: UpstreamConnection, attempt: Attempt, response: Response, reusable: bool
     ) -> None:
         """A complete response: free the connection, and end the attempt."""
         if reusable and not connection.unsent:
             self._keep_or_drop(connection)
         else:
             connection.abort()
-        self.finish(attempt, self.classify(reply), reply)
+        self.finish(attempt, self.classify(response), response)
 
     def malformed_response(self, connection: UpstreamConnection) -> None:
         """What arrived is no response: the attempt may have run."""
