--- a/hillmux/hosted/core.py
+++ b/hillmux/hosted/core.py
@@ -14,7 +14,7 @@
 from hillmux.hosted.stats import Stats
 from hillmux.interface import AttemptResult, Idempotency, ListKind, RejectReason
 from hillmux.net.attempt import Attempt
-from hillmux.net.discovery import DiscoveryResponse
+from hillmux.net.discovery_response import DiscoveryResponse
 from hillmux.net.forward_request import Client, ForwardRequest, OpenRequest
 from hillmux.net.gateway_core import CounterClient, GatewayCore
 from hillmux.net.http1 import Response
@@ -318,7 +318,7 @@
         if act.name == "sweep":
             self._sweeps += 1
             idle = self.loop.time() - self._busy_at > DOZE_AFTER_S and not self.requests
-            self._dozing = idle and self.decision_module.idle()
+            self._dozing = idle and self.decision_module.is_idle()
             if self._dozing:
                 delay_s = min(DOZE_S, self.tenant.idle_ms / 2000)
             if self._dozing or self._sweeps % RETIRE_EVERY == 0:
@@ -333,7 +333,7 @@
     def _timer_due(self, name: str) -> None:
         self._timers.pop(name, None)
         self.post(api.TimerFired(name))
-        if self._dozing and name == "sweep" and self.decision_module.settled() and not self.requests:
+        if self._dozing and name == "sweep" and self.decision_module.is_quiescent() and not self.requests:
             self._settled(self)
 
     # The end
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -17,7 +17,7 @@
 from hillmux.interface import ListKind
 from hillmux.net.attempt import Attempt
 from hillmux.net.config import GatewayConfig
-from hillmux.net.discovery import DiscoveryResponse
+from hillmux.net.discovery_response import DiscoveryResponse
 from hillmux.net.forward_request import OpenRequest
 from hillmux.net.http1 import Response
 from hillmux.net.listener import Listener
@@ -236,13 +236,13 @@
         self,
         request: OpenRequest | None,
         status: int,
-        reply: Response | None = None,
+        response: Response | None = None,
         retry_after_ms: float = 0.0,
     ) -> None:
         """Also count the response."""
         if request is not None and request.client is not None:
             self.metrics.answered(request.forward_request.class_name, status)
-        super().answer(request, status, reply, retry_after_ms)
+        super().answer(request, status, response, retry_after_ms)
 
     def attempt_sent(self, attempt: Attempt) -> None:
         """Count an attempt that has been sent completely."""
--- a/hillmux/net/platform_gateway.py
+++ b/hillmux/net/platform_gateway.py
@@ -11,8 +11,9 @@
 from hillmux.interface import ListKind
 from hillmux.net.attempt import Attempt
 from hillmux.net.config import GatewayConfig
-from hillmux.net.counter import HttpCounterClient
-from hillmux.net.discovery import DiscoveryResponse, DiscoveryWatch
+from hillmux.net.counter_client import HttpCounterClient
+from hillmux.net.discovery_response import DiscoveryResponse
+from hillmux.net.discovery_watch import DiscoveryWatch
 from hillmux.net.forward_request import OpenRequest
 from hillmux.net.gateway_core import (
     CLIENT_TRANSIT_MS,
@@ -159,7 +160,7 @@
                 self.streaming_pool.on_body_complete(attempt)
 
     def _response_started(
-        self, attempt: Attempt, reply: Response, source: StreamingUpstreamConnection
+        self, attempt: Attempt, response: Response, source: StreamingUpstreamConnection
     ) -> StreamingClientConnection | None:
         request = self.requests[attempt.request_id]
         client = cast(StreamingClientConnection | None, request.client)
@@ -168,7 +169,7 @@
         request.streaming_attempt = attempt
         self.deadlines.cancel(request, request.deadline_slot)
         self.post(api.ResponseStarted(request.id, attempt.number))
-        client.start_response(reply, source)
+        client.start_response(response, source)
         return client
 
     def client_disconnected(self, request_id: str) -> None:
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -14,13 +14,12 @@
 
 ROOT = Path(__file__).parents[1]
 TESTS = (  # the decisions, the adapter, and the real program between scripted peers
-    "tests/test_policy.py",
+    "tests/decision",
     "tests/test_fleet.py",
-    "tests/test_odd_events.py",
-    "tests/test_wire.py",
+    "tests/simulator/test_adapter.py",
     "tests/test_net.py",
     "tests/test_flows.py",
-    "tests/test_discovery.py",
+    "tests/net/test_discovery_watch.py",
     "tests/operate/test_operated.py",
     "tests/handover/test_upgrade.py",
 )
