--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -159,7 +159,7 @@
     Planted(
         "a gateway that is told to end does so at once",
         "hillmux/net/shutdown.py",
-        "        self._loop.call_later(ACCEPT_GRACE_S, self._stop_accepting)",
+        "        self._loop.call_later(ACCEPT_GRACE_S, self.stop_accepting)",
         "        self.done.set()",
         "answered",
         day(*ROLL, booking={**BOOK, "work_ms": 200}),
--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -24,7 +24,7 @@
 # What an ordinary request passes through, and every class that inherits from one of these.
 COMPILED_PACKAGES = ("interface", "decision", "balancing", "quotas", "net")
 COMPILED_MODULES = ("recovery/snapshotting_gateway.py",)
-NOT_COMPILED = ("__init__.py", "net/config.py", "net/shutdown.py")  # run once
+NOT_COMPILED = ("__init__.py", "net/config.py", "net/log_setup.py", "net/shutdown.py")  # run once
 
 
 def compiled_files() -> list[str]:
--- a/hillmux/__main__.py
+++ b/hillmux/__main__.py
@@ -14,9 +14,10 @@
 
 from hillmux.decision import gateway as decision_module
 from hillmux.net.config import ConfigError, GatewayConfig, load
+from hillmux.net.log_setup import set_up_log
 from hillmux.net.platform_gateway import PlatformGateway
-from hillmux.net.shutdown import Shutdown, set_up_log
-from hillmux.net.streaming import StreamingListener
+from hillmux.net.shutdown import Shutdown
+from hillmux.net.streaming_client import StreamingListener
 
 # Requests leave next to no reference cycles, so the collector runs seldom.
 GC_ALLOCATIONS: Final = 20_000
--- a/hillmux/cli.py
+++ b/hillmux/cli.py
@@ -142,12 +142,12 @@
 
 
 def _log(name: str, lines: int) -> None:
-    from hillmux.net import shutdown as life
+    from hillmux.net.log_setup import LogRateLimit, set_up_log
 
-    life.set_up_log(name)
+    set_up_log(name)
     for handler in logging.getLogger().handlers:
         handler.filters.clear()
-        handler.addFilter(life.LogRateLimit(2 * lines))  # tenants are held to their parts of `lines` before
+        handler.addFilter(LogRateLimit(2 * lines))  # tenants are held to their parts of `lines` before
 
 
 def _fail(text: str) -> None:
--- a/hillmux/net/forward_request.py
+++ b/hillmux/net/forward_request.py
@@ -54,7 +54,7 @@
     head: bytes  # request line and headers for the host, without X-Deadline
     body: bytes
     pool: str = ""  # the hosts that may serve it
-    streamed_body: Any = None  # the rest of a body that is still arriving (net/streaming.py)
+    streamed_body: Any = None  # the rest of a body that is still arriving (net/streamed_body.py)
 
     def __init__(
         self,
--- a/hillmux/net/http1.py
+++ b/hillmux/net/http1.py
@@ -1,7 +1,6 @@
 """The client side of one HTTP/1.1 connection, shared by hosts, counter and discovery.
 
-All that is believed of an answer is decided here: whether it is whole, whether it was asked for, and whether
-its connection may be used again.
+Decides whether a response is complete, whether it was requested, and whether its connection may be reused.
 """
 
 from __future__ import annotations
@@ -16,21 +15,17 @@
 
 MAX_BUFFERED_BODY_BYTES: Final = 64 * 1024
 MAX_ENDPOINT_LIST_BYTES: Final = 4 * 1024 * 1024
-MAX_FRAMING_BYTES: Final = 64 * 1024  # heads and interim answers of one answer
-MAX_CHUNK_OVERHEAD: Final = (
-    16  # bytes of chunk lines for each byte of a body, at most: a chunk may hold one byte
-)
-MAX_STREAMED_BODY_BYTES: Final = 64 * 1024 * 1024  # an answer that is passed on as it comes
+MAX_FRAMING_BYTES: Final = 64 * 1024  # of one response: its head and interim responses
+MAX_CHUNK_OVERHEAD: Final = 16  # bytes of chunk lines for each byte of a body; a chunk may hold one byte
+MAX_STREAMED_BODY_BYTES: Final = 64 * 1024 * 1024  # of a streamed response
 DECIMAL_NUMBER: Final = re.compile(rb"-?[0-9]{1,15}(?:\.[0-9]{1,15})?(?:[eE][+-]?[0-9]{1,2})?")
-OPTIONAL_WHITESPACE: Final = (
-    b" \t"  # may stand beside a value (RFC 9110 section 5.5); the parser leaves those behind it
-)
+OPTIONAL_WHITESPACE: Final = b" \t"  # RFC 9110 section 5.5; the parser leaves it behind a value
 BODILESS_STATUSES: Final = frozenset((204, 304))
-NOT_CONNECTED: Final = cast(asyncio.Transport, None)  # in a transport's place until the connection is up
+NOT_CONNECTED: Final = cast(asyncio.Transport, None)  # the transport until the connection is up
 
 
 class MalformedResponseError(Exception):
-    """What has come is no answer that can be passed on."""
+    """The input is no response that can be forwarded."""
 
 
 def parse_decimal(text: bytes) -> float | None:
@@ -40,15 +35,15 @@
 
 @dataclass(slots=True, init=False)
 class Response:
-    """One whole answer."""
+    """One response."""
 
     status: int
     headers: dict[bytes, bytes]
     body: bytes
     keep_alive: bool
-    streamed: bool = False  # its body was passed on as it came
-    content_length: int | None = None  # of one that is passed on; None: not told
-    first_byte_at: float = 0.0  # when its first bytes had come, by time.monotonic; 0: all came at once
+    streamed: bool = False  # its body was forwarded as it arrived
+    content_length: int | None = None  # of a streamed one; None: not announced
+    first_byte_at: float = 0.0  # by time.monotonic; 0: all arrived at once
 
     def __init__(
         self,
@@ -63,33 +58,34 @@
         self.status, self.headers, self.body, self.keep_alive = status, headers, body, keep_alive
         self.streamed, self.content_length, self.first_byte_at = streamed, content_length, first_byte_at
 
-    def positive_number(self, name: bytes, most: float) -> float:
-        """A header's figure above 0; 0 where there is none, or none that can be believed."""
+    def positive_number(self, name: bytes, maximum: float) -> float:
+        """A header's number if it is above 0 and at most `maximum`; otherwise 0."""
         value = parse_decimal(self.headers.get(name, b""))
-        return value if value is not None and 0 < value <= most else 0.0
+        return value if value is not None and 0 < value <= maximum else 0.0
 
 
 class ResponseProtocol:
-    """Parses the answers to what was written; a subclass says what they and a lost connection mean.
+    """Parses the responses to what was written; subclasses handle them and the connection's loss.
 
-    An `asyncio.Protocol` by its methods, not by its base: compiled, a class with a Python base would keep its
-    attributes in a dictionary.
+    An `asyncio.Protocol` by its methods, not by its base: a compiled class with a base in Python would keep
+    its attributes in a dictionary.
 
-    One that `flows` is told of an answer longer than `longest` when that shows (`flow`), then of its body
-    piece by piece (`piece`), and of its end by `replied` with a reply that has `flowed`. It also takes an
-    answer that ends where its connection is closed in good order (RFC 9112 section 6.3, rule 8).
+    One that `accepts_streams` is told of a response longer than the limit when that shows
+    (`on_stream_start`), then of its body piece by piece (`on_stream_data`), and of its end by `on_response`
+    with a response that is `streamed`. It also accepts a response that ends with an orderly close of its
+    connection (RFC 9112 section 6.3, rule 8).
     """
 
     accepts_streams = False
 
-    def __init__(self, longest: int = MAX_BUFFERED_BODY_BYTES) -> None:
+    def __init__(self, max_body_bytes: int = MAX_BUFFERED_BODY_BYTES) -> None:
         self.transport = NOT_CONNECTED
         self._connected = False
-        self.unsent = False  # part of what we wrote has not left this process
+        self.unsent = False  # part of what was written has not left this process
         self._parser = httptools.HttpResponseParser(self)
-        self._max_body_bytes = longest
-        self._responses_due = 0  # answers that are still to come
-        self._received_bytes = 0  # bytes of the answer that is coming
+        self._max_body_bytes = max_body_bytes
+        self._responses_due = 0
+        self._received_bytes = 0  # of the response that is being received
         self._complete_responses: list[Response] = []
         self._reset()
 
@@ -98,13 +94,13 @@
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._response_begun = False
-        self._needs_reset = False  # any of these was set
+        self._needs_reset = False  # any of the following was set
         self._streaming = self._ends_with_connection = self._in_trailers = False
         self._content_length: int | None = None
         self._first_byte_at = 0.0
 
     def _prepare_next(self) -> None:
-        """Make ready for the next answer; the ordinary one has touched little."""
+        """Reset for the next response; an ordinary one has changed little."""
         if self._needs_reset:
             self._reset()
             return
@@ -113,84 +109,86 @@
         self._body_bytes = 0
         self._response_begun = False
 
-    def on_response(self, reply: Response, reusable: bool) -> None:
-        """A whole answer to the oldest request; `reusable` if the connection may carry another."""
+    def on_response(self, response: Response, reusable: bool) -> None:
+        """The response to the oldest request; `reusable` if the connection may carry another."""
         raise NotImplementedError
 
-    def on_stream_start(self, reply: Response) -> bool:
-        """The head of a long answer; whether it may be passed on, else the connection is being dropped."""
+    def on_stream_start(self, response: Response) -> bool:
+        """The head of a long response; whether it may be forwarded, else the connection is aborted."""
         return False
 
     def on_stream_data(self, data: bytes) -> None:
-        """More of an answer that is passed on."""
+        """More of the body of a streamed response."""
 
     def on_malformed_response(self) -> None:
-        """What came cannot be read while answers are due; the connection is being dropped."""
+        """The input cannot be parsed while responses are due; the connection is aborted."""
         raise NotImplementedError
 
     def on_connection_lost(self) -> None:
-        """The connection is gone."""
+        """The connection is closed."""
         raise NotImplementedError
 
     def response_begun(self) -> bool:
-        """Whether any byte of the answer that is due has come."""
+        """Whether any byte of the response that is due has arrived."""
         return self._received_bytes > 0
 
     def write(self, data: bytes) -> None:
-        """Write one request, and know whether its last byte has left this process."""
+        """Write one request; `unsent` tells whether some of it has not left this process."""
         self._responses_due += 1
         self.transport.write(data)
         self.unsent = self.transport.get_write_buffer_size() > 0
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection at once."""
         if self.transport is not NOT_CONNECTED:
             self.transport.abort()
 
     def as_protocol(self) -> asyncio.Protocol:
-        """Itself, as the loop's typed functions want it."""
+        """Itself, as the typed functions of the loop expect it."""
         return cast(asyncio.Protocol, self)
 
     # The methods of asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; its write buffer is set so that `resume_writing` means that all has left."""
+        """Keep the transport; `resume_writing` is called once all that was written has left."""
         self.transport = cast(asyncio.Transport, transport)
         self._connected = True
-        self.transport.set_write_buffer_limits(high=0)  # so that resume_writing tells of the last byte
+        self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
-        """Part of what was written waits; `write` has seen so."""
+        """Part of what was written waits; `write` has noted it."""
 
     def resume_writing(self) -> None:
         """The last byte of what was written has left this process."""
         self.unsent = False
 
     def data_received(self, data: bytes) -> None:
-        """Parse, then hand on whole answers that were asked for; drop the connection on anything else."""
+        """Parse, then deliver the complete responses that are due; abort the connection on anything else.
+
+        A response that was not requested, such as a second copy behind a good one, would be read as the
+        response to the next request. So responses are delivered only once all input that came with them has
+        been looked at.
+        """
         if self.transport.is_closing():
             return
         try:
             if self._responses_due:
                 self._received_bytes += len(data)
                 self._parser.feed_data(data)
-            sound = (
+            well_formed = (
                 self._responses_due > 0
                 and self._received_bytes <= MAX_FRAMING_BYTES + (MAX_CHUNK_OVERHEAD + 1) * self._body_bytes
             )
         except httptools.HttpParserError:
-            sound = False
-        # Guards against an answer that was not asked for: a second copy or noise behind a good one would be
-        # read as the answer to what is written next. So answers are handed on only when all that came with
-        # them has been looked at.
-        replies, self._complete_responses = self._complete_responses, []
-        asked = replies[: self._responses_due]
-        self._responses_due -= len(asked)
-        if len(replies) > len(asked) or (self._response_begun and not self._responses_due):
-            sound = False
-        for reply in asked:
-            self.on_response(reply, sound and reply.keep_alive)
-        if not sound:
+            well_formed = False
+        responses, self._complete_responses = self._complete_responses, []
+        requested = responses[: self._responses_due]
+        self._responses_due -= len(requested)
+        if len(responses) > len(requested) or (self._response_begun and not self._responses_due):
+            well_formed = False
+        for response in requested:
+            self.on_response(response, well_formed and response.keep_alive)
+        if not well_formed:
             if self._responses_due:
                 self.on_malformed_response()
             self.abort()
@@ -198,40 +196,44 @@
             self._first_byte_at, self._needs_reset = time.monotonic(), True
 
     def eof_received(self) -> None:
-        """End an answer that is framed by the connection's close, if one is due."""
+        """Complete a response that ends with its connection, if one is due."""
         if self._ends_with_connection and self._responses_due == 1 and not self.transport.is_closing():
             self._responses_due = 0
-            reply = self._make_response(False)
+            response = self._make_response(False)
             self._reset()
-            self.on_response(reply, False)
+            self.on_response(response, False)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the subclass by `lost`, once."""
+        """Tell the subclass by `on_connection_lost`, once."""
         if self._connected:
             self._connected = False
             self.on_connection_lost()
 
     def on_dial_failed(self) -> None:
-        """Its dial failed or was cancelled.
+        """The dial failed or was cancelled.
 
-        Guards the descriptors' account: when that comes in the turn of the loop in which the connection came
-        up, uvloop closes it and never tells that it is lost.
+        If that happens in the turn of the loop in which the connection came up, uvloop closes it and never
+        calls `connection_lost`; its descriptor would be counted as open for ever.
         """
         self.connection_lost(None)
 
     # httptools; what these raise reaches data_received as an HttpParserError
 
     def on_message_begin(self) -> None:
-        """An answer begins, be it an interim one."""
+        """A response begins, possibly an interim one."""
         self._response_begun = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header under its name in lower case; MalformedResponseError on a second Content-Length."""
+        """Keep a header under its name in lower case; trailers are ignored.
+
+        Raises:
+            MalformedResponseError: a second Content-Length.
+        """
         name = name.lower()
         if self._in_trailers:
-            return  # they come too late to say anything of the answer
+            return
         if name == b"content-length" and name in self._headers:
-            raise MalformedResponseError("two lengths: one of them cuts the answer")
+            raise MalformedResponseError("two Content-Length headers")
         self._headers[name] = value.strip(OPTIONAL_WHITESPACE)
 
     def on_headers_complete(self) -> None:
@@ -245,26 +247,26 @@
         if status < 200 or status in BODILESS_STATUSES:
             return
         if coding is not None and (length is not None or coding.strip().lower() != b"chunked"):
-            raise MalformedResponseError("framing")
+            raise MalformedResponseError("ambiguous framing")
         if coding is not None:
-            self._in_trailers = self._needs_reset = True  # the next header stands behind the body
+            self._in_trailers = self._needs_reset = True  # further headers are trailers
             return
         if length is None and self.accepts_streams and self._announces_close():
             self._ends_with_connection = self._needs_reset = True
             return
-        # Guards against a cut answer: one with neither length nor chunks ends where its connection breaks.
+        # One with neither length nor chunks would be cut unnoticed where its connection breaks.
         if length is None or not length.isdigit():
-            raise MalformedResponseError("no length")
+            raise MalformedResponseError("no valid length")
         if int(length) > self._max_body_bytes:
             if not self.accepts_streams or int(length) > MAX_STREAMED_BODY_BYTES:
-                raise MalformedResponseError("more than may be passed on")
+                raise MalformedResponseError("longer than may be forwarded")
             self._content_length = int(length)
             self._start_stream()
 
     def _announces_close(self) -> bool:
-        """Whether the head says that the connection ends with the answer.
+        """Whether the head says that the connection ends with the response.
 
-        Guards against waiting for a close that never comes, behind a head that lost its length on the way.
+        Without that, a head that lost its length on the way would be waited on for a close that never comes.
         """
         return (
             b"close" in self._headers.get(b"connection", b"").lower()
@@ -272,10 +274,10 @@
         )
 
     def _start_stream(self) -> None:
-        """Begin to pass the answer on."""
+        """Begin to forward the response."""
         self._streaming = self._needs_reset = True
         if not self.on_stream_start(self._make_response(False)):
-            raise MalformedResponseError("it may not be passed on")
+            raise MalformedResponseError("it may not be forwarded")
 
     def _make_response(self, keep_alive: bool) -> Response:
         body = b"" if self._streaming else b"".join(self._body)
@@ -310,9 +312,9 @@
             raise MalformedResponseError("too long")
 
     def on_message_complete(self) -> None:
-        """An answer is whole; an interim one (1xx) is left out."""
+        """A response is complete; interim ones (1xx) are skipped, but count towards its size limit."""
         status = self._parser.get_status_code()
-        if status >= 200:  # interim answers are not the answer, but count for its bound
+        if status >= 200:
             self._received_bytes = 0
             keep_alive = self._parser.should_keep_alive()
             self._complete_responses.append(
--- a/hillmux/net/lingering_close.py
+++ b/hillmux/net/lingering_close.py
@@ -1,14 +1,14 @@
-"""How a connection to a client ends (RFC 9112 section 9.6), and how its end is seen while nobody reads it.
+"""Closing a client's connection without losing answers (RFC 9112 section 9.6), and noticing its disconnect.
 
-Theory of operation. A close over bytes that lie unread in the system's buffer resets the connection, and the
-reset can take along an answer that the client has not read. So a connection ends in one way: our side is shut
-(the last answer leaves whole, before the end), what still comes is read and forgotten for a bounded time, and
-only then the descriptor goes. A request that is read after the shut is never sent on; its client sees the
-connection's end without an answer and asks again elsewhere. Before the shut a look at the system's buffer
-tells whether a request has arrived that can still be read and served.
+A close over input that lies unread in the system's buffer resets the connection, and the reset can destroy an
+answer that the client has not read. So a connection is closed in three steps: the sending side is shut (the
+last answer leaves first), further input is read and discarded for a bounded time, and then the descriptor is
+closed. A request that is read after the shut is never forwarded; its client sees the end of the connection
+without an answer and retries elsewhere. Before the shut, polling the system's buffer tells whether a request
+has arrived that can still be served.
 
-A client that has gone shows as the end of what can be read. A connection that is not being read, since
-requests wait on it or no host takes its body, is looked at for that instead.
+A client's disconnect is noticed as the end of its input. A connection that is not being read, because
+requests wait on it or no host takes its body, is polled for that instead (`HangUpDetector`).
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 import select
 from typing import Final, Protocol
 
-LINGER_TIMEOUT_S: Final = 1.0  # how long after the shut the client is waited for
-MAX_LINGER_BYTES: Final = 1024 * 1024  # how much is read and forgotten meanwhile
+LINGER_TIMEOUT_S: Final = 1.0  # after the shut, until the descriptor is closed at the latest
+MAX_LINGER_BYTES: Final = 1024 * 1024  # of input that is discarded meanwhile
 HANG_UP_CHECK_INTERVAL_S: Final = (
     0.04  # spacing of the looks: an attempt for a client that left 0.1 s ago breaks a rule
 )
@@ -34,12 +34,12 @@
 
 
 def has_unread_input(transport: asyncio.Transport) -> bool:
-    """Whether anything has come, or the end has, that the loop has not read yet."""
+    """Whether input, or its end, has arrived that the loop has not read yet."""
     return not transport.is_closing() and _poll(transport, select.POLLIN) != 0
 
 
 def peer_has_closed(transport: asyncio.Transport) -> bool:
-    """Whether the other side has closed or reset, though something may lie unread before that."""
+    """Whether the other side has closed or reset, even if there is unread input before that."""
     return not transport.is_closing() and _poll(transport, PEER_SHUTDOWN_EVENT) & HANG_UP_EVENTS != 0
 
 
@@ -49,11 +49,11 @@
     transport: asyncio.Transport
 
     def on_hang_up(self) -> None:
-        """Its client has gone."""
+        """Its client has disconnected."""
 
 
 class HangUpDetector:
-    """Looks after the connections that are not being read."""
+    """Polls the connections that are not being read for their client's disconnect."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -61,13 +61,13 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def watch(self, connection: PausedConnection) -> None:
-        """It is read no more for now."""
+        """Start to poll a connection: it is not being read."""
         self._connections[connection] = None
         if self._timer is None:
             self._timer = self._loop.call_later(HANG_UP_CHECK_INTERVAL_S, self._check)
 
     def forget(self, connection: PausedConnection) -> None:
-        """It is read again, or gone."""
+        """Stop to poll a connection: it is read again, or closed."""
         self._connections.pop(connection, None)
 
     def _check(self) -> None:
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -22,7 +22,7 @@
 from hillmux.net.http1 import Response
 from hillmux.net.listener import Listener
 from hillmux.net.platform_gateway import PlatformGateway
-from hillmux.net.streaming import StreamingUpstreamConnection, StreamingUpstreamPool
+from hillmux.net.streaming_upstream import StreamingUpstreamConnection, StreamingUpstreamPool
 
 log = logging.getLogger(__name__)
 
--- a/hillmux/net/platform_gateway.py
+++ b/hillmux/net/platform_gateway.py
@@ -24,12 +24,8 @@
 from hillmux.net.http1 import Response
 from hillmux.net.listener import Listener
 from hillmux.net.loop_lag import LoopLagMonitor
-from hillmux.net.streaming import (
-    STREAMED_REQUEST_TIMEOUT_S,
-    StreamingClientConnection,
-    StreamingUpstreamConnection,
-    StreamingUpstreamPool,
-)
+from hillmux.net.streaming_client import STREAMED_REQUEST_TIMEOUT_S, StreamingClientConnection
+from hillmux.net.streaming_upstream import StreamingUpstreamConnection, StreamingUpstreamPool
 
 UPSTREAM_SOCKET_SHARE: Final = 0.36  # of the process's sockets
 # How long a start waits for discovery before it serves with the list it was given. Discovery answers at once,
--- a/hillmux/net/requests.py
+++ b/hillmux/net/requests.py
@@ -1,10 +1,10 @@
-"""What a client's request may say: its framing, its headers and the `ForwardRequest` made of them; no I/O."""
+"""Checks a client's request, its framing and headers, and makes a `ForwardRequest` of it; no I/O."""
 
 from __future__ import annotations
 
 import re
 from functools import lru_cache
-from typing import Any, Final
+from typing import Any, Final, NamedTuple
 
 from hillmux import interface as api
 from hillmux.interface import Idempotency
@@ -27,14 +27,14 @@
     )
 )
 VISIBLE_TOKEN: Final = re.compile(rb"[!-~]{1,128}")
-CUSTOMER_KEY: Final = re.compile(rb"0{7}[01][0-9a-fA-F]{8}")  # 33 bits
+CUSTOMER_KEY: Final = re.compile(rb"0{7}[01][0-9a-fA-F]{8}")  # 33 bits in hexadecimal
 DEADLINE_VALUE: Final = re.compile(rb"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
 UNITS_VALUE: Final = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 INTEGER_VALUE: Final = re.compile(r"[0-9]{1,6}")
 
 
 class BadRequestError(ValueError):
-    """A request that is turned away, and its connection closed."""
+    """A request that is rejected with `status`."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -42,7 +42,7 @@
 
 
 class RejectedRequest:
-    """A request that could not be read, in the queue where its answer has its turn."""
+    """A request that could not be parsed, in the queue so that it is answered in its turn."""
 
     __slots__ = ("status",)
 
@@ -51,7 +51,7 @@
 
 
 class RequestMessage:
-    """One request as parsed."""
+    """One request as parsed. Times are the event loop's, but for `read_at`."""
 
     __slots__ = (
         "url",
@@ -76,27 +76,38 @@
         self.body_bytes = 0
         self.method = b""
         self.keep_alive = True
-        self.head_bytes = 0  # bytes of its headers
-        self.has_duplicate_header = False  # a header that we go by came twice
-        self.read_at = 0.0
-        self.body_started_at = self.last_data_at = (
-            0.0  # when its head was whole, and when more of its body came last
-        )
-        self.streamed_body: Any = None  # its body, if that is passed on as it comes
-        self.is_http_1_0 = False  # HTTP/1.0, where that is looked at
+        self.head_bytes = 0  # of its headers
+        self.has_duplicate_header = False  # one of the headers that are kept
+        self.read_at = 0.0  # when its last byte was read, by time.monotonic
+        self.body_started_at = 0.0  # 0: not noted yet
+        self.last_data_at = 0.0  # when a byte of its body arrived last
+        self.streamed_body: Any = None  # a `StreamedBody`, if its body is streamed
+        self.is_http_1_0 = False  # set only by the listener of many tenants
+
+
+class QuotaInfo(NamedTuple):
+    """The header Quota-Info."""
+
+    units: float
+    replicas: int  # gateways that this customer's requests may come through
+    first_replica: int
 
 
 class RequestRules:
-    """What a request may name: classes and plans as they stand in its headers, units, sets of gateways."""
+    """What requests may name: classes and plans by their bytes in a header, and bounds of Quota-Info."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.classes = {c.name.encode(): c for c in settings.classes}
         self.plans = {p.name.encode(): p.name for p in settings.plans}
         self._max_units, self._fleet_size = settings.max_request_units, settings.fleet_size
-        self.quota_info = lru_cache(maxsize=1024)(self._quota_info)  # a few values make up all traffic
+        self.quota_info = lru_cache(maxsize=1024)(self._quota_info)  # few values occur in all traffic
+
+    def _quota_info(self, value: bytes) -> QuotaInfo:
+        """Parse a value such as `units=2,spread=3,first=1`.
 
-    def _quota_info(self, value: bytes) -> tuple[float, int, int]:
-        """`units=2,spread=3,first=1`. Guards quotas and ceilings, in which a wild figure would stay."""
+        Raises:
+            BadRequestError: it is malformed, or a number is out of range and would distort a quota for long.
+        """
         fields = dict(part.strip().partition("=")[::2] for part in value.decode("latin-1").split(","))
         units, spread, first = (fields.get(name, "") for name in ("units", "spread", "first"))
         if not (
@@ -111,47 +122,53 @@
             and int(first) < self._fleet_size
         ):
             raise BadRequestError("Quota-Info: out of range")
-        return float(units), int(spread), int(first)
+        return QuotaInfo(float(units), int(spread), int(first))
 
 
-def parse_request(message: RequestMessage, terms: RequestRules) -> ForwardRequest:
-    """A request for `/api/` as a `ForwardRequest`; BadRequestError where it breaks the protocol."""
+def parse_request(message: RequestMessage, rules: RequestRules) -> ForwardRequest:
+    """A request for `/api/` as a `ForwardRequest`, with at most its class's deadline.
+
+    Raises:
+        BadRequestError: it breaks the protocol.
+    """
     headers = message.headers
     path, _, _ = message.url.partition(b"?")
     customer = path.rpartition(b"/")[2]
     if not CUSTOMER_KEY.fullmatch(customer):
         raise BadRequestError("customer")
-    cls = terms.classes.get(headers.get(b"x-class", b""))
-    plan = terms.plans.get(headers.get(b"plan", b""))
-    if cls is None or plan is None:
+    request_class = rules.classes.get(headers.get(b"x-class", b""))
+    plan = rules.plans.get(headers.get(b"plan", b""))
+    if request_class is None or plan is None:
         raise BadRequestError("class or plan")
     deadline = DEADLINE_VALUE.fullmatch(headers.get(b"x-deadline", b""))
     if deadline is None:
         raise BadRequestError("X-Deadline")
     time_left_ms = float(deadline[1]) / (1 if deadline[2] == b"m" else 1000)
-    units, width, first = terms.quota_info(headers.get(b"quota-info", b""))
-    # No client of a class waits for longer than its deadline, whatever it says.
+    quota_info = rules.quota_info(headers.get(b"quota-info", b""))
     return ForwardRequest(
         headers.get(b"x-request-id", b""),
-        cls.name,
+        request_class.name,
         plan,
         customer.decode().lower(),
-        min(time_left_ms, cls.deadline_ms),
-        units,
-        width,
-        first,
+        min(time_left_ms, request_class.deadline_ms),
+        quota_info.units,
+        quota_info.replicas,
+        quota_info.first_replica,
         headers.get(b"x-retry") == b"1",
         message.read_at,
-        _head(message, cls),
+        _encode_head(message, request_class),
         b"".join(message.body),
         streamed_body=message.streamed_body,
     )
 
 
-def check_framing(message: RequestMessage, longest: int = MAX_BUFFERED_BODY_BYTES) -> None:
-    """Turn away at its head what could be read in two ways, or is longer than may be passed on.
+def check_framing(message: RequestMessage, max_body_bytes: int = MAX_BUFFERED_BODY_BYTES) -> None:
+    """Check that a head frames the body in one way only, and within `max_body_bytes`.
+
+    Otherwise a request could be smuggled in another's body.
 
-    Guards against a request hidden in another's body: which bytes are body must not be a matter of opinion.
+    Raises:
+        BadRequestError: the framing is ambiguous (400), or the body too long (413).
     """
     length = message.headers.get(b"content-length")
     coding = message.headers.get(b"transfer-encoding")
@@ -161,24 +178,29 @@
         raise BadRequestError("Transfer-Encoding")
     if length is not None and not length.isdigit():
         raise BadRequestError("Content-Length")
-    if length is not None and int(length) > longest:
+    if length is not None and int(length) > max_body_bytes:
         raise BadRequestError("Content-Length", 413)
 
 
-def _head(message: RequestMessage, cls: api.RequestClass) -> bytes:
-    """The head for the host: method, path, query, id and key unchanged."""
+def _encode_head(message: RequestMessage, request_class: api.RequestClass) -> bytes:
+    """The head for the host: method, path, query, id and key unchanged.
+
+    The method must suit the class: a request that is not idempotent must not come as one that is.
+    """
     headers, key = message.headers, message.headers.get(b"idempotency-key")
-    rid = headers.get(b"x-request-id", b"")
-    if not VISIBLE_TOKEN.fullmatch(rid) or (key is not None and not VISIBLE_TOKEN.fullmatch(key)):
+    request_id = headers.get(b"x-request-id", b"")
+    if not VISIBLE_TOKEN.fullmatch(request_id) or (key is not None and not VISIBLE_TOKEN.fullmatch(key)):
         raise BadRequestError("X-Request-Id or Idempotency-Key")
-    # A class that may not simply be repeated must not come as a method that may.
-    if message.method != (b"GET" if cls.idempotency == Idempotency.IDEMPOTENT else b"POST"):
+    if message.method != (b"GET" if request_class.idempotency == Idempotency.IDEMPOTENT else b"POST"):
         raise BadRequestError("method")
-    if (cls.idempotency == Idempotency.KEYED and key is None) or (
-        cls.idempotency == Idempotency.IDEMPOTENT and message.body_bytes
+    if (request_class.idempotency == Idempotency.KEYED and key is None) or (
+        request_class.idempotency == Idempotency.IDEMPOTENT and message.body_bytes
     ):
         raise BadRequestError("Idempotency-Key or body")
-    lines = [b"%b %b HTTP/1.1\r\nHost: upstream\r\nX-Request-Id: %b\r\n" % (message.method, message.url, rid)]
+    lines = [
+        b"%b %b HTTP/1.1\r\nHost: upstream\r\nX-Request-Id: %b\r\n"
+        % (message.method, message.url, request_id)
+    ]
     if key is not None:
         lines.append(b"Idempotency-Key: %b\r\n" % key)
     if message.method == b"POST":
--- /dev/null
+++ b/hillmux/net/streaming_client.py
@@ -0,0 +1,183 @@
+"""The client side of streaming: long request bodies received, and long responses sent."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from typing import TYPE_CHECKING, Any, ClassVar, Final
+
+from hillmux.net.client_connection import ClientConnection
+from hillmux.net.client_timeouts import is_receiving_too_slowly
+from hillmux.net.http1 import Response
+from hillmux.net.listener import Listener
+from hillmux.net.requests import BadRequestError
+from hillmux.net.streamed_body import StreamedBody
+
+if TYPE_CHECKING:
+    from hillmux.net.streaming_upstream import StreamingUpstreamConnection
+
+MAX_STREAMED_REQUEST_BYTES: Final = 33 * 1024 * 1024
+STREAMED_REQUEST_TIMEOUT_S: Final = 600.0  # for a body to arrive
+
+
+class StreamingClientConnection(ClientConnection):
+    """A client's connection with streamed bodies and responses."""
+
+    max_body_bytes = MAX_STREAMED_REQUEST_BYTES
+    max_request_bytes = 4 * MAX_STREAMED_REQUEST_BYTES  # small chunks have long lines
+
+    def __init__(self, listener: StreamingListener) -> None:
+        super().__init__(listener)
+        self._receiving: set[StreamingClientConnection] = listener.receiving
+        self._incoming_body: StreamedBody | None = None  # of the request that is being read
+        self._upstream: StreamingUpstreamConnection | None = None  # of the response that is being streamed
+        self._response_chunked = False
+
+    # Request bodies
+
+    def on_oversized_body(self, data: bytes) -> None:
+        """Stream the body from here on.
+
+        Raises:
+            BadRequestError: it exceeds MAX_STREAMED_REQUEST_BYTES (413).
+        """
+        message = self._message
+        assert message is not None
+        if self._incoming_body is None:
+            length = message.headers.get(b"content-length")
+            self._incoming_body = message.streamed_body = StreamedBody(
+                self, None if length is None else int(length)
+            )
+            for piece in message.body:
+                self._incoming_body.add_data(piece)
+            message.body.clear()
+            message.read_at = time.monotonic()
+            message.keep_alive = self._parser.should_keep_alive()
+            self._queue.append(message)  # it is taken in its turn, like a complete one
+            self._receiving.add(self)
+        if message.body_bytes > MAX_STREAMED_REQUEST_BYTES:
+            self._parse_error_status = 413
+            raise BadRequestError("body", 413)
+        self._incoming_body.add_data(data)
+
+    def on_streamed_body_complete(self) -> None:
+        """The last byte of a streamed body has arrived."""
+        upload = self._incoming_body
+        assert upload is not None
+        self._message = self._incoming_body = None
+        self._received_bytes = 0
+        self._receiving.discard(self)
+        if not self._answer_due and not self._closing:
+            self._listener.mark_idle(self)  # it was answered before its body was complete
+        upload.finish()
+
+    def pause_body(self, pause: bool) -> None:
+        """Pause reading a body that no host takes, or resume."""
+        self._body_paused = pause
+        if not self._taking_requests:
+            self._update_reading()
+
+    def _reject(self, status: int) -> None:
+        """Also reject a streamed request that waits in the queue or is open: its body cannot be completed."""
+        upload, self._incoming_body = self._incoming_body, None
+        if upload is None or self._closing:
+            super()._reject(status)
+            return
+        self._receiving.discard(self)
+        message, self._message = self._message, None
+        if message is not None and message in self._queue:
+            self._queue.remove(message)
+            super()._reject(status)
+        elif upload.discarded or self._request_id is None:
+            self._close_gracefully()  # it has been answered
+        else:
+            self._keep_alive = False
+            self._handler.abort_request(self._request_id, status)
+        upload.discard()
+
+    def check_body_timeout(self, now: float) -> None:
+        """Reject a body that stalls, unless it waits for a host."""
+        message = self._message
+        if message is not None and not self._body_paused and is_receiving_too_slowly(message, now):
+            self._reject(408)
+            self._take_requests()
+
+    # Responses
+
+    def start_response(self, response: Response, source: StreamingUpstreamConnection) -> None:
+        """Write the head of a streamed response, which `source` receives; the body follows."""
+        self._upstream = source
+        is_http_1_0 = self._parser.get_http_version() == "1.0"
+        self._response_chunked = response.content_length is None and not is_http_1_0
+        self._keep_alive = self._keeps_alive() and (
+            response.content_length is not None or self._response_chunked
+        )
+        lines = [b"HTTP/1.1 %d OK\r\n" % response.status]
+        if response.content_length is not None:
+            lines.append(b"Content-Length: %d\r\n" % response.content_length)
+        elif self._response_chunked:
+            lines.append(b"Transfer-Encoding: chunked\r\n")
+        content_type = response.headers.get(b"content-type")
+        if content_type:
+            lines.append(b"Content-Type: %b\r\n" % content_type)
+        lines.append(b"\r\n" if self._keep_alive else b"Connection: close\r\n\r\n")
+        self.transport.write(b"".join(lines))
+
+    def write_response_data(self, data: bytes) -> None:
+        """Write more of the response's body."""
+        if not self.transport.is_closing():
+            self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self._response_chunked else data)
+
+    def finish_response(self) -> None:
+        """The response is complete: write its end."""
+        self._upstream = None
+        self._request_id, self._answer_due, self.answered, self._streamed_body = None, False, True, None
+        if self.transport.is_closing():
+            return
+        self._listener.mark_idle(self)
+        if self._response_chunked:
+            self.transport.write(b"0\r\n\r\n")
+        self._after_answer(self._keep_alive)
+
+    def abort_response(self) -> None:
+        """The response cannot be completed: the client can tell by the connection's end."""
+        self._upstream = self._request_id = None
+        self._closing = True
+        self.transport.abort()
+
+    def pause_writing(self) -> None:
+        """The client reads too slowly: also pause reading its response from the host."""
+        super().pause_writing()
+        if self._upstream is not None:
+            self._upstream.pause_response(True)
+
+    def resume_writing(self) -> None:
+        """The client reads again: also resume reading from the host."""
+        if self._upstream is not None:
+            self._upstream.pause_response(False)
+        super().resume_writing()
+
+    def _on_client_disconnected(self) -> None:
+        self._receiving.discard(self)
+        upload, self._incoming_body = self._incoming_body, None
+        if upload is not None:
+            upload.discarded = True
+        super()._on_client_disconnected()
+
+
+class StreamingListener(Listener[StreamingClientConnection]):
+    """Accepts clients whose long bodies and responses are streamed."""
+
+    connection_type: ClassVar[type[Any]] = StreamingClientConnection
+
+    def __init__(self, handler: Any, loop: asyncio.AbstractEventLoop, sockets: int) -> None:
+        super().__init__(handler, loop, sockets)
+        self.receiving: set[StreamingClientConnection] = (
+            set()
+        )  # those with a streamed body that is not complete
+
+    def _check_timeouts(self) -> None:
+        now = self.loop.time()
+        for connection in list(self.receiving):
+            connection.check_body_timeout(now)
+        super()._check_timeouts()
--- /dev/null
+++ b/hillmux/net/streaming_upstream.py
@@ -0,0 +1,146 @@
+"""The host side of streaming: long request bodies sent, and long responses received."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any, ClassVar, Final
+
+from hillmux.interface import AttemptResult
+from hillmux.net.attempt import Attempt
+from hillmux.net.http1 import BODILESS_STATUSES, Response
+from hillmux.net.upstream_connection import UpstreamConnection
+from hillmux.net.upstream_pool import UpstreamPool
+
+if TYPE_CHECKING:
+    from hillmux.net.streaming_client import StreamingClientConnection
+
+STREAM_STALL_TIMEOUT_S: Final = 15.0  # a slow client empties the buffers every 5 s
+
+
+class StreamingUpstreamConnection(UpstreamConnection):
+    """A connection to a host with streamed bodies and responses."""
+
+    accepts_streams = True
+
+    def __init__(self, pool: StreamingUpstreamPool, host: Any) -> None:
+        super().__init__(pool, host)
+        self._streaming_pool = pool
+        self.client: StreamingClientConnection | None = None  # that the response is streamed to
+        self.write_paused = False  # the host does not read
+        self.last_data_at = 0.0
+        self._body_written = True
+
+    def start_streamed_body(self, attempt: Attempt) -> None:
+        """Attach the attempt's body; `unsent` stays set until its last byte has left."""
+        self._body_written = False
+        self.unsent = True
+        if attempt.streamed_body is not None:
+            attempt.streamed_body.attach(self)
+
+    def write_body_data(self, data: bytes) -> None:
+        """Write more of a body."""
+        self.transport.write(data)
+
+    def finish_body(self, data: bytes) -> None:
+        """Write the end of a body, which may be empty."""
+        if data:
+            self.transport.write(data)
+        self._body_written = True
+        self.unsent = self.transport.get_write_buffer_size() > 0
+        if not self.unsent and self.attempt is not None:
+            self._streaming_pool.on_body_written(self.attempt)
+
+    def pause_writing(self) -> None:
+        """The host reads too slowly: pause reading the body from the client."""
+        self.write_paused = True
+        if (
+            self.attempt is not None
+            and self.attempt.streamed_body is not None
+            and not self.attempt.streamed_body.complete
+        ):
+            self.attempt.streamed_body.client.pause_body(True)
+
+    def resume_writing(self) -> None:
+        """The write buffer has drained: resume reading from the client, or all of the request has left."""
+        self.write_paused = False
+        if self._body_written:
+            super().resume_writing()
+        elif self.attempt is not None and self.attempt.streamed_body is not None:
+            self.attempt.streamed_body.client.pause_body(False)
+
+    def on_stream_start(self, response: Response) -> bool:
+        """Start a long response at the client; False where it may not be forwarded."""
+        attempt = self.attempt
+        self.client = (
+            self._streaming_pool.start_stream(self, attempt, response) if attempt is not None else None
+        )
+        self.last_data_at = asyncio.get_running_loop().time()
+        return self.client is not None
+
+    def on_stream_data(self, data: bytes) -> None:
+        """Forward more of a long response to the client, and note when it arrived."""
+        self.last_data_at = asyncio.get_running_loop().time()
+        if self.client is not None:
+            self.client.write_response_data(data)
+
+    def pause_response(self, pause: bool) -> None:
+        """Pause reading a response whose client does not read, or resume."""
+        if not self.transport.is_closing():
+            (self.transport.pause_reading if pause else self.transport.resume_reading)()
+
+
+class StreamingUpstreamPool(UpstreamPool):
+    """Sends attempts whose bodies and responses may be streamed."""
+
+    connection_class: ClassVar[type[Any]] = StreamingUpstreamConnection
+    on_stream_started: Callable[
+        [Attempt, Response, StreamingUpstreamConnection], StreamingClientConnection | None
+    ]
+
+    def on_body_complete(self, attempt: Attempt) -> None:
+        """The body's last byte has arrived: the attempt's time-out runs from now on."""
+        if not attempt.done:
+            attempt.sent_at = time.monotonic()
+            self.timeouts.cancel(attempt, attempt.timeout_slot)
+            attempt.timeout_slot = self.timeouts.add(attempt, attempt.timeout_s)
+
+    def on_body_written(self, attempt: Attempt) -> None:
+        """The last byte of an attempt with a streamed body has been written."""
+
+    def start_stream(
+        self, connection: StreamingUpstreamConnection, attempt: Attempt, response: Response
+    ) -> StreamingClientConnection | None:
+        """A long response begins; the client that it goes to, if it may."""
+        if (
+            attempt.done
+            or self.classify(response) != AttemptResult.OK
+            or response.status in BODILESS_STATUSES
+        ):
+            return None
+        client = self.on_stream_started(attempt, response, connection)
+        if client is not None:
+            self.timeouts.cancel(attempt, attempt.timeout_slot)
+            self.streams[attempt] = connection
+        return client
+
+    def time_out(self, attempt: Attempt) -> None:
+        if attempt not in self.streams:  # one may begin while its time-out waits for a turn of the loop
+            super().time_out(attempt)
+
+    def end_streams(self, attempt: Attempt) -> None:
+        connection = self.streams.pop(attempt, None)
+        if connection is not None:
+            connection.client = None
+        if attempt.streamed_body is not None:
+            attempt.streamed_body.detach(attempt.connection)
+
+    def close_expired(self) -> None:
+        """Also end as timed out the responses that have stalled for STREAM_STALL_TIMEOUT_S."""
+        super().close_expired()
+        before = self.loop.time() - STREAM_STALL_TIMEOUT_S
+        for attempt, connection in list(self.streams.items()):
+            if connection.last_data_at < before:
+                self.abandon(attempt)
+                self.finish(attempt, AttemptResult.TIMED_OUT)
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -196,14 +196,15 @@
 
     async def scenario() -> None:
         desk = Desk()
-        shutdown = Shutdown(Failing(desk), desk.server, asyncio.get_running_loop())
+        gateway = Failing(desk)
+        shutdown = Shutdown(gateway, desk.server, asyncio.get_running_loop())
         client, never = desk.connect(), desk.connect()
         for sock in (client, never):
             sock.sendall(message(rid=b"open"))
         await desk.takes(2)
-        shutdown._gateway.draining = desk.draining = True
-        shutdown._stop_accepting()
-        shutdown._fail_open_requests()
+        gateway.draining = desk.draining = True
+        shutdown.stop_accepting()
+        shutdown.fail_open_requests()
         client.sendall(message(rid=b"behind"))  # unread when the answers are written
         assert not shutdown.done.is_set()
         await asyncio.sleep(0.04)
--- a/tests/fakes/desk.py
+++ b/tests/fakes/desk.py
@@ -9,7 +9,7 @@
 
 from hillmux.net.config import parse
 from hillmux.net.forward_request import Client, ForwardRequest
-from hillmux.net.streaming import StreamingListener
+from hillmux.net.streaming_client import StreamingListener
 
 
 class Desk:
--- a/tests/net/test_sending_races.py
+++ b/tests/net/test_sending_races.py
@@ -25,7 +25,7 @@
 from hillmux.net.counter_client import CONNECTIONS, HttpCounterClient
 from hillmux.net.discovery_response import parse_discovery_response
 from hillmux.net.gateway_core import GatewayCore
-from hillmux.net.streaming import StreamingListener
+from hillmux.net.streaming_client import StreamingListener
 
 LONG_MS = 5000.0
 
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -12,7 +12,8 @@
 from fakes.raw import Peer, RawHost, Script
 
 from hillmux.net.http1 import MAX_BUFFERED_BODY_BYTES
-from hillmux.net.streaming import MAX_REPLAYABLE_BYTES, MAX_STREAMED_REQUEST_BYTES
+from hillmux.net.streamed_body import MAX_REPLAYABLE_BYTES
+from hillmux.net.streaming_client import MAX_STREAMED_REQUEST_BYTES
 
 LONG = 300_000
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: x/y\r\n\r\n"
