--- a/tests/crossings/test_clients_that_leave.py
+++ b/tests/net/test_client_disconnects.py
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
 @pytest.mark.parametrize("size", [0, 60_000])
-def test_one_that_sends_much_at_once_and_goes(tmp_path: Path, how: str, size: int) -> None:
+def test_pipelined_requests_are_dropped_when_client_disconnects(tmp_path: Path, how: str, size: int) -> None:
     """What stands behind the open request is never sent on, however much of it lies unread."""
 
     async def scenario() -> None:
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_one_that_goes_while_no_host_takes_its_body(tmp_path: Path, how: str) -> None:
+def test_disconnect_is_noticed_while_body_is_paused(tmp_path: Path, how: str) -> None:
     """Its connection is not being read then: the end is seen all the same, and the dial called off."""
 
     async def scenario() -> None:
@@ -83,7 +83,7 @@
     on_loop(scenario, 10)
 
 
-def test_one_that_ends_its_side_and_does_not_read_its_answer(tmp_path: Path) -> None:
+def test_half_closed_client_that_does_not_read_is_closed(tmp_path: Path) -> None:
     """A close waits for the client to read what was answered: what is open for it must not wait, too."""
 
     async def scenario() -> None:
@@ -115,7 +115,7 @@
     on_loop(scenario, 8)
 
 
-def test_long_bodies_behind_open_requests_have_their_turn(tmp_path: Path) -> None:
+def test_long_bodies_behind_open_requests_are_taken_in_turn(tmp_path: Path) -> None:
     """More than is read ahead waits with the client, and nothing of it is lost."""
 
     async def scenario() -> None:
@@ -148,7 +148,7 @@
     on_loop(scenario, 20)
 
 
-def test_one_that_pipelines_and_stays_gets_all_in_order(tmp_path: Path) -> None:
+def test_pipelining_client_gets_all_answers_in_order(tmp_path: Path) -> None:
     """Reading on behind an open request loses and reorders nothing."""
 
     async def scenario() -> None:
--- a/tests/crossings/test_closing.py
+++ b/tests/net/test_connection_close.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("closes", CLOSES)
-def test_a_request_that_has_arrived_is_served_though_its_connection_was_to_be_closed(
+def test_arrived_request_is_served_before_its_connection_closes(
     closes: Callable[[Desk], None],
 ) -> None:
     async def scenario() -> None:
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("closes", CLOSES)
-def test_an_answer_that_was_just_written_leaves_whole(closes: Callable[[Desk], None]) -> None:
+def test_answer_just_written_is_sent_before_close(closes: Callable[[Desk], None]) -> None:
     async def scenario() -> None:
         desk = Desk()
         client = desk.connect()
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("closes", [drain, sweep])
-def test_a_request_that_comes_after_the_close_is_not_taken_and_resets_nothing(
+def test_request_after_close_is_not_taken_and_resets_nothing(
     closes: Callable[[Desk], None],
 ) -> None:
     """Its client sees an end in good order, without an answer, and asks elsewhere."""
@@ -94,7 +94,7 @@
     on_loop(scenario, 5)
 
 
-def test_an_answer_that_closes_is_not_taken_along_by_what_came_behind_its_request() -> None:
+def test_last_answer_survives_unread_input_behind_its_request() -> None:
     async def scenario() -> None:
         desk = Desk()
         client = desk.connect()
@@ -113,7 +113,7 @@
     on_loop(scenario, 5)
 
 
-def test_what_a_client_sends_after_the_end_is_read_for_a_while_and_no_longer() -> None:
+def test_input_after_close_is_discarded_for_a_bounded_time() -> None:
     async def scenario() -> None:
         desk = Desk()
         client = desk.connect()
@@ -132,7 +132,7 @@
     on_loop(scenario, 10)
 
 
-def test_a_drain_answers_what_waits_behind_an_open_request() -> None:
+def test_drain_answers_requests_behind_the_open_one() -> None:
     async def scenario() -> None:
         desk = Desk()
         client = desk.connect()
@@ -153,7 +153,7 @@
     on_loop(scenario, 5)
 
 
-def test_a_drain_leaves_a_new_connection_time_for_its_first_request() -> None:
+def test_drain_leaves_new_connection_time_for_its_first_request() -> None:
     async def scenario() -> None:
         desk = Desk()
         client, silent = desk.connect(), desk.connect()
@@ -175,7 +175,7 @@
     on_loop(scenario, 5)
 
 
-def test_the_end_of_listening_takes_all_that_has_come() -> None:
+def test_stop_accepting_takes_all_waiting_clients() -> None:
     async def scenario() -> None:
         desk = Desk()
         clients = [desk.connect() for _ in range(3 * MAX_ACCEPTS_PER_TURN)]
@@ -191,7 +191,7 @@
     on_loop(scenario, 10)
 
 
-def test_the_process_ends_after_its_last_answers_have_left() -> None:
+def test_shutdown_ends_after_last_answers_have_left() -> None:
     """A client that is slow to read its last answer, or never does, holds the end up for a bounded time."""
 
     async def scenario() -> None:
--- a/tests/crossings/test_descriptors.py
+++ b/tests/net/test_descriptor_limits.py
@@ -16,7 +16,7 @@
     return reply(b"served")
 
 
-def test_those_who_ask_get_in_and_what_discovery_tells_at_its_return_holds(tmp_path: Path) -> None:
+def test_clients_and_discovery_are_served_when_descriptors_run_out(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, serve, sockets=MOST) as rig:
             drained, stays = rig.hosts
@@ -54,7 +54,7 @@
     on_loop(scenario, 15)  # a silent watch alone took 22 s before
 
 
-def test_who_gives_way_has_gone_before_the_next_one_is_accepted() -> None:
+def test_evicted_connection_is_closed_before_next_accept() -> None:
     """A close takes a turn of the loop: what hosts, counter and discovery were to have is not lent out."""
 
     async def scenario() -> None:
--- /dev/null
+++ b/tests/net/test_discovery_and_counter.py
@@ -0,0 +1,96 @@
+"""Discovery and the counter as the real program meets them."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+from conftest import (
+    Rig,
+    Seen,
+    adding,
+    instance,
+    message,
+    on_loop,
+    reply,
+)
+from fakes.host_behaviours import reset, serve, silent
+
+
+def test_draining_host_gets_no_new_request_and_full_list_replaces(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with Rig(tmp_path, serve, serve) as rig:
+            await rig.directory.tell([instance("s-0", rig.hosts[0].port, "draining")])
+            for i in range(6):
+                assert await rig.status(message(rid=b"id-%d" % i)) == 200
+            assert len(rig.hosts[0].seen) == 0
+            await rig.directory.tell([instance("s-0", rig.hosts[0].port)], whole=True)  # s-1 is not in it
+            await rig.hosts[1].until(lambda fake: fake.closed > 0)  # its kept connection goes
+            for i in range(6):
+                assert await rig.status(message(rid=b"more-%d" % i)) == 200
+            assert (len(rig.hosts[0].seen), len(rig.hosts[1].seen)) == (6, 6)
+
+    on_loop(scenario, 10)  # before an idle connection would be retired
+
+
+def test_host_may_change_its_address(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with Rig(tmp_path, serve, serve) as rig:
+            await rig.directory.tell([instance("s-1", rig.hosts[1].port, "gone")])
+            assert await rig.status(message(rid=b"before")) == 200
+            await rig.directory.tell([instance("s-0", rig.hosts[1].port)])
+            assert await rig.status(message(rid=b"moved")) == 200
+            assert [s.headers["x-request-id"] for s in rig.hosts[1].seen] == ["moved"]
+
+    on_loop(scenario)
+
+
+@pytest.mark.parametrize(
+    "nonsense",
+    [
+        reply(b"{"),
+        reply(b'{"generation":9,"reset":true,"instances":[{}]}'),
+        reply(b"", 500),
+        b"nonsense\r\n\r\n",
+    ],
+)
+def test_malformed_discovery_response_keeps_the_endpoints(tmp_path: Path, nonsense: bytes) -> None:
+    async def scenario() -> None:
+        async with Rig(tmp_path, serve) as rig:
+            await rig.directory.answer_watch(lambda: nonsense)  # returns once it has asked again
+            assert await rig.status(message()) == 200
+
+    on_loop(scenario, 12)  # before the watch's own time-out would begin a new one
+
+
+def test_requests_are_served_while_counter_fails(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with Rig(tmp_path, serve) as rig:
+            for i, behave in enumerate((silent, reset, lambda _: reply(b"", 503), lambda _: reply(b"x"))):
+                rig.counter.behave = behave
+                for j in range(3):  # a customer not seen before makes the module ask
+                    data = message(rid=b"%d-%d" % (i, j), customer=f"{1 + 3 * i + j:016x}")
+                    assert await rig.status(data) == 200
+            rig.counter.stop()
+            assert await rig.status(message(rid=b"last", customer="0000000000000099")) == 200
+
+    on_loop(scenario)
+
+
+def test_counter_that_closes_connections_is_called_for_every_new_customer(tmp_path: Path) -> None:
+    """One call in three is reset, the others are answered: that is no silent counter."""
+
+    async def scenario() -> None:
+        def behave(seen: Seen) -> bytes:
+            return b"" if len(rig.counter.seen) % 3 == 0 else adding(seen, rig.totals)
+
+        async with Rig(tmp_path, serve) as rig:
+            rig.counter.behave = behave
+            for i in range(40):
+                data = message(rid=b"id-%d" % i, customer=f"{i + 1:016x}")
+                assert await rig.status(data) == 200
+            asked = {seen.line.split("?")[0].partition(".")[0] for seen in rig.counter.seen}
+            assert len(asked) == 40
+            assert not any("failed" in line for line in rig.log)
+
+    on_loop(scenario)
--- a/tests/crossings/test_leases_at_a_drain.py
+++ b/tests/net/test_lease_return.py
@@ -18,7 +18,7 @@
     return [float(seen.line.split("add=")[1].split("&")[0]) for seen in rig.counter.seen]
 
 
-def test_a_process_that_drains_gives_its_leases_back(tmp_path: Path) -> None:
+def test_drain_returns_leases(tmp_path: Path) -> None:
     """Each request counts as two units and takes one; what the second one leaves is leased until SIGTERM."""
 
     async def scenario() -> None:
--- a/tests/crossings/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -24,7 +24,7 @@
         await asyncio.sleep(0.01)
 
 
-def test_what_is_pipelined_behind_an_open_request_is_answered_too(tmp_path: Path) -> None:
+def test_pipelined_requests_are_answered_during_drain(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
             (host,) = rig.hosts
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("again", [None, signal.SIGTERM, signal.SIGHUP])
-def test_hosts_that_hang_through_it_cost_a_failure_that_arrives_whole(
+def test_hanging_hosts_cost_a_complete_failure_answer_at_shutdown(
     tmp_path: Path, again: signal.Signals | None
 ) -> None:
     """Also over further bytes of the client, and with a second signal meanwhile."""
@@ -71,7 +71,7 @@
     on_loop(scenario, 10)
 
 
-def test_nothing_is_sent_on_once_all_that_was_open_has_been_failed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_request_is_forwarded_after_fail_all(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
@@ -90,7 +90,7 @@
     on_loop(scenario, 5)
 
 
-def test_a_connection_that_comes_up_during_the_drain_is_heard(tmp_path: Path) -> None:
+def test_connection_accepted_during_drain_is_served(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, lambda seen: reply(b"served")) as rig:
             await drains(rig)
--- a/tests/test_flows.py
+++ b/tests/net/test_streaming.py
@@ -57,7 +57,7 @@
 # --- Answers ---
 
 
-def test_a_long_answer_begins_before_it_has_come_whole(tmp_path: Path) -> None:
+def test_long_response_starts_before_it_is_complete(tmp_path: Path) -> None:
     async def scenario() -> None:
         go_on = asyncio.Event()
 
@@ -89,7 +89,7 @@
     "size", [10, MAX_BUFFERED_BODY_BYTES - 1, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, LONG]
 )
 @pytest.mark.parametrize("form", ["chunks", "bytes", "close", "old"])
-def test_every_form_of_an_answer_comes_whole(tmp_path: Path, size: int, form: str) -> None:
+def test_every_framing_of_a_response_is_forwarded_whole(tmp_path: Path, size: int, form: str) -> None:
     """In chunks with extensions and trailers, in chunks of a byte, up to the close, as HTTP/1.0 has it."""
 
     async def scenario() -> None:
@@ -116,7 +116,7 @@
     on_loop(scenario)
 
 
-def test_an_answer_that_says_neither_length_nor_close_is_not_waited_for(tmp_path: Path) -> None:
+def test_response_without_length_or_close_is_not_awaited(tmp_path: Path) -> None:
     async def scenario() -> None:
         async def script(peer: Peer) -> None:
             await peer.head()
@@ -129,7 +129,7 @@
     on_loop(scenario, 5)
 
 
-def test_an_old_client_gets_a_long_answer_up_to_the_close(tmp_path: Path) -> None:
+def test_http_1_0_client_gets_long_response_until_close(tmp_path: Path) -> None:
     async def scenario() -> None:
         async def script(peer: Peer) -> None:
             await peer.head()
@@ -148,9 +148,7 @@
 
 @pytest.mark.parametrize("framing", [b"Content-Length: %d" % LONG, b"Transfer-Encoding: chunked"])
 @pytest.mark.parametrize("then", ["reset", "close", "noise"])
-def test_an_answer_that_breaks_off_is_seen_to_be_cut_and_is_not_repeated(
-    tmp_path: Path, framing: bytes, then: str
-) -> None:
+def test_truncated_response_is_visible_and_not_retried(tmp_path: Path, framing: bytes, then: str) -> None:
     async def scenario() -> None:
         seen = []
 
@@ -184,7 +182,7 @@
     on_loop(scenario)
 
 
-def test_a_client_that_leaves_ends_the_answer_at_the_host(tmp_path: Path) -> None:
+def test_response_is_cancelled_at_host_when_client_disconnects(tmp_path: Path) -> None:
     async def scenario() -> None:
         ended = asyncio.Event()
 
@@ -205,7 +203,7 @@
     on_loop(scenario)
 
 
-def test_a_slow_client_holds_the_host_back_and_still_gets_all(tmp_path: Path) -> None:
+def test_slow_client_pauses_the_host_and_gets_whole_response(tmp_path: Path) -> None:
     """What a client does not read is not gathered: the host is held back instead."""
 
     async def scenario() -> None:
@@ -239,7 +237,7 @@
     on_loop(scenario)
 
 
-def test_one_that_says_three_gigabytes_is_not_begun(tmp_path: Path) -> None:
+def test_response_over_the_size_limit_is_not_started(tmp_path: Path) -> None:
     async def scenario() -> None:
         async def script(peer: Peer) -> None:
             await peer.head()
@@ -269,7 +267,7 @@
     "size", [MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, MAX_REPLAYABLE_BYTES + 70_000, 5_000_000]
 )
 @pytest.mark.parametrize("form", ["length", "chunks"])
-def test_every_form_of_a_body_arrives_whole(tmp_path: Path, size: int, form: str) -> None:
+def test_every_framing_of_a_body_is_forwarded_whole(tmp_path: Path, size: int, form: str) -> None:
     async def scenario() -> None:
         seen: list[tuple[str, bytes]] = []
         async with rig_of(tmp_path, echo(seen)) as rig:
@@ -289,7 +287,7 @@
     on_loop(scenario)
 
 
-def test_its_time_runs_from_the_last_byte(tmp_path: Path) -> None:
+def test_deadline_of_streamed_body_runs_from_its_last_byte(tmp_path: Path) -> None:
     async def scenario() -> None:
         seen: list[tuple[str, bytes]] = []
         async with rig_of(tmp_path, echo(seen)) as rig:
@@ -304,7 +302,7 @@
     on_loop(scenario)
 
 
-def test_a_host_that_is_silent_after_the_last_byte_costs_the_deadline(tmp_path: Path) -> None:
+def test_silent_host_after_streamed_body_times_out_at_deadline(tmp_path: Path) -> None:
     async def scenario() -> None:
         async def script(peer: Peer) -> None:
             await peer.body(await peer.head())
@@ -318,7 +316,7 @@
     on_loop(scenario, 8)
 
 
-def test_one_that_is_refused_early_is_read_to_its_end_and_the_connection_goes_on(tmp_path: Path) -> None:
+def test_body_rejected_early_is_read_to_its_end_and_connection_is_kept(tmp_path: Path) -> None:
     async def scenario() -> None:
         seen: list[tuple[str, bytes]] = []
         async with rig_of(tmp_path, echo(seen)) as rig:
@@ -339,7 +337,7 @@
 
 
 @pytest.mark.parametrize("size", [200_000, 1_000_000])
-def test_a_body_that_stands_still_is_answered_and_never_runs(tmp_path: Path, size: int) -> None:
+def test_stalled_body_is_rejected_and_never_runs(tmp_path: Path, size: int) -> None:
     async def scenario() -> None:
         seen: list[tuple[str, bytes]] = []
         async with rig_of(tmp_path, echo(seen)) as rig:
@@ -354,7 +352,7 @@
     on_loop(scenario)
 
 
-def test_a_client_that_leaves_in_its_body_ends_the_attempt(tmp_path: Path) -> None:
+def test_attempt_is_cancelled_when_client_disconnects_during_body(tmp_path: Path) -> None:
     async def scenario() -> None:
         ended: list[bytes] = []
 
@@ -379,9 +377,7 @@
 
 @pytest.mark.parametrize(("size", "status"), [(100_000, "200"), (3_000_000, "503")])
 @pytest.mark.parametrize("turns_away", [True, False])
-def test_a_host_that_will_not_have_it_never_ran_it(
-    tmp_path: Path, size: int, status: str, turns_away: bool
-) -> None:
+def test_body_refused_by_host_is_retried(tmp_path: Path, size: int, status: str, turns_away: bool) -> None:
     """Turned away, or reset, before the last byte: kept whole it goes to another, else it is refused."""
 
     async def scenario() -> None:
@@ -416,7 +412,7 @@
     on_loop(scenario)
 
 
-def test_a_body_without_end_is_turned_away(tmp_path: Path) -> None:
+def test_endless_body_is_rejected(tmp_path: Path) -> None:
     async def scenario() -> None:
         async def script(peer: Peer) -> None:
             await peer.head()
@@ -445,7 +441,7 @@
     on_loop(scenario)
 
 
-def test_a_long_body_behind_an_open_request_has_its_turn(tmp_path: Path) -> None:
+def test_long_body_behind_open_request_is_taken_in_turn(tmp_path: Path) -> None:
     async def scenario() -> None:
         seen: list[tuple[str, bytes]] = []
         go_on = asyncio.Event()
@@ -471,7 +467,7 @@
     on_loop(scenario)
 
 
-def test_blanks_absolute_targets_and_trailers_are_what_they_are(tmp_path: Path) -> None:
+def test_whitespace_absolute_targets_and_trailers_are_understood(tmp_path: Path) -> None:
     async def scenario() -> None:
         seen: list[tuple[str, bytes]] = []
         async with rig_of(tmp_path, echo(seen)) as rig:
@@ -488,7 +484,7 @@
     on_loop(scenario)
 
 
-def test_a_slow_head_is_waited_for(tmp_path: Path) -> None:
+def test_slow_head_is_awaited(tmp_path: Path) -> None:
     async def scenario() -> None:
         seen: list[tuple[str, bytes]] = []
         async with rig_of(tmp_path, echo(seen)) as rig:
