--- a/hillmux/hosted/core.py
+++ b/hillmux/hosted/core.py
@@ -284,7 +284,7 @@
         super().answer(request, status, reply, retry_after_ms)
 
     def pass_on_response(self, client: Client, reply: Response) -> None:
-        cast(Any, client).passing = True
+        cast(Any, client).is_forwarding = True
         cast(Any, client).extra_header_lines = reply.headers.get(LINES_KEPT, b"")
         super().pass_on_response(client, reply)
 
--- a/hillmux/hosted/serve.py
+++ b/hillmux/hosted/serve.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 
 from hillmux.hosted.config import ConfigFaultsError, load
-from hillmux.hosted.front import TenantServer
 from hillmux.hosted.service import Prepared, Service
+from hillmux.hosted.tenant_listener import TenantListener
 from hillmux.net.shutdown import Shutdown
 from hillmux.tenants.model import Address, ServiceConfig, Tenant
 
@@ -115,7 +115,7 @@
     folder = StateFolder(config.state_folder)
     folder.open()
     service = Service(config, loop)
-    server = TenantServer(service, loop, allowed_sockets(config.limits.sockets))
+    server = TenantListener(service, loop, allowed_sockets(config.limits.sockets))
     shutdown = Shutdown(service, server, loop, config.drain_s)
     reloader = Reloader(path, service)
     try:
--- a/hillmux/hosted/service.py
+++ b/hillmux/hosted/service.py
@@ -51,7 +51,7 @@
     core: TenantCore | None = None
     _stats: Stats | None = field(default=None)
     _plans: dict[str, str] | None = field(default=None)
-    _terms: RequestRules | None = field(default=None)
+    _request_rules: RequestRules | None = field(default=None)
 
     @property
     def stats(self) -> Stats:
@@ -68,15 +68,15 @@
         return self._plans
 
     @property
-    def terms(self) -> RequestRules:
+    def request_rules(self) -> RequestRules:
         """What its requests may name."""
-        if self._terms is None:
-            self._terms = RequestRules(self.tenant.settings)
-        return self._terms
+        if self._request_rules is None:
+            self._request_rules = RequestRules(self.tenant.settings)
+        return self._request_rules
 
     def rest(self) -> None:
         """Keep only what cannot be made anew."""
-        self._plans = self._terms = None
+        self._plans = self._request_rules = None
 
 
 def _nobody(tenant_id: str) -> None:
--- a/tests/fakes/hosted.py
+++ b/tests/fakes/hosted.py
@@ -8,8 +8,8 @@
 from conftest import Behave, Fake, Seen, read_message
 
 from fakes.tenants import config, table
-from hillmux.hosted.front import TenantServer
 from hillmux.hosted.service import Service
+from hillmux.hosted.tenant_listener import TenantListener
 from hillmux.tenants.model import ServiceConfig
 
 
@@ -25,7 +25,7 @@
         for host in self.hosts.values():
             await host.start()
         self.service = Service(self.config(), asyncio.get_running_loop(), seed=7)
-        self.server = TenantServer(
+        self.server = TenantListener(
             self.service, asyncio.get_running_loop(), self.service.config.limits.sockets
         )
         self.service.start()
--- a/tests/hosted/test_isolation.py
+++ b/tests/hosted/test_isolation.py
@@ -14,7 +14,7 @@
 from conftest import LOOP, Seen, on_loop
 from fakes.hosted import Hosted, request, serve, status
 
-from hillmux.hosted import front, resources
+from hillmux.hosted import resources, tenant_connection
 from hillmux.hosted import service as service_module
 from hillmux.hosted.resources import CROWDED, UNHEARD, Resources
 from hillmux.tenants.model import Limits
@@ -227,7 +227,9 @@
 def test_answers_beyond_a_tenants_share_of_memory_cut_its_own_clients_off(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(front, "SEND_BUFFER", 4096)  # so that next to nothing leaves the process
+    monkeypatch.setattr(
+        tenant_connection, "SEND_BUFFER_BYTES", 4096
+    )  # so that next to nothing leaves the process
 
     async def scenario() -> None:
         body = b"x" * 64 * 1024
@@ -261,7 +263,7 @@
 
 
 def test_a_client_that_never_reads_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "KEEP_ALIVE_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(tenant_connection, "KEEP_ALIVE_TIMEOUT_S", 0.1)
 
     async def scenario() -> None:
         body = b"x" * 64 * 1024
@@ -508,13 +510,13 @@
             for client in clients:
                 assert status(await client.ask(request("a"))) == 200
             taken: list[str] = []
-            serve_one = front.TenantConnection._route
+            serve_one = tenant_connection.TenantConnection._route
 
-            def noted(self: front.TenantConnection, message: object) -> None:
+            def noted(self: tenant_connection.TenantConnection, message: object) -> None:
                 taken.append(message.headers[b"host"].decode()[0])
                 serve_one(self, message)
 
-            front.TenantConnection._route = noted
+            tenant_connection.TenantConnection._route = noted
             try:
                 for client in clients:
                     client.writer.write(request("a") + request("a", "/api/x", "PUT"))
@@ -523,7 +525,7 @@
                 for client in clients:
                     assert [status(await client.read()) for _ in range(2)] == [200, 405]
             finally:
-                front.TenantConnection._route = serve_one
+                tenant_connection.TenantConnection._route = serve_one
             assert taken.count("a") == 40 and taken.count("b") == 1
             assert taken.index("b") < 20  # not behind the whole burst, though it was written last
             assert not rig.server._deferred
