--- a/hillmux/hosted/tenant_listener.py
+++ b/hillmux/hosted/tenant_listener.py
@@ -14,7 +14,7 @@
 
 
 class TenantListener(Listener[TenantConnection]):
-    """Accepts clients for all tenants; without a free descriptor, the tenant furthest over its share gives one."""
+    """Accepts clients for all tenants; short of descriptors, the tenant furthest over its share gives one."""
 
     connection_type = TenantConnection
 
@@ -41,8 +41,8 @@
     def defer(self, connection: TenantConnection, data: bytes) -> None:
         """Handle input piece by piece, each after what others have ready in this turn of the loop.
 
-        Otherwise other tenants' requests would wait for a whole burst of a tenant that uses much more than its
-        share; this tenant's own requests wait for a turn of the loop each.
+        Otherwise other tenants' requests would wait for a whole burst of a tenant that uses much more than
+        its share; this tenant's own requests wait for a turn of the loop each.
         """
         self._deferred.append((connection, data))
         if len(self._deferred) == 1:
