--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -21,7 +21,7 @@
 from multiprocessing import Pool
 
 from hillmux import interface as api
-from hillmux.balancing.fleet import Fleet, Host
+from hillmux.balancing.fleet import Host, LoadBalancer
 from hillmux.interface import ListKind
 
 CLASS = api.RequestClass("read", latency_objective_ms=2500, deadline_ms=10000)
@@ -48,10 +48,10 @@
     rate = allowed / (settings.slow_start_min_share * budget)  # requests per ms that a warm host can do
     servers = [api.Endpoint(f"h{i}") for i in range(HOSTS)]
 
-    def born(me: int, now: float, listed: list[api.Endpoint]) -> Fleet:
-        fleet = Fleet(replace(settings, gateway_index=me), random.Random(rng.random()))
+    def born(me: int, now: float, listed: list[api.Endpoint]) -> LoadBalancer:
+        fleet = LoadBalancer(replace(settings, gateway_index=me), random.Random(rng.random()))
         fleet.now = now
-        fleet.update(api.EndpointList(ListKind.FULL, tuple(listed)))
+        fleet.update_endpoints(api.EndpointList(ListKind.FULL, tuple(listed)))
         return fleet
 
     start = 1e6 + BEFORE_MS
@@ -90,17 +90,17 @@
         elif what == "restart":
             fleets[me] = born(me, now, [cold, *servers[1:]])
         elif what == "list":
-            fleet.update(api.EndpointList(ListKind.CHANGES, (cold,)))
+            fleet.update_endpoints(api.EndpointList(ListKind.CHANGES, (cold,)))
         elif what == "done":
             assert host is not None
-            fleet.ended(host)
-            fleet.paced(host, 1.0)
-            fleet.place(host)
+            fleet.request_ended(host)
+            fleet.record_latency_ratio(host, 1.0)
+            fleet.reindex(host)
         else:
-            picked = fleet.pick("", MEAN_MS, True, [])
+            picked = fleet.select("", MEAN_MS, True, [])
             if picked is None:
                 continue
-            fleet.began(picked, MEAN_MS)
+            fleet.request_started(picked, MEAN_MS)
             work = rng.expovariate(1.0)  # its true work, in means
             push(now + MEAN_MS * max(work, 0.05), "done", me, picked)
             if picked.name == cold.name:
--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -112,8 +112,8 @@
     Planted(
         "a host that drains goes on being used",
         "hillmux/balancing/fleet.py",
-        'self.up = server.status == "up"',
-        'self.up = server.status != "removed"',
+        "self.up = endpoint.status == HostStatus.UP",
+        "self.up = endpoint.status != HostStatus.REMOVED",
         "drains",
         day(*DRAIN),
         (("hillmux/net/hosts.py", "host.drains = name in draining", "host.drains = False"),),
@@ -121,7 +121,7 @@
     Planted(
         "a cold host is taken for warm",
         "hillmux/balancing/fleet.py",
-        "        if not host.cold_from_ms or self.s.cold_ms <= 0:",
+        "        if not host.warming_since_ms or self.settings.slow_start_ms <= 0:",
         "        if True:",
         "cold",
         day(*COLD, per_s=200, cores=1, cold_from=0.1, fall_multiple=1.0, fall_ms=1000),
@@ -129,7 +129,7 @@
     Planted(
         "a cold host's budget is not divided by the gateways",
         "hillmux/balancing/fleet.py",
-        "        return host.credit >= work",
+        "        return host.slow_start_credit >= work",
         "        return True",
         "cold",
         day(*COLD, per_s=200, cores=1, cold_from=0.1, fall_multiple=1.0, fall_ms=1000),
--- a/hillmux/decision/gateway.py
+++ b/hillmux/decision/gateway.py
@@ -11,7 +11,7 @@
 from math import inf
 
 from hillmux import interface as api
-from hillmux.balancing.fleet import Fleet, Host
+from hillmux.balancing.fleet import Host, LoadBalancer
 from hillmux.interface import (
     NEVER_DELIVERED,
     NEVER_EXECUTED,
@@ -154,7 +154,7 @@
         self.classes = {c.name: c for c in settings.classes}
         self.plans = {p.name: p for p in settings.plans}
         self.out: list[api.Action] = []
-        self.fleet = Fleet(settings, self.rng)
+        self.fleet = LoadBalancer(settings, self.rng)
         self.hosts = self.fleet.hosts
         self.held: dict[str, _Held] = {}
         self.quotas = Quotas(settings, self.rng, self._settle)
@@ -233,7 +233,7 @@
                 self.asking.pop(event.request_id, None)
                 self._finish(self.held.get(event.request_id))
             case api.HostDisabled():
-                self.fleet.by_hand(event.host, event.disabled)
+                self.fleet.set_disabled(event.host, event.disabled)
             case api.DrainStarted():
                 self.quotas.drain()
             case api.TakenOver():
@@ -251,7 +251,7 @@
         if settings.plans != self.s.plans:
             raise ValueError("plans: cannot change in service")
         self.s, self.classes = settings, {c.name: c for c in settings.classes}
-        self.fleet.change(settings)
+        self.fleet.change_settings(settings)
         self.quotas.change(settings)
         used = {h.cls.name for h in self.held.values()} | set(self.classes)
         used |= {cls.name for quota in self.askers for _, cls, _, _ in quota.waiting or ()}
@@ -271,7 +271,10 @@
         return (
             self.idle()
             and self.quotas.settled()
-            and all(not h.fails and not h.died and self.fleet.warmth(h) >= 1 for h in self.hosts.values())
+            and all(
+                not h.ejections and not h.connection_refused and self.fleet.warm_up_fraction(h) >= 1
+                for h in self.hosts.values()
+            )
         )
 
     def idle(self) -> bool:
@@ -283,7 +286,7 @@
         if event.kind == ListKind.FAILED:
             self.out.append(api.SetTimer("subscribe", RESUBSCRIBE_MS * (1 + self.rng.random())))
             return
-        self.fleet.update(event)
+        self.fleet.update_endpoints(event)
 
     # --- Admission (SiRED) ------------------------------------------------------------------------------
 
@@ -413,14 +416,14 @@
         """One outcome's occupancy: the part of the aim that it used up, or that a new one would."""
         if attempt.sent < self.stalled_at or event.result in NO_SAMPLE:
             return
-        if self.fleet.unwell(attempt.host):
+        if self.fleet.is_outlier(attempt.host):
             return  # danger: a few bad hosts cut f for all; they are the business of health
         q = 1.0
         if event.result in (AttemptResult.OK, AttemptResult.ERROR):
             self.ok_q += (min(event.elapsed_ms / held.cls.latency_objective_ms, 1.0) - self.ok_q) / FEW
             self.lost -= self.lost / (4 * FEW)
             # Danger: foretold from two or three completions it is noise that cuts f for nothing.
-            foretold = self.fleet.open_well / max(self.done_rate, 1e-9)
+            foretold = self.fleet.open_on_healthy / max(self.done_rate, 1e-9)
             trust = 0.5 * min(self.done_rate * (self.now - (self.born or 0.0)) / (3 * FEW), 1.0)
             q = min(
                 (event.elapsed_ms + trust * (foretold - event.elapsed_ms)) / held.cls.latency_objective_ms,
@@ -493,33 +496,33 @@
         """What an outcome says of its host."""
         usual = self._usual(held)
         if event.result == AttemptResult.OK:
-            self.fleet.recovered(host)
-            self.fleet.paced(host, event.elapsed_ms / usual)
+            self.fleet.record_success(host)
+            self.fleet.record_latency_ratio(host, event.elapsed_ms / usual)
             units = max(event.actual_units or held.req.units, 1e-6)
             self.latency[held.cls.name] += GAIN / 4 * (event.elapsed_ms / units - self.latency[held.cls.name])
             self.done += 1
         elif event.result == AttemptResult.CONNECT_FAILED:
             # Danger: a reset is one connection's end; taken for the host's death it would rest a good host
             # and call it cold. A dead one refuses the next dial.
-            host.died = True
+            host.connection_refused = True
             self._down(host)
         elif event.result in (AttemptResult.RESET, AttemptResult.INCOMPLETE_REQUEST):
-            host.strikes += 1
-            if host.fails or host.strikes >= STRIKES:
+            host.consecutive_failures += 1
+            if host.ejections or host.consecutive_failures >= STRIKES:
                 self._down(host)
         elif event.result in (
             AttemptResult.ERROR,
             AttemptResult.TIMED_OUT,
             AttemptResult.QUEUE_FULL,
         ):
-            self.fleet.paced(host, max(held.cls.latency_objective_ms / usual, 2.0))
-            late = event.result == AttemptResult.TIMED_OUT and self.fleet.unwell(host)
-            host.strikes += late or event.result == AttemptResult.ERROR
-            if host.fails or host.strikes >= STRIKES:
+            self.fleet.record_latency_ratio(host, max(held.cls.latency_objective_ms / usual, 2.0))
+            late = event.result == AttemptResult.TIMED_OUT and self.fleet.is_outlier(host)
+            host.consecutive_failures += late or event.result == AttemptResult.ERROR
+            if host.ejections or host.consecutive_failures >= STRIKES:
                 self._down(host)
 
     def _down(self, host: Host) -> None:
-        if self.fleet.down(host):
+        if self.fleet.eject(host):
             self._say("host", f"{host.name} fails: resting it")
 
     # --- Attempts and final answers -----------------------------------------------------------------------
@@ -546,7 +549,7 @@
                     if len(places) > 1:
                         return None
                     region = places.pop()
-        return self.fleet.pick(
+        return self.fleet.select(
             held.req.pool, held.work, held.cls.idempotency == Idempotency.IDEMPOTENT, tried, region
         )
 
@@ -565,7 +568,7 @@
                 timeout = early
         held.attempts.append(_Attempt(host, self.now))
         held.out += 1
-        self.fleet.began(host, held.work)
+        self.fleet.request_started(host, held.work)
         self.out.append(api.SendAttempt(held.req.id, host.name, timeout, valid_ms))
 
     def _answer(self, held: _Held) -> None:
@@ -602,8 +605,8 @@
             if attempt.open and not attempt.streams:
                 # Danger: a client that reads slowly keeps it open long after the host has done its work.
                 attempt.streams = True
-                self.fleet.ended(attempt.host)
-                self.fleet.place(attempt.host)
+                self.fleet.request_ended(attempt.host)
+                self.fleet.reindex(attempt.host)
 
     def _outcome(self, event: api.AttemptEnded) -> None:
         held = self.held.get(event.request_id)
@@ -615,14 +618,14 @@
         attempt.open = False
         held.out -= 1
         if not attempt.streams:
-            self.fleet.ended(attempt.host)
+            self.fleet.request_ended(attempt.host)
         if event.result in NEVER_EXECUTED:
             attempt.ran = False
             held.unsent += event.result in NEVER_DELIVERED
         if event.result != AttemptResult.NOT_SENT:
             self._sample(held, attempt, event)
             self._judge(held, attempt.host, event)
-        self.fleet.place(attempt.host)
+        self.fleet.reindex(attempt.host)
         if event.result == AttemptResult.OK and event.actual_units > 0 and held.quota.plan.rate > 0:
             self.quotas.spend(held.quota, event.actual_units - held.req.units)
             self.quotas.sync(held.quota)
--- a/hillmux/hot_restart/state_codec.py
+++ b/hillmux/hot_restart/state_codec.py
@@ -20,7 +20,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from hillmux.balancing.fleet import FASTEST, OUT, SLOWEST
+from hillmux.balancing.fleet import MAX_LATENCY_RATIO, MIN_LATENCY_RATIO, UNAVAILABLE
 from hillmux.decision import gateway as policy
 from hillmux.decision.gateway import Gateway
 from hillmux.quotas.latest_times import SLOTS
@@ -41,6 +41,17 @@
 )  # fmt: skip
 # The names in documents are fixed: processes of two versions read each other's. These are the attributes that
 # they stand for, where those have other names.
+HOST_ATTRIBUTES = {
+    "born": "started_at_ms",
+    "cold_from_ms": "warming_since_ms",
+    "slow": "latency_ratio",
+    "strikes": "consecutive_failures",
+    "fails": "ejections",
+    "down_until": "ejected_until_ms",
+    "died": "connection_refused",
+    "credit": "slow_start_credit",
+    "credit_at": "slow_start_credit_at_ms",
+}
 COUNTER_ATTRIBUTES = {"heard": "answer_rate", "call_at": "called_at"}
 USE_ATTRIBUTES = {name: name for name in USE} | {
     "width": "replicas",
@@ -65,7 +76,8 @@
 # What lies outside would break the module later, when it is half taken: a pace has a logarithm, a failing
 # host's rest is a power of how often it failed.
 RANGES = {
-    "f": (0.0, 1.0), "heard": (0.0, 1.0), "luck": (0.0, 1.0), "slow": (FASTEST, SLOWEST), "fails": (0, 10),
+    "f": (0.0, 1.0), "heard": (0.0, 1.0), "luck": (0.0, 1.0),
+    "slow": (MIN_LATENCY_RATIO, MAX_LATENCY_RATIO), "fails": (0, 10),
     "strikes": (0, MOST), "width": (1, MOST), "widest": (1, MOST), "q_n": (0, MOST), "q_seen": (0, MOST),
     "warm_rate": (0.0, MOST), "bank": (0.0, MOST),
 }  # fmt: skip
@@ -92,7 +104,7 @@
         "version": VERSION,
         "scalars": {name: getattr(gateway, name) for name in SCALARS}
         | {name: getattr(quotas.throttle, COUNTER_ATTRIBUTES[name]) for name in COUNTER},
-        "warm_rate": fleet.warm_rate,
+        "warm_rate": fleet.warm_work_rate,
         "latency": dict(gateway.latency),
         "asked_at": dict(quotas.registry.asked_at),
         "cells": [[*key, c.value, c.work, c.f, c.r] for key, c in gateway.cells.items()],
@@ -100,7 +112,10 @@
     hosts = list(fleet.hosts.values())
     for at in range(0, len(hosts), AT_ONCE):
         some = hosts[at : at + AT_ONCE]
-        yield {"t": HOSTS, "hosts": {h.name: [getattr(h, field) for field in HOST] for h in some}}
+        yield {
+            "t": HOSTS,
+            "hosts": {h.name: [getattr(h, HOST_ATTRIBUTES[field]) for field in HOST] for h in some},
+        }
     states = [state for state in quotas.registry.states.values() if wanted(state)]
     attributes = [USE_ATTRIBUTES[name] for name in USE]
     for at in range(0, len(states), AT_ONCE):
@@ -161,7 +176,7 @@
     gateway.quotas.pressed = gateway.f < 1
     gateway.latency.update({n: v for n, v in latency.items() if n in gateway.classes})
     registry.asked_at.update({n: v for n, v in asked_at.items() if n in gateway.plans})
-    gateway.fleet.warm_rate = warm_rate
+    gateway.fleet.warm_work_rate = warm_rate
     for cls, plan, (value, work, f, r) in cells:
         if cls in gateway.classes and plan in gateway.plans:
             cell = gateway.cells[cls, plan] = policy._Cell()
@@ -177,17 +192,17 @@
 
 def _restore_host(gateway: Gateway, name: str, fields: dict[str, Any]) -> None:
     fleet, host = gateway.fleet, gateway.fleet.hosts[name]
-    born = host.born
+    born = host.started_at_ms
     if fields["born"] < born:
         return  # it has started anew since: what was learnt of it is of no use
-    fleet._move(host, OUT)
-    fleet.open_well -= 0 if host.fails else host.open
+    fleet.move(host, UNAVAILABLE)
+    fleet.open_on_healthy -= 0 if host.ejections else host.open_requests
     for field, value in fields.items():
-        setattr(host, field, value)
-    host.died = bool(host.died)
-    host.weigh()
-    fleet.open_well += 0 if host.fails else host.open
-    fleet.place(host)
+        setattr(host, HOST_ATTRIBUTES[field], value)
+    host.connection_refused = bool(host.connection_refused)
+    host.update_load()
+    fleet.open_on_healthy += 0 if host.ejections else host.open_requests
+    fleet.reindex(host)
 
 
 def _restore_use(gateway: Gateway, customer: str, plan: str, fields: dict[str, Any]) -> None:
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -191,7 +191,7 @@
         open_now = sum(request.client is not None for request in self._requests.values())
         fleet = self._gateway.fleet
         return self.figures_kept.shown(
-            [c.name for c in self.settings.classes], open_now, len(fleet.hosts), fleet.skipped()
+            [c.name for c in self.settings.classes], open_now, len(fleet.hosts), fleet.skipped_count()
         )
 
     def hand(self, host: str, out: bool) -> str:
--- a/hillmux/recovery/snapshotting_gateway.py
+++ b/hillmux/recovery/snapshotting_gateway.py
@@ -123,9 +123,9 @@
             not asked or gateway.quotas.throttle.answer_rate >= SILENT_RATE,
             self._outcomes,
             gateway.f,
-            fleet.up,
-            fleet.cold,
-            fleet.failing,
+            fleet.available_count,
+            fleet.warming_count,
+            fleet.ejected_count,
             stalled,
         )
         if self._phases.look(clock, view):
--- a/tests/handover/test_state.py
+++ b/tests/handover/test_state.py
@@ -44,7 +44,7 @@
 def heir(d: Driver) -> Driver:
     """A module of the same settings and list that goes on from what the other tells, over the wire's JSON."""
     new = Driver(servers=6, seed=99, now=d.now, counter_available=False)
-    new.give(api.EndpointList(ListKind.CHANGES, (d.gateway.hosts["h5"].server,)))
+    new.give(api.EndpointList(ListKind.CHANGES, (d.gateway.hosts["h5"].endpoint,)))
     restore(new.gateway, json.loads(json.dumps(list(export(d.gateway)))))
     return new
 
@@ -63,7 +63,7 @@
     """The same requests at the same times, to the old module as if nothing had been and to its heir."""
     d = busy(seed, trouble=False)
     new = heir(d)
-    assert new.gateway.fleet.skipped() == d.gateway.fleet.skipped()
+    assert new.gateway.fleet.skipped_count() == d.gateway.fleet.skipped_count()
     answers = []
     for module in (d, new):
         module.gateway.rng.seed(seed)
@@ -111,8 +111,8 @@
     new = Driver(servers=6, seed=99, now=d.now, counter_available=False)
     new.give(api.EndpointList(ListKind.CHANGES, (server(2, started_at_ms=d.now),)))
     restore(new.gateway, known(d.gateway))
-    assert new.gateway.hosts["h2"].slow == 1.0
-    assert new.gateway.fleet.warmth(new.gateway.hosts["h2"]) < 1
+    assert new.gateway.hosts["h2"].latency_ratio == 1.0
+    assert new.gateway.fleet.warm_up_fraction(new.gateway.hosts["h2"]) < 1
 
 
 def test_ceilings_that_were_forgotten_early_go_along() -> None:
--- a/tests/hosted/test_isolation.py
+++ b/tests/hosted/test_isolation.py
@@ -355,7 +355,7 @@
             for _ in range(4):
                 assert await rig.status(request("a")) == 503
             (host,) = rig.service.core("a")._gateway.hosts.values()
-            assert host.fails == 0 and not host.died
+            assert host.ejections == 0 and not host.connection_refused
             hosts._loop = loop
             assert await rig.status(request("a")) == 200
             assert rig.service.resources.dials.held == 0
--- a/tests/hosted/test_rest.py
+++ b/tests/hosted/test_rest.py
@@ -97,7 +97,7 @@
     cold.handle(1e6 + 5001, api.TimerFired("sweep"))
     assert cold.settled()
     (host,) = cold.hosts.values()
-    host.died = True
+    host.connection_refused = True
     assert not cold.settled()
 
 
--- a/tests/lab/test_two_hundred.py
+++ b/tests/lab/test_two_hundred.py
@@ -97,7 +97,7 @@
 
     day._ended = counted  # type: ignore[method-assign]
     day.run(7.0)
-    wide = [sum(h.near for h in p.module.hosts.values()) for p in day.gateways]
+    wide = [sum(h.in_aperture for h in p.module.hosts.values()) for p in day.gateways]
     day.run()
     assert busy.total() > 5 * others.total() / 199
     assert busy["late"] == 0 and busy["served"] / busy.total() >= others["served"] / others.total() - 0.12
--- a/tests/operate/test_module.py
+++ b/tests/operate/test_module.py
@@ -30,11 +30,11 @@
     d.give(api.EndpointList(ListKind.FULL, tuple(server(i, capacity=2.0) for i in range(3))))
     d.give(api.EndpointList(ListKind.CHANGES, (server(0, started_at_ms=d.now),)))
     assert "h0" not in sends(d)
-    assert d.gateway.fleet.skipped() == 1
+    assert d.gateway.fleet.skipped_count() == 1
     d.give(api.HostDisabled("h0", True))
     d.give(api.HostDisabled("h0", False))  # one call back ends it, however often it was taken out
     assert "h0" in sends(d, 200)
-    assert d.gateway.fleet.skipped() == 0
+    assert d.gateway.fleet.skipped_count() == 0
 
 
 def test_a_retry_does_not_go_to_a_host_that_went_out_meanwhile() -> None:
@@ -62,26 +62,26 @@
     d.give(api.HostDisabled("h0", True), after=100)
     d.give(api.HostDisabled("h0", False), after=3000)  # restarted meanwhile: the list has not told yet
     host = d.gateway.hosts["h0"]
-    assert d.gateway.fleet.warmth(host) == pytest.approx(0.2)
+    assert d.gateway.fleet.warm_up_fraction(host) == pytest.approx(0.2)
     back = d.now
     d.give(api.EndpointList(ListKind.CHANGES, (server(0, started_at_ms=back - 1000),)), after=500)
-    assert host.cold_from_ms == back - 1000
+    assert host.warming_since_ms == back - 1000
     d.give(api.HostDisabled("h1", True), after=100)
     d.give(api.EndpointList(ListKind.CHANGES, (server(1, started_at_ms=d.now),)), after=100)
     born = d.now - 100
     d.give(api.HostDisabled("h1", False), after=2000)
-    assert d.gateway.hosts["h1"].cold_from_ms == born
+    assert d.gateway.hosts["h1"].warming_since_ms == born
 
 
 def test_a_failing_host_that_is_put_back_is_not_left_to_rest() -> None:
     d = Driver(servers=2)
     fleet, host = d.gateway.fleet, d.gateway.hosts["h0"]
-    fleet.down(host)
-    fleet.place(host)
-    before = fleet.open_well
+    fleet.eject(host)
+    fleet.reindex(host)
+    before = fleet.open_on_healthy
     d.give(api.HostDisabled("h0", True))
     d.give(api.HostDisabled("h0", False))
-    assert (host.fails, fleet.failing, fleet.open_well) == (0, 0, before)
+    assert (host.ejections, fleet.ejected_count, fleet.open_on_healthy) == (0, 0, before)
 
 
 def test_a_host_that_is_out_and_was_never_listed_costs_one_name() -> None:
@@ -90,7 +90,7 @@
     d.give(api.EndpointList(ListKind.CHANGES, (server(9),)))
     assert "h9" not in sends(d)
     d.give(api.HostDisabled("h9", False))
-    assert d.gateway.fleet.out == {}
+    assert d.gateway.fleet.disabled_since == {}
 
 
 def changed(**changes: object) -> api.SettingsChanged:
@@ -176,15 +176,15 @@
     d = Driver(servers=1)
     fleet, host = d.gateway.fleet, d.gateway.hosts["h0"]
     streams = [d.ask()[0] for _ in range(5)]
-    assert (host.open, fleet.open_well) == (5, 5)
+    assert (host.open_requests, fleet.open_on_healthy) == (5, 5)
     for rid in streams:
         d.give(api.ResponseStarted(rid, 0))
         d.give(api.ResponseStarted(rid, 0))  # told twice, it counts once
     d.give(api.ResponseStarted(streams[0], 7))
-    assert (host.open, fleet.open_well) == (0, 0)
+    assert (host.open_requests, fleet.open_on_healthy) == (0, 0)
     for rid in streams:
         assert of(d.end(rid, took=40, after=5000), api.SendAttempt | api.Reject) == []
-    assert (host.open, fleet.open_well, d.gateway.held) == (0, 0, {})
+    assert (host.open_requests, fleet.open_on_healthy, d.gateway.held) == (0, 0, {})
 
 
 def test_an_answer_that_breaks_off_is_not_sent_again() -> None:
@@ -192,4 +192,4 @@
     rid, _ = d.ask()
     d.give(api.ResponseStarted(rid, 0))
     assert not of(d.end(rid, AttemptResult.RESET), api.SendAttempt)
-    assert all(h.open == 0 for h in d.gateway.hosts.values())
+    assert all(h.open_requests == 0 for h in d.gateway.hosts.values())
--- a/tests/recovery/test_memory.py
+++ b/tests/recovery/test_memory.py
@@ -24,9 +24,9 @@
 }  # fmt: skip
 # Made anew from the list, the settings or what is remembered, or of what is open: nothing to remember.
 MADE = {
-    Host: {"name", "zone", "cell", "nominal", "up", "open", "pool", "server", "listed", "group", "home",
-           "regions", "rank", "at", "pace", "load", "log_load", "log_nominal", "out", "place", "near",
-           "tier"},
+    Host: {"name", "zone", "cell", "capacity", "up", "open_requests", "pool", "pool_name", "endpoint",
+           "listed", "group", "localities", "rank", "rank_index", "latency_bin", "load_per_request",
+           "idle_rank", "log_capacity", "disabled", "ring_position", "in_aperture", "ranking"},
     QuotaState: {"key", "plan", "digest", "phase", "count_name", "call_open", "call_amount", "called_at",
                  "waiting", "open_requests",
                  # From the plan and the number of replicas; how a lease stands, which only a total confirms.
@@ -43,7 +43,7 @@
     """A module born `age` after the other left its documents, that goes on from what may be believed."""
     now = d.now + age
     new = Driver(servers=6, seed=99, now=now, counter_available=False)
-    new.give(api.EndpointList(ListKind.CHANGES, (d.gateway.hosts["h5"].server,)))
+    new.give(api.EndpointList(ListKind.CHANGES, (d.gateway.hosts["h5"].endpoint,)))
     restore(new.gateway, believed(left(d), d.now, exact, now, now))
     return new
 
@@ -56,7 +56,10 @@
 
 @pytest.mark.parametrize(
     ("kind", "left_behind"),
-    [(Host, state.HOST), (QuotaState, tuple(state.USE_ATTRIBUTES[name] for name in state.USE))],
+    [
+        (Host, tuple(state.HOST_ATTRIBUTES[name] for name in state.HOST)),
+        (QuotaState, tuple(state.USE_ATTRIBUTES[name] for name in state.USE)),
+    ],
 )
 def test_every_field_of_a_host_and_a_customer_is_left_behind_or_made_anew(
     kind: type, left_behind: tuple[str, ...]
@@ -118,7 +121,7 @@
     new.give(api.EndpointList(ListKind.CHANGES, (restarted,)))
     restore(new.gateway, believed(documents, d.now, True, new.now, new.now))
     host = new.gateway.hosts["h2"]
-    assert new.gateway.fleet.warmth(host) < 1 and host.slow == 1.0
+    assert new.gateway.fleet.warm_up_fraction(host) < 1 and host.latency_ratio == 1.0
 
 
 def test_a_host_that_the_list_does_not_name_is_not_revived() -> None:
@@ -130,11 +133,14 @@
 
 def test_slowness_drifts_back_and_an_old_failure_is_forgotten() -> None:
     d = busy()
-    slow = d.gateway.hosts["h2"].slow = 3.0
-    assert d.gateway.hosts["h1"].fails
+    slow = d.gateway.hosts["h2"].latency_ratio = 3.0
+    assert d.gateway.hosts["h1"].ejections
     later = heir(d, SLOW_HALF_MS, exact=False).gateway
-    assert later.hosts["h2"].slow == pytest.approx(1 + (slow - 1) / 2)
-    assert not later.hosts["h1"].fails and heir(d, 1000, exact=False).gateway.hosts["h1"].strikes
+    assert later.hosts["h2"].latency_ratio == pytest.approx(1 + (slow - 1) / 2)
+    assert (
+        not later.hosts["h1"].ejections
+        and heir(d, 1000, exact=False).gateway.hosts["h1"].consecutive_failures
+    )
 
 
 def test_a_customer_is_left_out_of_an_exact_end_only_once_its_ceiling_had_filled_again() -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -36,9 +36,9 @@
 def slow_down(d: Driver, name: str, pace: float) -> None:
     """Make a host answer at `pace` times the usual latency, as the module sees it."""
     host = d.gateway.hosts[name]
-    host.slow = pace
-    host.weigh()
-    d.gateway.fleet.place(host)
+    host.latency_ratio = pace
+    host.update_load()
+    d.gateway.fleet.reindex(host)
 
 
 # --- The ordinary path ---
@@ -136,7 +136,7 @@
             d.end(rid, took=50)
     d.sweep(5)
     assert d.gateway.f == 1.0
-    assert held_on_bad is None or d.gateway.hosts["h0"].slow > 1
+    assert held_on_bad is None or d.gateway.hosts["h0"].latency_ratio > 1
 
 
 def test_an_unwell_host_gives_no_samples_but_a_slow_fleet_does() -> None:
@@ -144,7 +144,7 @@
         d = Driver(servers=1)
         rid, _ = d.ask()
         slow_down(d, "h0", 10.0)
-        d.gateway.fleet.mid, d.gateway.ok_q = mid, 0.5
+        d.gateway.fleet.median_latency_ratio, d.gateway.ok_q = mid, 0.5
         d.end(rid, AttemptResult.TIMED_OUT, took=90)
         assert d.gateway.q_n == samples
 
@@ -685,17 +685,17 @@
         d.end(rid, took=10 if of(out, api.SendAttempt)[0].host == "h9" else 100)
         if i % 10 == 9:
             d.give(api.TimerFired("sweep"))
-    assert to_cold <= fleet.COLD_MARGIN * 3 * 0.4 * to_all / 4 + 1
+    assert to_cold <= fleet.SLOW_START_SHARE * 3 * 0.4 * to_all / 4 + 1
 
 
 def test_cold_budget_by_hand() -> None:
     d = Driver(servers=1)
     gw = d.gateway
-    gw.fleet.warm_rate = 0.1  # work sent to a warm host each ms
+    gw.fleet.warm_work_rate = 0.1  # work sent to a warm host each ms
     d.give(api.EndpointList(ListKind.FULL, (server(9, started_at_ms=d.now - 5000),)))
     cold = gw.hosts["h9"]
     saved = 0.2 * 0.1 * 2000 / 2  # at most half a span's worth is saved up
-    assert gw.fleet.cold_room(cold, 0.2, saved - 0.1)
+    assert gw.fleet.has_slow_start_budget(cold, 0.2, saved - 0.1)
     gw.latency["read"] = saved / 4.5
     outs = [d.ask()[1] for _ in range(20)]
     assert (
@@ -708,7 +708,7 @@
     sent = 0
     for i in range(300):
         d = Driver(servers=1, seed=i, fleet_size=300)
-        d.gateway.fleet.warm_rate, work = 0.1, 0.36 * 0.1 * 1000 / part  # 2 of 10 s: at least 0.36 warm
+        d.gateway.fleet.warm_work_rate, work = 0.1, 0.36 * 0.1 * 1000 / part  # 2 of 10 s: at least 0.36 warm
         d.give(api.EndpointList(ListKind.FULL, (server(9, started_at_ms=d.now - 2000),)))
         d.gateway.latency["read"] = work
         sent += any(of(d.ask()[1], api.SendAttempt) for _ in range(10))
@@ -733,7 +733,7 @@
     assert d.gateway._pick(held) is None  # the first one is still out
     held.attempts[0].open, held.out = False, 0
     for _ in range(5):  # the other zone's hosts are free, this one's are loaded, one was tried
-        d.gateway.fleet.began(first, 0.0)
+        d.gateway.fleet.request_started(first, 0.0)
     picked = {d.gateway._pick(held) for _ in range(30)}
     assert other not in picked and {h.zone for h in picked} == {first.zone}
     d.gateway.now += 3000
@@ -748,7 +748,7 @@
     assert of(out, api.SendAttempt)
     d.end(rid)
     host = d.gateway.hosts["h0"]
-    assert d.gateway.fleet.warmth(host) < 0.3
+    assert d.gateway.fleet.warm_up_fraction(host) < 0.3
 
 
 @pytest.mark.parametrize(
@@ -772,8 +772,8 @@
         assert of(out, api.SendAttempt)
         d.end(rid, result)
     host = d.gateway.hosts["h0"]
-    assert (host.died, host.fails > 0) == (result == AttemptResult.CONNECT_FAILED, rests)
-    assert host.open == 0 and d.gateway.q == 0
+    assert (host.connection_refused, host.ejections > 0) == (result == AttemptResult.CONNECT_FAILED, rests)
+    assert host.open_requests == 0 and d.gateway.q == 0
 
 
 def test_a_bound_of_our_own_ends_the_request_at_once() -> None:
@@ -787,11 +787,11 @@
     d = Driver(servers=4)
     d.sweep()
     host = d.gateway.hosts["h0"]
-    d.gateway.fleet.down(host)
-    d.gateway.fleet.place(host)
+    d.gateway.fleet.eject(host)
+    d.gateway.fleet.reindex(host)
     seen = {of(d.ask(after=1)[1], api.SendAttempt)[0].host for _ in range(20)}
     assert "h0" not in seen
-    assert of(d.ask(after=fleet.BACKOFF_MS)[1], api.SendAttempt)[0].host == "h0"
+    assert of(d.ask(after=fleet.BASE_EJECTION_MS)[1], api.SendAttempt)[0].host == "h0"
 
 
 def test_retries_are_budgeted() -> None:
