--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -21,7 +21,8 @@
 from multiprocessing import Pool
 
 from hillmux import interface as api
-from hillmux.balancing.fleet import Host, LoadBalancer
+from hillmux.balancing.host import Host
+from hillmux.balancing.load_balancer import LoadBalancer
 from hillmux.interface import ListKind
 
 CLASS = api.RequestClass("read", latency_objective_ms=2500, deadline_ms=10000)
--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -111,7 +111,7 @@
     ),
     Planted(
         "a host that drains goes on being used",
-        "hillmux/balancing/fleet.py",
+        "hillmux/balancing/host.py",
         "self.up = endpoint.status == HostStatus.UP",
         "self.up = endpoint.status != HostStatus.REMOVED",
         "drains",
@@ -120,7 +120,7 @@
     ),
     Planted(
         "a cold host is taken for warm",
-        "hillmux/balancing/fleet.py",
+        "hillmux/balancing/slow_start.py",
         "        if not host.warming_since_ms or self.settings.slow_start_ms <= 0:",
         "        if True:",
         "cold",
@@ -128,7 +128,7 @@
     ),
     Planted(
         "a cold host's budget is not divided by the gateways",
-        "hillmux/balancing/fleet.py",
+        "hillmux/balancing/slow_start.py",
         "        return host.slow_start_credit >= work",
         "        return True",
         "cold",
--- /dev/null
+++ b/hillmux/balancing/host_set.py
@@ -0,0 +1,222 @@
+"""All listed hosts, the group and pool that each is in, and sums over them that are kept as hosts change."""
+
+from __future__ import annotations
+
+from hillmux import interface as api
+from hillmux.balancing.host import EJECTED, READY, UNAVAILABLE, WARMING, Host
+from hillmux.balancing.host_pool import HostPool, Locality
+from hillmux.balancing.latency_histogram import LatencyHistogram
+from hillmux.balancing.load_ranking import RANKS, rank_of
+from hillmux.balancing.slow_start import SlowStart
+from hillmux.interface import Idempotency, KeyScope
+
+
+def locality_scopes(settings: api.Settings) -> set[KeyScope]:
+    """The scopes to which retries with an idempotency key are bound, for which localities are kept."""
+    return {c.key_scope for c in settings.classes if c.idempotency == Idempotency.KEYED}
+
+
+class HostSet:
+    """The hosts that are listed, by name, pool and group.
+
+    Each change of a host's state ends in `reindex`, which moves it where it belongs.
+    """
+
+    __slots__ = (
+        "slow_start",
+        "locality_scopes",
+        "hosts",
+        "pools",
+        "open_on_healthy",
+        "available_count",
+        "warming_count",
+        "ejected_count",
+        "latency_ratios",
+        "membership_changed",
+        "aperture_covers_all",
+    )
+
+    def __init__(self, settings: api.Settings, slow_start: SlowStart) -> None:
+        self.slow_start = slow_start
+        self.locality_scopes = locality_scopes(settings)
+        self.hosts: dict[str, Host] = {}
+        self.pools: dict[str, HostPool] = {}
+        self.open_on_healthy = 0  # requests open on listed hosts that are not ejected
+        self.available_count = 0  # hosts in any group but UNAVAILABLE
+        self.warming_count = 0
+        self.ejected_count = 0
+        self.latency_ratios = LatencyHistogram()  # of the available hosts
+        self.membership_changed = (
+            True  # hosts became available or unavailable since the aperture was laid out
+        )
+        self.aperture_covers_all = True
+
+    # Listing
+
+    def add(self, endpoint: api.Endpoint, disabled: bool, now: float) -> None:
+        """List a host that was not listed."""
+        host = self.hosts[endpoint.name] = Host(endpoint)
+        host.listed, host.disabled = True, disabled
+        self.reindex(host, now)
+
+    def remove(self, name: str) -> None:
+        """Unlist a host; its open requests go on."""
+        host = self.hosts.pop(name)
+        self.detach(host)
+        host.listed = False
+
+    def detach(self, host: Host) -> None:
+        """Take a listed host out of its group and of all sums, so that its state may be replaced."""
+        self.move(host, UNAVAILABLE)
+        if not host.ejections:
+            self.open_on_healthy -= host.open_requests
+
+    def attach(self, host: Host, now: float) -> None:
+        """Put a host that was detached back, by its new state."""
+        if not host.ejections:
+            self.open_on_healthy += host.open_requests
+        self.reindex(host, now)
+
+    def count_open(self, host: Host, change: int) -> None:
+        """Change the number of a host's open requests; `reindex` is to follow."""
+        host.open_requests += change
+        if not host.ejections and host.listed:
+            self.open_on_healthy += change
+
+    def record_latency_ratio(self, host: Host, ratio: float) -> None:
+        """Take a latency ratio into a host's mean, and the histogram; `reindex` is to follow."""
+        old_bin = host.latency_bin
+        host.record_latency_ratio(ratio)
+        if host.group != UNAVAILABLE and host.latency_bin != old_bin:
+            self.latency_ratios.remove(old_bin)
+            self.latency_ratios.add(host.latency_bin)
+
+    # Groups and ranks
+
+    def reindex(self, host: Host, now: float) -> None:
+        """Move a host to the group, and a ready one to the rank, where its state belongs at `now` (ms)."""
+        if host.group != READY or host.ejections or host.warming_since_ms:
+            group = self._group_of(host, now)
+            if group == READY:
+                host.warming_since_ms = 0.0
+            if group != host.group:
+                self.move(host, group)
+            if group != READY:
+                return
+        rank = rank_of(host)
+        if rank == host.rank:
+            return
+        if host.rank >= 0:
+            self._unrank(host)
+        assert host.ranking is not None
+        host.ranking.add(host, min(max(rank, 0), RANKS - 1))
+
+    def _group_of(self, host: Host, now: float) -> int:
+        if not host.listed or not host.up or host.disabled:
+            return UNAVAILABLE
+        if host.ejections:
+            return EJECTED
+        if host.warming_since_ms and self.slow_start.capacity_share(host, now) < 1:
+            return WARMING
+        return READY
+
+    @staticmethod
+    def _unrank(host: Host) -> None:
+        assert host.ranking is not None
+        host.ranking.remove(host)
+
+    def move(self, host: Host, group: int) -> None:
+        """Move a host to another group, with all sums; `reindex` gives a ready one its rank."""
+        old, host.group = host.group, group
+        if old == group:
+            return
+        if old == UNAVAILABLE:
+            self._add_to_pool(host)
+        pool = host.pool
+        assert pool is not None
+        self._leave_group(host, pool, old)
+        self._enter_group(host, pool, group)
+        for locality in host.localities:
+            if old != UNAVAILABLE:
+                (locality.ejected if old == EJECTED else locality.usable).remove(host)
+            if group != UNAVAILABLE:
+                (locality.ejected if group == EJECTED else locality.usable).add(host)
+        if group == UNAVAILABLE:
+            self._remove_from_pool(host, pool)
+
+    def _leave_group(self, host: Host, pool: HostPool, group: int) -> None:
+        if group == READY:
+            self._unrank(host)
+        elif group == WARMING:
+            pool.warming.remove(host)
+            self.warming_count -= 1
+        elif group == EJECTED:
+            pool.ejected.remove(host)
+            self.ejected_count -= 1
+
+    def _enter_group(self, host: Host, pool: HostPool, group: int) -> None:
+        if group == WARMING:
+            pool.warming.add(host)
+            self.warming_count += 1
+            self.slow_start.enqueue(host)
+        elif group == EJECTED:
+            pool.ejected.add(host)
+            self.ejected_count += 1
+
+    def _add_to_pool(self, host: Host) -> None:
+        """Add a host that became available to its pool, and to its localities where retries need them."""
+        self.available_count += 1
+        self.membership_changed = True
+        self.latency_ratios.add(host.latency_bin)
+        pool = host.pool = self.pools.get(host.pool_name)
+        if pool is None:
+            pool = host.pool = self.pools[host.pool_name] = HostPool()
+        pool.host_count += 1
+        # A host that was outside of the aperture when it left would stay outside of one that covers all now.
+        host.in_aperture = host.in_aperture or self.aperture_covers_all
+        host.ranking = pool.inside if host.in_aperture else pool.outside
+        if KeyScope.ZONE in self.locality_scopes:
+            self._add_to_locality(host, pool, (host.zone,))
+        if KeyScope.CELL in self.locality_scopes:
+            self._add_to_locality(host, pool, (host.zone, host.cell))
+
+    @staticmethod
+    def _add_to_locality(host: Host, pool: HostPool, key: tuple[str | int, ...]) -> None:
+        locality = pool.localities.get(key)
+        if locality is None:
+            locality = pool.localities[key] = Locality()
+        host.localities.append(locality)
+
+    def _remove_from_pool(self, host: Host, pool: HostPool) -> None:
+        """Remove a host that became unavailable from its pool.
+
+        Pools and localities that are left empty go: renamed ones must not fill the memory.
+        """
+        self.available_count -= 1
+        self.membership_changed = True
+        self.latency_ratios.remove(host.latency_bin)
+        keys: tuple[tuple[str | int, ...], ...] = ((host.zone,), (host.zone, host.cell))
+        for key in keys:
+            locality = pool.localities.get(key)
+            if locality is not None and not locality.usable.hosts and not locality.ejected.hosts:
+                del pool.localities[key]
+        pool.host_count -= 1
+        if not pool.host_count:
+            del self.pools[host.pool_name]
+        host.pool = None
+        host.localities = []
+
+    def set_in_aperture(self, host: Host, in_aperture: bool, now: float) -> None:
+        """Move an available host into the aperture, or out of it."""
+        pool, ranked = host.pool, host.rank >= 0
+        assert pool is not None
+        host.in_aperture = in_aperture
+        if ranked:
+            self._unrank(host)
+        host.ranking = pool.inside if in_aperture else pool.outside
+        if ranked:
+            self.reindex(host, now)
+
+    def warming_hosts(self) -> list[Host]:
+        """All hosts in slow start."""
+        return [host for pool in self.pools.values() for host in pool.warming.hosts]
--- /dev/null
+++ b/hillmux/balancing/indexed_set.py
@@ -0,0 +1,38 @@
+"""A set of hosts from which a bounded sample is taken in constant time."""
+
+from __future__ import annotations
+
+import random
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from hillmux.balancing.host import Host
+
+
+class IndexedSet:
+    """Hosts without order; adding and removing one take constant time."""
+
+    __slots__ = ("hosts", "_index")
+
+    def __init__(self) -> None:
+        self.hosts: list[Host] = []
+        self._index: dict[Host, int] = {}  # of each host in `hosts`
+
+    def add(self, host: Host) -> None:
+        """Add a host that is not in the set."""
+        self._index[host] = len(self.hosts)
+        self.hosts.append(host)
+
+    def remove(self, host: Host) -> None:
+        """Remove a host; the last one takes its index. KeyError if it is not in the set."""
+        index, last = self._index.pop(host), self.hosts.pop()
+        if last is not host:
+            self.hosts[index], self._index[last] = last, index
+
+    def sample(self, limit: int, rng: random.Random) -> list[Host]:
+        """All hosts if they are at most `limit`, else `limit` consecutive ones from a random start."""
+        count = len(self.hosts)
+        if count <= limit:
+            return self.hosts
+        start = int(rng.random() * count)
+        return self.hosts[start : start + limit] + self.hosts[: max(start + limit - count, 0)]
--- /dev/null
+++ b/hillmux/balancing/load_ranking.py
@@ -0,0 +1,61 @@
+"""Ready hosts ranked by load, so that the least loaded are found without looking at all of them.
+
+A rank is a sixth of a doubling of load, and a list of hosts without order. One integer has a bit for each
+rank that holds a host, so the lowest rank in use is found in one step; a request that starts or ends moves
+one host to a rank nearby.
+"""
+
+from __future__ import annotations
+
+from math import log2
+from typing import TYPE_CHECKING, Final
+
+if TYPE_CHECKING:
+    from hillmux.balancing.host import Host
+
+RANKS_PER_DOUBLING: Final = 6  # of load
+RANKS: Final = 512
+RANK_OF_UNIT_LOAD: Final = 256
+RANK_TABLE_SIZE: Final = 1024
+# The least load of each rank.
+MIN_LOAD_OF_RANK = [0.0, *(2.0 ** ((r - RANK_OF_UNIT_LOAD) / RANKS_PER_DOUBLING) for r in range(1, RANKS))]
+# The ranks that so many open requests add to the rank of an idle host.
+RANKS_FOR_REQUESTS = [RANKS_PER_DOUBLING * log2(count + 1) for count in range(RANK_TABLE_SIZE)]
+
+
+def rank_of(host: Host) -> int:
+    """The rank of a host's load with one more request; it may lie outside of 0 to RANKS - 1."""
+    count = host.open_requests
+    if count < RANK_TABLE_SIZE:
+        return int(host.idle_rank + RANKS_FOR_REQUESTS[count])
+    return int(host.idle_rank + RANKS_PER_DOUBLING * log2(count + 1))
+
+
+class RankedHosts:
+    """Hosts by rank."""
+
+    __slots__ = ("by_rank", "occupied_ranks")
+
+    def __init__(self) -> None:
+        self.by_rank: dict[int, list[Host]] = {}
+        self.occupied_ranks = 0  # bit r is set if rank r holds a host
+
+    def add(self, host: Host, rank: int) -> None:
+        """Add a host that has no rank."""
+        hosts = self.by_rank.get(rank)
+        if hosts is None:
+            hosts = self.by_rank[rank] = []
+        host.rank, host.rank_index = rank, len(hosts)
+        hosts.append(host)
+        self.occupied_ranks |= 1 << rank
+
+    def remove(self, host: Host) -> None:
+        """Take a host's rank away."""
+        hosts = self.by_rank[host.rank]
+        last = hosts.pop()
+        if last is not host:
+            hosts[host.rank_index] = last
+            last.rank_index = host.rank_index
+        if not hosts:
+            self.occupied_ranks ^= 1 << host.rank
+        host.rank = -1
--- a/hillmux/decision/gateway.py
+++ b/hillmux/decision/gateway.py
@@ -11,7 +11,8 @@
 from math import inf
 
 from hillmux import interface as api
-from hillmux.balancing.fleet import Host, LoadBalancer
+from hillmux.balancing.host import Host
+from hillmux.balancing.load_balancer import LoadBalancer
 from hillmux.interface import (
     NEVER_DELIVERED,
     NEVER_EXECUTED,
@@ -272,7 +273,7 @@
             self.idle()
             and self.quotas.settled()
             and all(
-                not h.ejections and not h.connection_refused and self.fleet.warm_up_fraction(h) >= 1
+                not h.ejections and not h.connection_refused and self.fleet.capacity_share(h) >= 1
                 for h in self.hosts.values()
             )
         )
@@ -423,7 +424,7 @@
             self.ok_q += (min(event.elapsed_ms / held.cls.latency_objective_ms, 1.0) - self.ok_q) / FEW
             self.lost -= self.lost / (4 * FEW)
             # Danger: foretold from two or three completions it is noise that cuts f for nothing.
-            foretold = self.fleet.open_on_healthy / max(self.done_rate, 1e-9)
+            foretold = self.fleet.host_set.open_on_healthy / max(self.done_rate, 1e-9)
             trust = 0.5 * min(self.done_rate * (self.now - (self.born or 0.0)) / (3 * FEW), 1.0)
             q = min(
                 (event.elapsed_ms + trust * (foretold - event.elapsed_ms)) / held.cls.latency_objective_ms,
--- a/hillmux/hot_restart/state_codec.py
+++ b/hillmux/hot_restart/state_codec.py
@@ -20,7 +20,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from hillmux.balancing.fleet import MAX_LATENCY_RATIO, MIN_LATENCY_RATIO, UNAVAILABLE
+from hillmux.balancing.host import MAX_LATENCY_RATIO, MIN_LATENCY_RATIO
 from hillmux.decision import gateway as policy
 from hillmux.decision.gateway import Gateway
 from hillmux.quotas.latest_times import SLOTS
@@ -104,7 +104,7 @@
         "version": VERSION,
         "scalars": {name: getattr(gateway, name) for name in SCALARS}
         | {name: getattr(quotas.throttle, COUNTER_ATTRIBUTES[name]) for name in COUNTER},
-        "warm_rate": fleet.warm_work_rate,
+        "warm_rate": fleet.slow_start.warm_work_rate,
         "latency": dict(gateway.latency),
         "asked_at": dict(quotas.registry.asked_at),
         "cells": [[*key, c.value, c.work, c.f, c.r] for key, c in gateway.cells.items()],
@@ -176,7 +176,7 @@
     gateway.quotas.pressed = gateway.f < 1
     gateway.latency.update({n: v for n, v in latency.items() if n in gateway.classes})
     registry.asked_at.update({n: v for n, v in asked_at.items() if n in gateway.plans})
-    gateway.fleet.warm_work_rate = warm_rate
+    gateway.fleet.slow_start.warm_work_rate = warm_rate
     for cls, plan, (value, work, f, r) in cells:
         if cls in gateway.classes and plan in gateway.plans:
             cell = gateway.cells[cls, plan] = policy._Cell()
@@ -195,14 +195,12 @@
     born = host.started_at_ms
     if fields["born"] < born:
         return  # it has started anew since: what was learnt of it is of no use
-    fleet.move(host, UNAVAILABLE)
-    fleet.open_on_healthy -= 0 if host.ejections else host.open_requests
+    fleet.host_set.detach(host)
     for field, value in fields.items():
         setattr(host, HOST_ATTRIBUTES[field], value)
     host.connection_refused = bool(host.connection_refused)
     host.update_load()
-    fleet.open_on_healthy += 0 if host.ejections else host.open_requests
-    fleet.reindex(host)
+    fleet.host_set.attach(host, fleet.now)
 
 
 def _restore_use(gateway: Gateway, customer: str, plan: str, fields: dict[str, Any]) -> None:
--- a/hillmux/recovery/snapshotting_gateway.py
+++ b/hillmux/recovery/snapshotting_gateway.py
@@ -123,9 +123,9 @@
             not asked or gateway.quotas.throttle.answer_rate >= SILENT_RATE,
             self._outcomes,
             gateway.f,
-            fleet.available_count,
-            fleet.warming_count,
-            fleet.ejected_count,
+            fleet.host_set.available_count,
+            fleet.host_set.warming_count,
+            fleet.host_set.ejected_count,
             stalled,
         )
         if self._phases.look(clock, view):
--- a/tests/handover/test_state.py
+++ b/tests/handover/test_state.py
@@ -112,7 +112,7 @@
     new.give(api.EndpointList(ListKind.CHANGES, (server(2, started_at_ms=d.now),)))
     restore(new.gateway, known(d.gateway))
     assert new.gateway.hosts["h2"].latency_ratio == 1.0
-    assert new.gateway.fleet.warm_up_fraction(new.gateway.hosts["h2"]) < 1
+    assert new.gateway.fleet.capacity_share(new.gateway.hosts["h2"]) < 1
 
 
 def test_ceilings_that_were_forgotten_early_go_along() -> None:
--- a/tests/operate/test_module.py
+++ b/tests/operate/test_module.py
@@ -62,7 +62,7 @@
     d.give(api.HostDisabled("h0", True), after=100)
     d.give(api.HostDisabled("h0", False), after=3000)  # restarted meanwhile: the list has not told yet
     host = d.gateway.hosts["h0"]
-    assert d.gateway.fleet.warm_up_fraction(host) == pytest.approx(0.2)
+    assert d.gateway.fleet.capacity_share(host) == pytest.approx(0.2)
     back = d.now
     d.give(api.EndpointList(ListKind.CHANGES, (server(0, started_at_ms=back - 1000),)), after=500)
     assert host.warming_since_ms == back - 1000
@@ -78,10 +78,10 @@
     fleet, host = d.gateway.fleet, d.gateway.hosts["h0"]
     fleet.eject(host)
     fleet.reindex(host)
-    before = fleet.open_on_healthy
+    before = fleet.host_set.open_on_healthy
     d.give(api.HostDisabled("h0", True))
     d.give(api.HostDisabled("h0", False))
-    assert (host.ejections, fleet.ejected_count, fleet.open_on_healthy) == (0, 0, before)
+    assert (host.ejections, fleet.host_set.ejected_count, fleet.host_set.open_on_healthy) == (0, 0, before)
 
 
 def test_a_host_that_is_out_and_was_never_listed_costs_one_name() -> None:
@@ -176,15 +176,15 @@
     d = Driver(servers=1)
     fleet, host = d.gateway.fleet, d.gateway.hosts["h0"]
     streams = [d.ask()[0] for _ in range(5)]
-    assert (host.open_requests, fleet.open_on_healthy) == (5, 5)
+    assert (host.open_requests, fleet.host_set.open_on_healthy) == (5, 5)
     for rid in streams:
         d.give(api.ResponseStarted(rid, 0))
         d.give(api.ResponseStarted(rid, 0))  # told twice, it counts once
     d.give(api.ResponseStarted(streams[0], 7))
-    assert (host.open_requests, fleet.open_on_healthy) == (0, 0)
+    assert (host.open_requests, fleet.host_set.open_on_healthy) == (0, 0)
     for rid in streams:
         assert of(d.end(rid, took=40, after=5000), api.SendAttempt | api.Reject) == []
-    assert (host.open_requests, fleet.open_on_healthy, d.gateway.held) == (0, 0, {})
+    assert (host.open_requests, fleet.host_set.open_on_healthy, d.gateway.held) == (0, 0, {})
 
 
 def test_an_answer_that_breaks_off_is_not_sent_again() -> None:
--- a/tests/recovery/test_memory.py
+++ b/tests/recovery/test_memory.py
@@ -11,7 +11,7 @@
 from handover.test_state import busy, known
 
 from hillmux import interface as api
-from hillmux.balancing.fleet import Host
+from hillmux.balancing.host import Host
 from hillmux.hot_restart import state_codec as state
 from hillmux.hot_restart.state_codec import StateError, export, restore
 from hillmux.interface import AttemptResult, ListKind
@@ -121,7 +121,7 @@
     new.give(api.EndpointList(ListKind.CHANGES, (restarted,)))
     restore(new.gateway, believed(documents, d.now, True, new.now, new.now))
     host = new.gateway.hosts["h2"]
-    assert new.gateway.fleet.warm_up_fraction(host) < 1 and host.latency_ratio == 1.0
+    assert new.gateway.fleet.capacity_share(host) < 1 and host.latency_ratio == 1.0
 
 
 def test_a_host_that_the_list_does_not_name_is_not_revived() -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -14,7 +14,8 @@
 from conftest import CAPPED, PLAN, Driver, of, server, settings
 
 from hillmux import interface as api
-from hillmux.balancing import fleet
+from hillmux.balancing.outliers import BASE_EJECTION_MS
+from hillmux.balancing.slow_start import BUDGET_SHARE
 from hillmux.decision import gateway as policy
 from hillmux.decision.gateway import Gateway, ramp
 from hillmux.interface import NEVER_EXECUTED, AttemptResult, HostStatus, ListKind, RejectReason
@@ -144,7 +145,7 @@
         d = Driver(servers=1)
         rid, _ = d.ask()
         slow_down(d, "h0", 10.0)
-        d.gateway.fleet.median_latency_ratio, d.gateway.ok_q = mid, 0.5
+        d.gateway.fleet.outliers.median_latency_ratio, d.gateway.ok_q = mid, 0.5
         d.end(rid, AttemptResult.TIMED_OUT, took=90)
         assert d.gateway.q_n == samples
 
@@ -685,17 +686,17 @@
         d.end(rid, took=10 if of(out, api.SendAttempt)[0].host == "h9" else 100)
         if i % 10 == 9:
             d.give(api.TimerFired("sweep"))
-    assert to_cold <= fleet.SLOW_START_SHARE * 3 * 0.4 * to_all / 4 + 1
+    assert to_cold <= BUDGET_SHARE * 3 * 0.4 * to_all / 4 + 1
 
 
 def test_cold_budget_by_hand() -> None:
     d = Driver(servers=1)
     gw = d.gateway
-    gw.fleet.warm_work_rate = 0.1  # work sent to a warm host each ms
+    gw.fleet.slow_start.warm_work_rate = 0.1  # work sent to a warm host each ms
     d.give(api.EndpointList(ListKind.FULL, (server(9, started_at_ms=d.now - 5000),)))
     cold = gw.hosts["h9"]
     saved = 0.2 * 0.1 * 2000 / 2  # at most half a span's worth is saved up
-    assert gw.fleet.has_slow_start_budget(cold, 0.2, saved - 0.1)
+    assert gw.fleet.slow_start.has_budget(cold, 0.2, saved - 0.1, gw.now)
     gw.latency["read"] = saved / 4.5
     outs = [d.ask()[1] for _ in range(20)]
     assert (
@@ -708,7 +709,10 @@
     sent = 0
     for i in range(300):
         d = Driver(servers=1, seed=i, fleet_size=300)
-        d.gateway.fleet.warm_work_rate, work = 0.1, 0.36 * 0.1 * 1000 / part  # 2 of 10 s: at least 0.36 warm
+        d.gateway.fleet.slow_start.warm_work_rate, work = (
+            0.1,
+            0.36 * 0.1 * 1000 / part,
+        )  # 2 of 10 s: at least 0.36 warm
         d.give(api.EndpointList(ListKind.FULL, (server(9, started_at_ms=d.now - 2000),)))
         d.gateway.latency["read"] = work
         sent += any(of(d.ask()[1], api.SendAttempt) for _ in range(10))
@@ -748,7 +752,7 @@
     assert of(out, api.SendAttempt)
     d.end(rid)
     host = d.gateway.hosts["h0"]
-    assert d.gateway.fleet.warm_up_fraction(host) < 0.3
+    assert d.gateway.fleet.capacity_share(host) < 0.3
 
 
 @pytest.mark.parametrize(
@@ -791,7 +795,7 @@
     d.gateway.fleet.reindex(host)
     seen = {of(d.ask(after=1)[1], api.SendAttempt)[0].host for _ in range(20)}
     assert "h0" not in seen
-    assert of(d.ask(after=fleet.BASE_EJECTION_MS)[1], api.SendAttempt)[0].host == "h0"
+    assert of(d.ask(after=BASE_EJECTION_MS)[1], api.SendAttempt)[0].host == "h0"
 
 
 def test_retries_are_budgeted() -> None:
