--- a/benchmarks/capacity/counter_service.py
+++ b/benchmarks/capacity/counter_service.py
@@ -15,7 +15,7 @@
 from benchmarks.capacity.counter_store import target
 from benchmarks.capacity.probe import COUNTER, Probe, Values
 from benchmarks.capacity.resources import process_cpu_s
-from hillmux.counter.service import CONNECTIONS as CONNECTIONS_AN_ADDRESS
+from hillmux.counter.service import MAX_CONNECTIONS_PER_ADDRESS as CONNECTIONS_AN_ADDRESS
 
 LOOP = "127.0.0.1"
 NAMES = 10_000
--- a/benchmarks/capacity/counter_store.py
+++ b/benchmarks/capacity/counter_store.py
@@ -6,8 +6,8 @@
 
 from benchmarks.capacity.probe import COUNTER, Probe, Values
 from benchmarks.capacity.resources import MemoryGrowth, median_cpu_s
-from hillmux.counter.store import MOST_NAMES, Store, total_text
-from hillmux.counter.wire import parse
+from hillmux.counter.codec import parse_call
+from hillmux.counter.store import MAX_NAMES, Store, format_total
 
 NOW_MS = 1e6
 LIFE_MS = 60_000
@@ -23,15 +23,15 @@
 
 def answer(store: Store, asked: bytes) -> str:
     """One call as the service answers it, from the target to the total's text."""
-    call = parse(b"POST", asked)
-    return total_text(store.add(call.name, call.amount, call.life_ms, NOW_MS))
+    call = parse_call(b"POST", asked)
+    return format_total(store.add(call.name, call.amount, call.retention_ms, NOW_MS))
 
 
 def measure(size: int, seed: int) -> Values:
     """A store with so many names, and calls to names that it holds."""
     answer(Store(), target(0))
     growth = MemoryGrowth()
-    store = Store(MOST_NAMES)
+    store = Store(MAX_NAMES)
     for number in range(size):
         answer(store, target(number))
     memory_mb = growth.mb()
--- a/hillmux/counter/embedded.py
+++ b/hillmux/counter/embedded.py
@@ -1,36 +1,41 @@
-"""The counter inside the gateway's process: the meaning that it has over a socket, and no call is lost."""
+"""The counter inside the gateway's process: calls mean what they mean over a socket, and none is lost."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from hillmux import interface as api
-from hillmux.counter.store import LONGEST_NAME, Store, TurnedAwayError
+from hillmux.counter.store import MAX_NAME_BYTES, Store, StoreFullError
 from hillmux.interface import AttemptResult
 
 
 class EmbeddedCounter:
-    """Answers each call at once."""
+    """Answers each call at once, until it is closed."""
 
     def __init__(
-        self, store: Store, now_ms: Callable[[], float], replied: Callable[[api.CounterReply], None]
+        self, store: Store, now_ms: Callable[[], float], on_reply: Callable[[api.CounterReply], None]
     ) -> None:
-        self._store, self._now_ms, self._replied = store, now_ms, replied
+        """`now_ms` is a clock that is never set back; `on_reply` is called with the reply to each call."""
+        self._store, self._now_ms, self._on_reply = store, now_ms, on_reply
         self._closed = False
 
-    def call(self, act: api.IncrementCounter) -> None:
-        """Add, and tell the total; `full` if the store has no room for the name."""
+    def call(self, action: api.IncrementCounter) -> None:
+        """Add to a name and reply with its total; with `QUEUE_FULL` if the store has no room for the name.
+
+        Raises:
+            ValueError: the name is empty or too long.
+        """
         if self._closed:
             return
-        if not 0 < len(act.name.encode()) <= LONGEST_NAME:
-            raise ValueError(f"name: found {act.name!r}, expected 1 to {LONGEST_NAME} bytes")
+        if not 0 < len(action.name.encode()) <= MAX_NAME_BYTES:
+            raise ValueError(f"name: found {action.name!r}, expected 1 to {MAX_NAME_BYTES} bytes")
         try:
-            total = self._store.add(act.name, act.amount, act.retention_ms, self._now_ms())
-        except TurnedAwayError:
-            self._replied(api.CounterReply(act.name, AttemptResult.QUEUE_FULL, 0.0))
+            total = self._store.add(action.name, action.amount, action.retention_ms, self._now_ms())
+        except StoreFullError:
+            self._on_reply(api.CounterReply(action.name, AttemptResult.QUEUE_FULL, 0.0))
         else:
-            self._replied(api.CounterReply(act.name, AttemptResult.OK, total))
+            self._on_reply(api.CounterReply(action.name, AttemptResult.OK, total))
 
     def close(self) -> None:
-        """Answer no call any more: who asked is gone."""
+        """Answer no call any more: the caller is gone."""
         self._closed = True
--- a/hillmux/counter/service.py
+++ b/hillmux/counter/service.py
@@ -3,26 +3,24 @@
 from __future__ import annotations
 
 import asyncio
-import logging
 import socket
 import struct
 import time
-from typing import cast
+from typing import Final, cast
 
 import httptools
 
-from hillmux.counter.store import Store, TurnedAwayError, total_text
-from hillmux.counter.wire import NoCallError, parse
+from hillmux.counter.codec import InvalidCallError, parse_call
+from hillmux.counter.store import Store, StoreFullError, format_total
 
-log = logging.getLogger(__name__)
-
-CONNECTIONS = 32  # of one address; further ones are reset
-MOST_CONNECTIONS = 1024  # in all
-IDLE_S = 10.0
-SWEEP_S = 1.0
-LONGEST_HEAD = 8 * 1024
-LONGEST_UNREAD = 64 * 1024  # answers that a caller does not read
-REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 503: b"Service Unavailable"}
+MAX_CONNECTIONS_PER_ADDRESS: Final = 32  # further ones are reset
+MAX_CONNECTIONS: Final = 1024
+IDLE_TIMEOUT_S: Final = 10.0
+SWEEP_INTERVAL_S: Final = 1.0
+MAX_HEAD_BYTES: Final = 8 * 1024
+MAX_UNSENT_BYTES: Final = 64 * 1024  # responses that a caller does not read
+RESET_ON_CLOSE: Final = struct.pack("ii", 1, 0)  # SO_LINGER on, for 0 s
+REASON_PHRASES: Final = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 503: b"Service Unavailable"}
 
 
 class CounterServer:
@@ -30,137 +28,145 @@
 
     def __init__(self, store: Store, loop: asyncio.AbstractEventLoop) -> None:
         self.store, self._loop = store, loop
-        self.calls = 0
+        self.calls = 0  # that were added
+        self.connections: set[CounterConnection] = set()
         self._server: asyncio.Server | None = None
-        self._connections: set[_Caller] = set()
-        self._by_address: dict[str, int] = {}
-        self._sweeper: asyncio.TimerHandle | None = None
+        self._connections_by_address: dict[str, int] = {}
+        self._sweep_timer: asyncio.TimerHandle | None = None
 
     async def start(self, host: str, port: int) -> tuple[str, int]:
-        """Listen; returns the address, with the port that the system chose for 0. OSError if it is taken."""
-        self._server = await self._loop.create_server(lambda: _Caller(self), host, port)
-        self._sweeper = self._loop.call_later(SWEEP_S, self._sweep)
+        """Listen, and return the address with the port, which the system chooses where 0 is given.
+
+        Raises:
+            OSError: the address is in use, or not this machine's.
+        """
+        self._server = await self._loop.create_server(lambda: CounterConnection(self), host, port)
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         name = self._server.sockets[0].getsockname()
         return name[0], name[1]
 
     def stop(self) -> None:
         """Close the listener and all connections."""
-        if self._sweeper is not None:
-            self._sweeper.cancel()
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
         if self._server is not None:
             self._server.close()
-        for caller in list(self._connections):
-            caller.drop()
+        for connection in list(self.connections):
+            connection.abort()
 
     def now_ms(self) -> float:
-        """The store's clock: never set back."""
+        """The store's clock, which is never set back."""
         return time.monotonic() * 1000
 
-    def opened(self, caller: _Caller, address: str) -> bool:
-        """Whether one more connection of an address is held."""
-        count = self._by_address.get(address, 0)
-        if count >= CONNECTIONS or len(self._connections) >= MOST_CONNECTIONS:
+    def register(self, connection: CounterConnection, address: str) -> bool:
+        """Count one more connection of an address; False if there is no room for it."""
+        count = self._connections_by_address.get(address, 0)
+        if count >= MAX_CONNECTIONS_PER_ADDRESS or len(self.connections) >= MAX_CONNECTIONS:
             return False
-        self._by_address[address] = count + 1
-        self._connections.add(caller)
+        self._connections_by_address[address] = count + 1
+        self.connections.add(connection)
         return True
 
-    def closed(self, caller: _Caller, address: str) -> None:
-        """A connection that was held is gone."""
-        if caller in self._connections:
-            self._connections.discard(caller)
-            self._by_address[address] -= 1
-            if not self._by_address[address]:
-                del self._by_address[address]
+    def unregister(self, connection: CounterConnection, address: str) -> None:
+        """Free the room of a connection that is closed, if it had any."""
+        if connection in self.connections:
+            self.connections.discard(connection)
+            self._connections_by_address[address] -= 1
+            if not self._connections_by_address[address]:
+                del self._connections_by_address[address]
 
     def _sweep(self) -> None:
         self.store.sweep(self.now_ms())
-        before = time.monotonic() - IDLE_S
-        for caller in list(self._connections):
-            if caller.heard_at < before:
-                caller.drop()
-        self._sweeper = self._loop.call_later(SWEEP_S, self._sweep)
+        idle_since = time.monotonic() - IDLE_TIMEOUT_S
+        for connection in list(self.connections):
+            if connection.received_at < idle_since:
+                connection.abort()
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
 
-class _Caller(asyncio.Protocol):
-    """One connection of a gateway: calls are answered in their order, as they come."""
+class CounterConnection(asyncio.Protocol):
+    """One connection of a gateway: calls are answered in order, as they come."""
 
     def __init__(self, server: CounterServer) -> None:
+        self.received_at = time.monotonic()  # s, when bytes last came
         self._server = server
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport
         self._address = ""
-        self.heard_at = time.monotonic()
-        self._target = b""
-        self._taken = 0
-        self._out: list[bytes] = []
-        self._close = False
-
-    def drop(self) -> None:
-        """End the connection."""
-        self._transport.abort()
+        self._target = b""  # of the request that is being read
+        self._unparsed_bytes = 0  # received since the last whole request
+        self._responses: list[bytes] = []
+        self._closing = False
 
-    def _ends(self) -> bool:
-        return self._close
+    def abort(self) -> None:
+        """Close the connection at once."""
+        self._transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register with the server; reset the connection if there is no room for it."""
         self._transport = cast(asyncio.Transport, transport)
         self._address = str((transport.get_extra_info("peername") or ("",))[0])
-        if not self._server.opened(self, self._address):
-            # A reset, as the protocol has it: an end would look like an idle connection's.
+        if not self._server.register(self, self._address):
+            # A reset, as the protocol has it: an orderly end would look like an idle connection's.
             peer = transport.get_extra_info("socket")
-            peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            self.drop()
+            peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Free the connection's place."""
-        self._server.closed(self, self._address)
+        """Free the connection's room."""
+        self._server.unregister(self, self._address)
 
     def data_received(self, data: bytes) -> None:
-        """Parse and answer what has come; 400 on bad HTTP, or a head above LONGEST_HEAD bytes."""
-        if self._transport.is_closing() or self._close:
+        """Parse and answer what has come; 400 on malformed HTTP, or a head above MAX_HEAD_BYTES."""
+        if self._transport.is_closing() or self._closing:
             return
-        self.heard_at = time.monotonic()
-        self._taken += len(data)
+        self.received_at = time.monotonic()
+        if not self._parse(data) and not self._is_closing():
+            self._respond(400, b"no HTTP/1.1 call", keep_alive=False)
+        responses, self._responses = self._responses, []
+        self._transport.write(b"".join(responses))
+        if self._is_closing():
+            self._transport.close()
+        elif self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
+            self.abort()  # bounds the memory that a caller takes which does not read
+
+    def _parse(self, data: bytes) -> bool:
+        self._unparsed_bytes += len(data)
         try:
             self._parser.feed_data(data)
-            bad = self._taken > LONGEST_HEAD  # guards the memory: a head without an end
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            bad = True
-        if bad and not self._close:
-            self._answer(400, b"no HTTP/1.1 call", False)
-        out, self._out = self._out, []
-        self._transport.write(b"".join(out))
-        if self._ends():
-            self._transport.close()
-        elif self._transport.get_write_buffer_size() > LONGEST_UNREAD:
-            self.drop()  # guards the memory: it calls and does not read
+            return False
+        return self._unparsed_bytes <= MAX_HEAD_BYTES  # bounds the memory that a head without an end takes
+
+    def _is_closing(self) -> bool:
+        return self._closing
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the request target."""
+        """Take a piece of the request target."""
         self._target += url
 
     def on_message_complete(self) -> None:
-        """Add the call to the store, and queue its answer."""
-        target, self._target, self._taken = self._target, b"", 0
-        keep = self._parser.should_keep_alive()
-        if self._close:
+        """Add the call to the store and queue the response."""
+        target, self._target, self._unparsed_bytes = self._target, b"", 0
+        keep_alive = self._parser.should_keep_alive()
+        if self._closing:
             return
         try:
-            call = parse(self._parser.get_method(), target)
-            total = self._server.store.add(call.name, call.amount, call.life_ms, self._server.now_ms())
-        except NoCallError as error:
-            self._answer(error.status, str(error).encode(), keep)
-        except TurnedAwayError:
-            self._answer(503, b"no room for a new name", keep)
+            call = parse_call(self._parser.get_method(), target)
+            store, now_ms = self._server.store, self._server.now_ms()
+            total = store.add(call.name, call.amount, call.retention_ms, now_ms)
+        except InvalidCallError as error:
+            self._respond(error.status, str(error).encode(), keep_alive)
+        except StoreFullError:
+            self._respond(503, b"no room for a new name", keep_alive)
         else:
             self._server.calls += 1
-            self._answer(200, total_text(total).encode(), keep)
+            self._respond(200, format_total(total).encode(), keep_alive)
 
-    def _answer(self, status: int, body: bytes, keep: bool) -> None:
-        self._close = not keep
-        self._out.append(
+    def _respond(self, status: int, body: bytes, keep_alive: bool) -> None:
+        self._closing = not keep_alive
+        connection = b"" if keep_alive else b"Connection: close\r\n"
+        self._responses.append(
             b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n%b\r\n%b"
-            % (status, REASONS[status], len(body), b"" if keep else b"Connection: close\r\n", body)
+            % (status, REASON_PHRASES[status], len(body), connection, body)
         )
--- a/hillmux/lab/virtual/counting.py
+++ b/hillmux/lab/virtual/counting.py
@@ -15,7 +15,7 @@
 from typing import Final
 
 from hillmux import interface as api
-from hillmux.counter.store import total_text
+from hillmux.counter.store import format_total
 from hillmux.decision.gateway import Gateway
 from hillmux.interface import AttemptResult, ListKind
 from hillmux.lab.store import Store
@@ -46,7 +46,7 @@
 
 def reply_bytes(total: float) -> int:
     """Length of the counter's reply with a total, as `hillmux.counter.service` writes it."""
-    body = total_text(total)
+    body = format_total(total)
     return len(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n") + len(body)
 
 
--- a/tests/capacity/test_single_guards.py
+++ b/tests/capacity/test_single_guards.py
@@ -7,8 +7,8 @@
 from benchmarks.capacity import counter_store, hosts, listings, routes, tenants
 from benchmarks.module_worker import Play
 from hillmux import interface as api
-from hillmux.counter.store import LONGEST_NAME, Store
-from hillmux.counter.wire import parse
+from hillmux.counter.codec import parse_call
+from hillmux.counter.store import MAX_NAME_BYTES, Store
 
 HOSTS = 50
 MOST_BYTES_A_HOST = 165  # a line of discovery's list, with its comma
@@ -64,7 +64,7 @@
     play = Counted(10, 20)
     play.run(play.requests(2_000))
     assert 0 < len(names) <= MOST_CALLS_A_REQUEST * 2_000
-    assert max(map(len, names)) <= MOST_BYTES_A_COUNT_NAME < LONGEST_NAME
+    assert max(map(len, names)) <= MOST_BYTES_A_COUNT_NAME < MAX_NAME_BYTES
 
 
 def test_a_customer_that_comes_once_makes_one_call_at_most() -> None:
@@ -80,4 +80,4 @@
     for number in (0, 1, 2, 1, 1):
         counter_store.answer(store, counter_store.target(number))
     assert len(store) == 3
-    assert len(parse(b"POST", counter_store.target(2**40)).name) <= MOST_BYTES_A_COUNT_NAME
+    assert len(parse_call(b"POST", counter_store.target(2**40)).name) <= MOST_BYTES_A_COUNT_NAME
--- a/tests/counter/test_store.py
+++ b/tests/counter/test_store.py
@@ -9,10 +9,10 @@
 from conftest import on_loop
 
 from hillmux import interface as api
-from hillmux.counter import EmbeddedCounter, Store, TurnedAwayError
-from hillmux.counter.service import CONNECTIONS, CounterServer
-from hillmux.counter.store import total_text
-from hillmux.counter.wire import NoCallError, parse
+from hillmux.counter import EmbeddedCounter, Store, StoreFullError
+from hillmux.counter.codec import InvalidCallError, parse_call
+from hillmux.counter.service import MAX_CONNECTIONS_PER_ADDRESS, CounterServer
+from hillmux.counter.store import format_total
 from hillmux.interface import AttemptResult
 
 
@@ -34,10 +34,10 @@
 
 
 def test_a_full_store_turns_new_names_away_and_serves_those_it_holds() -> None:
-    store = Store(most=2)
+    store = Store(max_names=2)
     store.add("a", 1, 100, 0)
     store.add("b", 1, 200, 0)
-    with pytest.raises(TurnedAwayError):
+    with pytest.raises(StoreFullError):
         store.add("c", 1, 100, 50)
     assert store.add("a", 1, 100, 50) == 2
     assert store.add("c", 1, 100, 100) == 1  # the life of `a` is over
@@ -73,7 +73,7 @@
     ],
 )
 def test_a_total_is_a_plain_decimal(total: float, text: str) -> None:
-    assert total_text(total) == text
+    assert format_total(total) == text
 
 
 @pytest.mark.parametrize(
@@ -95,20 +95,20 @@
     ],
 )
 def test_what_is_no_call_is_told_by_field(method: bytes, target: bytes, status: int, field: str) -> None:
-    with pytest.raises(NoCallError) as caught:
-        parse(method, target)
+    with pytest.raises(InvalidCallError) as caught:
+        parse_call(method, target)
     assert caught.value.status == status
     assert str(caught.value).startswith(field) and "expected" in str(caught.value)
 
 
 def test_a_call_is_read_whole() -> None:
-    call = parse(b"POST", b"/v1/count/" + b"n" * 64 + b"?ttl_ms=70000&add=-2.5")
-    assert (call.name, call.amount, call.life_ms) == ("n" * 64, -2.5, 70000)
+    call = parse_call(b"POST", b"/v1/count/" + b"n" * 64 + b"?ttl_ms=70000&add=-2.5")
+    assert (call.name, call.amount, call.retention_ms) == ("n" * 64, -2.5, 70000)
 
 
 def test_the_embedded_counter_replies_once_to_each_call() -> None:
     replies: list[api.CounterReply] = []
-    counter = EmbeddedCounter(Store(most=1), lambda: 0.0, replies.append)
+    counter = EmbeddedCounter(Store(max_names=1), lambda: 0.0, replies.append)
     counter.call(api.IncrementCounter("a", 2.0, 1000))
     counter.call(api.IncrementCounter("b", 2.0, 1000))
     counter.call(api.IncrementCounter("a", 1.0, 1000))
@@ -135,7 +135,7 @@
 
 def test_calls_written_one_behind_another_are_answered_in_order() -> None:
     async def scenario() -> None:
-        server = CounterServer(Store(most=2), asyncio.get_running_loop())
+        server = CounterServer(Store(max_names=2), asyncio.get_running_loop())
         host, port = await server.start("127.0.0.1", 0)
         reader, writer = await asyncio.open_connection(host, port)
         lines = [
@@ -176,7 +176,7 @@
     async def scenario() -> None:
         server = CounterServer(Store(), asyncio.get_running_loop())
         host, port = await server.start("127.0.0.1", 0)
-        held = [await asyncio.open_connection(host, port) for _ in range(CONNECTIONS)]
+        held = [await asyncio.open_connection(host, port) for _ in range(MAX_CONNECTIONS_PER_ADDRESS)]
         for reader, writer in held:
             writer.write(b"POST /v1/count/a?add=1&ttl_ms=5000 HTTP/1.1\r\n\r\n")
             assert (await _answers(reader, 1))[0][0] == 200
@@ -184,7 +184,7 @@
         with pytest.raises(ConnectionResetError):
             await more.readexactly(1)
         held.pop()[1].close()
-        while len(server._connections) >= CONNECTIONS:
+        while len(server.connections) >= MAX_CONNECTIONS_PER_ADDRESS:
             await asyncio.sleep(0)
         reader, writer = await asyncio.open_connection(host, port)
         writer.write(b"POST /v1/count/a?add=0&ttl_ms=5000 HTTP/1.1\r\n\r\n")
