--- a/hillmux/balancing/host.py
+++ b/hillmux/balancing/host.py
@@ -7,8 +7,8 @@
 from typing import Final
 
 from hillmux import interface as api
-from hillmux.balancing import latency_histogram
 from hillmux.balancing.host_pool import HostPool, Locality
+from hillmux.balancing.latency_histogram import BIN_OF_RATIO_1, BINS_PER_DOUBLING
 from hillmux.balancing.load_ranking import RANK_OF_UNIT_LOAD, RANKS_PER_DOUBLING, RankedHosts
 from hillmux.interface import HostStatus
 
@@ -83,7 +83,7 @@
         self.ranking: RankedHosts | None = None  # where it is ranked while it is ready
         self.rank = -1  # -1: it has none
         self.rank_index = 0  # its index in its rank's list
-        self.latency_bin: int = latency_histogram.BIN_OF_RATIO_1
+        self.latency_bin: int = BIN_OF_RATIO_1
         self.update(endpoint)
 
     def update(self, endpoint: api.Endpoint) -> None:
@@ -120,7 +120,13 @@
         log_ratio = log2(self.latency_ratio)
         self.load_per_request = sqrt(self.latency_ratio) / self.capacity
         self.idle_rank = RANK_OF_UNIT_LOAD + RANKS_PER_DOUBLING * (log_ratio / 2 - self.log_capacity)
-        self.latency_bin = latency_histogram.bin_of(log_ratio)
+        self.latency_bin = int(BIN_OF_RATIO_1 + BINS_PER_DOUBLING * log_ratio)
+
+    def leave_rank(self) -> None:
+        """Take its rank away; it must have one."""
+        assert self.ranking is not None
+        self.ranking.remove(self)
+        self.rank = -1
 
     def load(self) -> float:
         """Its load with one more request: requests and latency ratio over capacity."""
--- a/hillmux/balancing/host_set.py
+++ b/hillmux/balancing/host_set.py
@@ -6,7 +6,7 @@
 from hillmux.balancing.host import EJECTED, READY, UNAVAILABLE, WARMING, Host
 from hillmux.balancing.host_pool import HostPool, Locality
 from hillmux.balancing.latency_histogram import LatencyHistogram
-from hillmux.balancing.load_ranking import RANKS, rank_of
+from hillmux.balancing.load_ranking import RANK_TABLE_SIZE, RANKS_FOR_REQUESTS, ranks_for_requests
 from hillmux.balancing.slow_start import SlowStart
 from hillmux.interface import Idempotency, KeyScope
 
@@ -77,20 +77,6 @@
             self.open_on_healthy += host.open_requests
         self.reindex(host, now)
 
-    def count_open(self, host: Host, change: int) -> None:
-        """Change the number of a host's open requests; `reindex` is to follow."""
-        host.open_requests += change
-        if not host.ejections and host.listed:
-            self.open_on_healthy += change
-
-    def record_latency_ratio(self, host: Host, ratio: float) -> None:
-        """Take a latency ratio into a host's mean, and the histogram; `reindex` is to follow."""
-        old_bin = host.latency_bin
-        host.record_latency_ratio(ratio)
-        if host.group != UNAVAILABLE and host.latency_bin != old_bin:
-            self.latency_ratios.remove(old_bin)
-            self.latency_ratios.add(host.latency_bin)
-
     # Groups and ranks
 
     def reindex(self, host: Host, now: float) -> None:
@@ -103,13 +89,17 @@
                 self.move(host, group)
             if group != READY:
                 return
-        rank = rank_of(host)
-        if rank == host.rank:
-            return
-        if host.rank >= 0:
-            self._unrank(host)
-        assert host.ranking is not None
-        host.ranking.add(host, min(max(rank, 0), RANKS - 1))
+        count = host.open_requests
+        rank = int(
+            host.idle_rank
+            + (RANKS_FOR_REQUESTS[count] if count < RANK_TABLE_SIZE else ranks_for_requests(count))
+        )
+        if rank != host.rank:
+            ranking = host.ranking
+            assert ranking is not None
+            if host.rank >= 0:
+                ranking.remove(host)
+            ranking.add(host, rank)
 
     def _group_of(self, host: Host, now: float) -> int:
         if not host.listed or not host.up or host.disabled:
@@ -120,11 +110,6 @@
             return WARMING
         return READY
 
-    @staticmethod
-    def _unrank(host: Host) -> None:
-        assert host.ranking is not None
-        host.ranking.remove(host)
-
     def move(self, host: Host, group: int) -> None:
         """Move a host to another group, with all sums; `reindex` gives a ready one its rank."""
         old, host.group = host.group, group
@@ -146,7 +131,7 @@
 
     def _leave_group(self, host: Host, pool: HostPool, group: int) -> None:
         if group == READY:
-            self._unrank(host)
+            host.leave_rank()
         elif group == WARMING:
             pool.warming.remove(host)
             self.warming_count -= 1
@@ -212,7 +197,7 @@
         assert pool is not None
         host.in_aperture = in_aperture
         if ranked:
-            self._unrank(host)
+            host.leave_rank()
         host.ranking = pool.inside if in_aperture else pool.outside
         if ranked:
             self.reindex(host, now)
--- a/hillmux/balancing/indexed_set.py
+++ b/hillmux/balancing/indexed_set.py
@@ -30,9 +30,14 @@
             self.hosts[index], self._index[last] = last, index
 
     def sample(self, limit: int, rng: random.Random) -> list[Host]:
-        """All hosts if they are at most `limit`, else `limit` consecutive ones from a random start."""
-        count = len(self.hosts)
-        if count <= limit:
-            return self.hosts
-        start = int(rng.random() * count)
-        return self.hosts[start : start + limit] + self.hosts[: max(start + limit - count, 0)]
+        """Some of the hosts; see `sample`."""
+        return sample(self.hosts, limit, rng)
+
+
+def sample(hosts: list[Host], limit: int, rng: random.Random) -> list[Host]:
+    """All hosts if they are at most `limit`, else `limit` consecutive ones from a random start."""
+    count = len(hosts)
+    if count <= limit:
+        return hosts
+    start = int(rng.random() * count)
+    return hosts[start : start + limit] + hosts[: max(start + limit - count, 0)]
--- a/hillmux/balancing/latency_histogram.py
+++ b/hillmux/balancing/latency_histogram.py
@@ -9,11 +9,6 @@
 BIN_OF_RATIO_1: Final = 96
 
 
-def bin_of(log_ratio: float) -> int:
-    """The bin of a latency ratio whose logarithm to base 2 this is."""
-    return int(BIN_OF_RATIO_1 + BINS_PER_DOUBLING * log_ratio)
-
-
 class LatencyHistogram:
     """How many hosts have a latency ratio in each bin."""
 
@@ -33,6 +28,11 @@
         self.counts[latency_bin] -= 1
         self.total -= 1
 
+    def move(self, old_bin: int, new_bin: int) -> None:
+        """Move one host from a bin to another."""
+        self.counts[old_bin] -= 1
+        self.counts[new_bin] += 1
+
     def median(self) -> float:
         """The median ratio, to the middle of its bin, and at least 1; 1 if no host is counted."""
         half, seen = self.total // 2, 0
--- a/hillmux/balancing/load_balancer.py
+++ b/hillmux/balancing/load_balancer.py
@@ -96,18 +96,28 @@
 
     def request_started(self, host: Host, work: float) -> None:
         """Note that a request with `work` (ms of service) is sent to a host."""
-        self.host_set.count_open(host, 1)
+        host.open_requests += 1
+        if not host.ejections and host.listed:
+            self.host_set.open_on_healthy += 1
         self.aperture.requests_since_sweep += 1
-        self.slow_start.record_work(host, work, self.now)
-        self.reindex(host)
+        if host.warming_since_ms:
+            self.slow_start.record_work(host, work, self.now)
+        else:
+            self.slow_start.warm_work += work
+        self.host_set.reindex(host, self.now)
 
     def request_ended(self, host: Host) -> None:
         """Note that a request is over; `reindex` is to follow once its outcome is recorded."""
-        self.host_set.count_open(host, -1)
+        host.open_requests -= 1
+        if not host.ejections and host.listed:
+            self.host_set.open_on_healthy -= 1
 
     def record_latency_ratio(self, host: Host, ratio: float) -> None:
         """Record an outcome that took so many times the usual latency; `reindex` is to follow."""
-        self.host_set.record_latency_ratio(host, ratio)
+        old_bin = host.latency_bin
+        host.record_latency_ratio(ratio)
+        if host.latency_bin != old_bin and host.group != UNAVAILABLE:
+            self.host_set.latency_ratios.move(old_bin, host.latency_bin)
 
     def record_success(self, host: Host) -> None:
         """Record that a host answered: it is healthy; `reindex` is to follow."""
@@ -127,10 +137,6 @@
         outliers.extend_ejection(host, self.now)
         return True
 
-    def is_outlier(self, host: Host) -> bool:
-        """Whether a host is worse than the others."""
-        return self.outliers.is_outlier(host)
-
     def skipped_count(self) -> int:
         """Listed hosts that get no request now: draining, disabled or ejected ones."""
         return sum(
--- a/hillmux/balancing/load_ranking.py
+++ b/hillmux/balancing/load_ranking.py
@@ -19,16 +19,14 @@
 RANK_TABLE_SIZE: Final = 1024
 # The least load of each rank.
 MIN_LOAD_OF_RANK = [0.0, *(2.0 ** ((r - RANK_OF_UNIT_LOAD) / RANKS_PER_DOUBLING) for r in range(1, RANKS))]
-# The ranks that so many open requests add to the rank of an idle host.
-RANKS_FOR_REQUESTS = [RANKS_PER_DOUBLING * log2(count + 1) for count in range(RANK_TABLE_SIZE)]
 
 
-def rank_of(host: Host) -> int:
-    """The rank of a host's load with one more request; it may lie outside of 0 to RANKS - 1."""
-    count = host.open_requests
-    if count < RANK_TABLE_SIZE:
-        return int(host.idle_rank + RANKS_FOR_REQUESTS[count])
-    return int(host.idle_rank + RANKS_PER_DOUBLING * log2(count + 1))
+def ranks_for_requests(count: int) -> float:
+    """The ranks that so many open requests add to the rank of an idle host."""
+    return RANKS_PER_DOUBLING * log2(count + 1)
+
+
+RANKS_FOR_REQUESTS = [ranks_for_requests(count) for count in range(RANK_TABLE_SIZE)]
 
 
 class RankedHosts:
@@ -41,16 +39,18 @@
         self.occupied_ranks = 0  # bit r is set if rank r holds a host
 
     def add(self, host: Host, rank: int) -> None:
-        """Add a host that has no rank."""
+        """Add a host that has no rank; one beyond the ranks goes to the first or the last."""
         hosts = self.by_rank.get(rank)
         if hosts is None:
-            hosts = self.by_rank[rank] = []
+            rank = min(max(rank, 0), RANKS - 1)
+            hosts = self.by_rank.setdefault(rank, [])
+        if not hosts:
+            self.occupied_ranks |= 1 << rank
         host.rank, host.rank_index = rank, len(hosts)
         hosts.append(host)
-        self.occupied_ranks |= 1 << rank
 
     def remove(self, host: Host) -> None:
-        """Take a host's rank away."""
+        """Remove a host from its rank, whose number it keeps until it is given another."""
         hosts = self.by_rank[host.rank]
         last = hosts.pop()
         if last is not host:
@@ -58,4 +58,3 @@
             last.rank_index = host.rank_index
         if not hosts:
             self.occupied_ranks ^= 1 << host.rank
-        host.rank = -1
--- a/hillmux/balancing/selection.py
+++ b/hillmux/balancing/selection.py
@@ -8,12 +8,13 @@
 from __future__ import annotations
 
 import random
+from math import inf
 from typing import Final
 
 from hillmux.balancing import outliers
 from hillmux.balancing.host import READY, WARMING, Host
 from hillmux.balancing.host_pool import HostPool, Locality
-from hillmux.balancing.indexed_set import IndexedSet
+from hillmux.balancing.indexed_set import IndexedSet, sample
 from hillmux.balancing.load_ranking import MIN_LOAD_OF_RANK, RankedHosts
 from hillmux.balancing.slow_start import SlowStart
 
@@ -57,7 +58,7 @@
         self, locality: Locality, work: float, tried: list[Host], now: float
     ) -> Host | None:
         """A host of the locality for `work` (ms): a warming one with a budget, else the least loaded."""
-        best, best_load = None, 0.0
+        best, best_load = None, inf
         for host in locality.usable.sample(LOCALITY_CANDIDATES, self.rng):
             if host.group == WARMING:
                 if self.slow_start.has_budget(host, self.slow_start.capacity_share(host, now), work, now):
@@ -66,7 +67,7 @@
             load = self._noisy_load(host)
             if host in tried:
                 load *= TRIED_LOAD_FACTOR
-            if best is None or load < best_load:
+            if load < best_load:
                 best, best_load = host, load
         return best if best is not None else self._first_readmitted(locality.ejected, work, tried, now)
 
@@ -104,30 +105,28 @@
 
     def _least_loaded_ranked(self, pool: HostPool, ranking: RankedHosts, tried: list[Host]) -> Host | None:
         """The least loaded of a few hosts of the lowest ranks; exact where no more could be it."""
-        best, best_load, left = None, 0.0, CANDIDATES
-        ranks, random = ranking.occupied_ranks, self.rng.random
+        best, best_load, left = None, inf, CANDIDATES
+        ranks, rng = ranking.occupied_ranks, self.rng
+        random = rng.random
         while ranks and left > 0:
             lowest_bit = ranks & -ranks
             rank = lowest_bit.bit_length() - 1
-            if best is not None and MIN_LOAD_OF_RANK[rank] >= best_load:
+            if MIN_LOAD_OF_RANK[rank] >= best_load:
                 break
-            hosts = ranking.by_rank[rank]
-            count = len(hosts)
-            start = int(random() * count) if count > left else 0
-            for i in range(start - count, start - count + min(count, left)):
-                host = hosts[i]
-                if tried and host in tried:
-                    continue
-                load = host.load() * (1 + MAX_LOAD_NOISE * random())
-                left -= 1
-                if best is None or load < best_load:
+            candidates = sample(ranking.by_rank[rank], left, rng)
+            if tried:
+                candidates = [host for host in candidates if host not in tried]
+            left -= len(candidates)
+            for host in candidates:  # written out: this loop is most of a choice's cost
+                load = (host.open_requests + 1) * host.load_per_request * (1 + MAX_LOAD_NOISE * random())
+                if load < best_load:
                     best, best_load = host, load
             ranks ^= lowest_bit
         # Hosts that were tried are scored apart, so that they take no candidate's place.
         for host in tried:
             if host.group == READY and host.pool is pool:
-                load = TRIED_LOAD_FACTOR * host.load() * (1 + MAX_LOAD_NOISE * random())
-                if best is None or load < best_load:
+                load = TRIED_LOAD_FACTOR * self._noisy_load(host)
+                if load < best_load:
                     best, best_load = host, load
         return best
 
--- a/hillmux/balancing/slow_start.py
+++ b/hillmux/balancing/slow_start.py
@@ -70,8 +70,8 @@
         return min_share + (1 - min_share) * max(age, 0.0) / self.settings.slow_start_ms
 
     def record_work(self, host: Host, work: float, now: float) -> None:
-        """Note that `work` (ms) is sent to a host."""
-        if host.warming_since_ms and self.capacity_share(host, now) < 1:
+        """Note that `work` (ms) is sent to a host that was in slow start when it was last looked at."""
+        if self.capacity_share(host, now) < 1:
             host.slow_start_credit -= work
         else:
             self.warm_work += work
--- a/hillmux/decision/gateway.py
+++ b/hillmux/decision/gateway.py
@@ -417,7 +417,7 @@
         """One outcome's occupancy: the part of the aim that it used up, or that a new one would."""
         if attempt.sent < self.stalled_at or event.result in NO_SAMPLE:
             return
-        if self.fleet.is_outlier(attempt.host):
+        if self.fleet.outliers.is_outlier(attempt.host):
             return  # danger: a few bad hosts cut f for all; they are the business of health
         q = 1.0
         if event.result in (AttemptResult.OK, AttemptResult.ERROR):
@@ -517,7 +517,7 @@
             AttemptResult.QUEUE_FULL,
         ):
             self.fleet.record_latency_ratio(host, max(held.cls.latency_objective_ms / usual, 2.0))
-            late = event.result == AttemptResult.TIMED_OUT and self.fleet.is_outlier(host)
+            late = event.result == AttemptResult.TIMED_OUT and self.fleet.outliers.is_outlier(host)
             host.consecutive_failures += late or event.result == AttemptResult.ERROR
             if host.ejections or host.consecutive_failures >= STRIKES:
                 self._down(host)
