--- a/hillmux/balancing/slow_start.py
+++ b/hillmux/balancing/slow_start.py
@@ -13,7 +13,7 @@
 
 from hillmux import interface as api
 from hillmux.balancing.host import WARMING, Host
-from hillmux.quotas.parts import draw
+from hillmux.quotas.randomized_rounding import round_to_whole
 
 # Part of the budget that is used: capacity is only estimated, and other gateways may run ahead.
 BUDGET_SHARE: Final = 0.5
@@ -102,5 +102,5 @@
         max_credit = rate * self.settings.overload_after_ms / 2
         host.slow_start_credit = min(host.slow_start_credit + rate * span, max_credit)
         host.slow_start_credit_at_ms = now
-        host.slow_start_credit = draw(self.rng, host.slow_start_credit, work)
+        host.slow_start_credit = round_to_whole(self.rng, host.slow_start_credit, work)
         return host.slow_start_credit >= work
--- a/hillmux/decision/gateway.py
+++ b/hillmux/decision/gateway.py
@@ -23,7 +23,7 @@
     RejectReason,
 )
 from hillmux.quotas.quotas import Quotas
-from hillmux.quotas.state import QuotaState
+from hillmux.quotas.state import QuotaState, WaitingRequest
 from hillmux.quotas.throttle import SILENT_RATE
 
 # --- Constants -------------------------------------------------------------------------------------------
@@ -330,7 +330,7 @@
             self.askers[quota] = None
             if quota.waiting is None:
                 quota.waiting = []
-            quota.waiting.append((req, cls, aim_at, end_at))
+            quota.waiting.append(WaitingRequest(req, cls, aim_at, end_at))
             self.quotas.sync(quota, req.units)
         else:
             self._decide(req, cls, quota, aim_at, end_at, False)
@@ -486,7 +486,7 @@
         waiting, quota.waiting = quota.waiting or [], None
         self.askers.pop(quota, None)
         if waiting:
-            self.quotas.record_grant(quota, waiting[0][0].units)
+            self.quotas.record_grant(quota, waiting[0].request.units)
         for req, cls, aim_at, end_at in waiting:
             if self.asking.pop(req.id, None) is not None:
                 self._decide(req, cls, quota, aim_at, end_at, True)
--- a/hillmux/hot_restart/state_codec.py
+++ b/hillmux/hot_restart/state_codec.py
@@ -23,7 +23,7 @@
 from hillmux.balancing.host import MAX_LATENCY_RATIO, MIN_LATENCY_RATIO
 from hillmux.decision import gateway as policy
 from hillmux.decision.gateway import Gateway
-from hillmux.quotas.latest_times import SLOTS
+from hillmux.quotas.latest_times import SLOT_COUNT
 from hillmux.quotas.state import QuotaState
 
 VERSION = 1
@@ -106,7 +106,7 @@
         | {name: getattr(quotas.throttle, COUNTER_ATTRIBUTES[name]) for name in COUNTER},
         "warm_rate": fleet.slow_start.warm_work_rate,
         "latency": dict(gateway.latency),
-        "asked_at": dict(quotas.registry.asked_at),
+        "asked_at": dict(quotas.registry.last_request_at),
         "cells": [[*key, c.value, c.work, c.f, c.r] for key, c in gateway.cells.items()],
     }
     hosts = list(fleet.hosts.values())
@@ -124,7 +124,7 @@
             "t": CUSTOMERS,
             "uses": [[*state.key, *(getattr(state, name) for name in attributes)] for state in some_states],
         }
-    times = quotas.registry.ceilings_from.times
+    times = quotas.registry.forgotten_ceilings.slots
     if times is not None:
         text = base64.b85encode(zlib.compress(times.tobytes(), 1)).decode()
         for at in range(0, len(text), PIECE):
@@ -175,7 +175,7 @@
     gateway.quotas.born = gateway.born
     gateway.quotas.pressed = gateway.f < 1
     gateway.latency.update({n: v for n, v in latency.items() if n in gateway.classes})
-    registry.asked_at.update({n: v for n, v in asked_at.items() if n in gateway.plans})
+    registry.last_request_at.update({n: v for n, v in asked_at.items() if n in gateway.plans})
     gateway.fleet.slow_start.warm_work_rate = warm_rate
     for cls, plan, (value, work, f, r) in cells:
         if cls in gateway.classes and plan in gateway.plans:
@@ -187,7 +187,7 @@
         if plan in gateway.plans and len(registry.states) < gateway.s.max_customers:
             _restore_use(gateway, customer, plan, fields)
     if times is not None:
-        registry.ceilings_from.times = times
+        registry.forgotten_ceilings.slots = times
 
 
 def _restore_host(gateway: Gateway, name: str, fields: dict[str, Any]) -> None:
@@ -209,7 +209,7 @@
     if state is None:
         state = QuotaState(key, gateway.plans[plan], fields["width"], gateway.now, 0.0)
         registry.states[key] = state
-        registry.ring.append(state)
+        registry.sweep_queue.append(state)
     for name, value in fields.items():
         setattr(state, USE_ATTRIBUTES[name], value)
     state.set_replicas(state.replicas)
@@ -291,9 +291,9 @@
     if not text:
         return None
     try:
-        found = array("d", zlib.decompressobj().decompress(base64.b85decode(text), 8 * SLOTS + 1))
+        found = array("d", zlib.decompressobj().decompress(base64.b85decode(text), 8 * SLOT_COUNT + 1))
     except (ValueError, zlib.error):
         raise StateError(f"{SKETCH}: cannot be read") from None
-    if len(found) != SLOTS or not all(map(math.isfinite, found)):
-        raise StateError(f"{SKETCH}: must be {SLOTS} times")
+    if len(found) != SLOT_COUNT or not all(map(math.isfinite, found)):
+        raise StateError(f"{SKETCH}: must be {SLOT_COUNT} times")
     return found
--- a/hillmux/quotas/ceiling.py
+++ b/hillmux/quotas/ceiling.py
@@ -20,15 +20,15 @@
 def has(state: QuotaState, units: float, now: float) -> bool:
     """Fill the part up to `now` (ms); whether it holds so many units. The plan must have a ceiling."""
     plan = state.plan
-    full = plan.ceiling_burst / state.replicas
+    limit = plan.ceiling_burst / state.replicas
     gained = (now - state.ceiling_at) * plan.ceiling_rate / 1000 / state.replicas
-    state.ceiling_remaining = min(full, state.ceiling_remaining + gained)
+    state.ceiling_remaining = min(limit, state.ceiling_remaining + gained)
     state.ceiling_at = now
     return units <= state.ceiling_remaining + ROUNDING_UNITS
 
 
 def fill_start(state: QuotaState) -> float | None:
-    """The moment (ms) at which an empty part would have begun to fill to what is held; None: no ceiling."""
+    """The moment (ms) from which an empty part would have filled to what is left; None without a ceiling."""
     rate = state.plan.ceiling_rate / 1000 / state.replicas
     return state.ceiling_at - state.ceiling_remaining / rate if rate > 0 else None
 
--- a/hillmux/quotas/estimate.py
+++ b/hillmux/quotas/estimate.py
@@ -11,38 +11,37 @@
 from hillmux.quotas import batches, lease
 from hillmux.quotas.state import QuotaState
 
-SPLIT: Final = (
-    1.5  # times the even split, without a counter and with room: use is uneven, replicas may be dead
-)
-OTHERS_MEMORY_MS: Final = 5000.0  # memory of the others' rate of use
-NEAR_LIMIT: Final = 0.9  # of their even shares that the others use at least where a quota is near its limit
-GRANTED: Final = 0.9  # grant ratio below which it is near it, too
-OUTLIER: Final = 3.0  # standard deviations beyond which a total is no noise, and is believed as it is
+# Times the even split that a gateway takes without a counter: use is uneven, and replicas may be dead.
+EVEN_SPLIT_FACTOR: Final = 1.5
+OTHERS_RATE_MEMORY_MS: Final = 5000.0
+NEAR_LIMIT_USE: Final = 0.9  # part of their even shares; a quota is near its limit where the others use it
+NEAR_LIMIT_GRANT_RATIO: Final = 0.9  # grant ratio below which a quota is near its limit, too
+NOISE_DEVIATIONS: Final = 3.0  # standard deviations up to which a change of the total may be noise
 ROUNDING_UNITS: Final = 1e-6  # difference of two sums of units that is taken for rounding
 
 
-def advance(state: QuotaState, now: float, pressed: bool, counter_silent: bool) -> None:
+def advance(state: QuotaState, now: float, shedding_load: bool, counter_silent: bool) -> None:
     """Bring `state.remaining` and `state.upper_bound` forward to `now`, which is after `remaining_at`.
 
-    `pressed`: the back end does not take all requests. `counter_silent`: most calls go unanswered, so totals
-    are no longer trusted alone and the even split is granted at least.
+    `shedding_load`: admission control does not admit all requests. `counter_silent`: most calls go
+    unanswered, so totals are no longer trusted alone and the even split is granted at least.
     """
     span = now - state.remaining_at
     burst, rate = state.plan.burst, state.plan.rate / 1000
     state.upper_bound = min(burst, state.upper_bound + rate * span)
-    gain, most = rate - state.others_rate, burst
+    gain, limit = rate - state.others_rate, burst
     if state.last_total is None:
-        share = _split_share(state, pressed)
-        gain, most = rate * share, burst * share
+        share = _split_share(state, shedding_load)
+        gain, limit = rate * share, burst * share
     elif counter_silent:
-        gain = max(gain, rate * _split_share(state, pressed))
-    state.remaining = min(most, state.remaining + gain * span)
+        gain = max(gain, rate * _split_share(state, shedding_load))
+    state.remaining = min(limit, state.remaining + gain * span)
     state.remaining_at += span
 
 
-def _split_share(state: QuotaState, pressed: bool) -> float:
+def _split_share(state: QuotaState, shedding_load: bool) -> float:
     """This gateway's part of the quota where there is no total to go by."""
-    return min(1.0, (1.0 if pressed else SPLIT) / state.replicas)
+    return min(1.0, (1.0 if shedding_load else EVEN_SPLIT_FACTOR) / state.replicas)
 
 
 def start_window(state: QuotaState, start: float, keep_lease: bool) -> None:
@@ -95,19 +94,21 @@
     """
     first = state.last_total is None
     refill = 0.0 if first else state.plan.rate * span / 1000
-    believed = others if first else _believed_use(state, others, span)
-    full = state.last_total_upper_bound + refill - believed - (state.used - state.last_total_used)
-    owed = 0.0 if first else state.plan.rate / 1000 * lease.HOLD_MS
-    state.last_total_level = min(full, state.upper_bound)
-    state.remaining = state.upper_bound = max(state.last_total_level, -owed)
-    keep = 0.0 if first else OTHERS_MEMORY_MS / (OTHERS_MEMORY_MS + span)
+    use = others if first else _filtered_use(state, others, span)
+    level = state.last_total_upper_bound + refill - use - (state.used - state.last_total_used)
+    max_owed = 0.0 if first else state.plan.rate / 1000 * lease.MAX_WAIT_MS
+    state.last_total_level = min(level, state.upper_bound)
+    state.remaining = state.upper_bound = max(state.last_total_level, -max_owed)
+    keep = 0.0 if first else OTHERS_RATE_MEMORY_MS / (OTHERS_RATE_MEMORY_MS + span)
     state.others_rate = keep * state.others_rate + (1 - keep) * others / span
     others_share = state.plan.rate / 1000 - state.share_rate
-    near_limit = state.others_rate >= NEAR_LIMIT * others_share or state.grant_ratio < GRANTED
+    near_limit = (
+        state.others_rate >= NEAR_LIMIT_USE * others_share or state.grant_ratio < NEAR_LIMIT_GRANT_RATIO
+    )
     state.set_batches(near_limit)
 
 
-def _believed_use(state: QuotaState, others: float, span: float) -> float:
+def _filtered_use(state: QuotaState, others: float, span: float) -> float:
     """The others' use (units) in `span` ms, between what was expected and the `others` that a total tells.
 
     Reports come late and in batches, so their sum varies more than the use behind them. The two are weighed
@@ -116,10 +117,10 @@
     many. What is further off than such noise explains is a real change.
     """
     expected = max(state.others_rate, 0.0) * span
-    share = min(state.batch_share, batches.SPREAD / state.batch_divisor)
+    share = min(state.batch_share, batches.ROOT_FACTOR / state.batch_divisor)
     batch = max(share * state.remaining - 1.0, 0.0)  # beyond the one unit that is reported with each request
     noise = batch * min(batch * state.replicas / 6, expected)
-    off = others - expected
-    if off * off > OUTLIER * OUTLIER * (expected + noise):
+    deviation = others - expected
+    if deviation * deviation > NOISE_DEVIATIONS * NOISE_DEVIATIONS * (expected + noise):
         return others
-    return expected + off * expected / (expected + noise) if expected else others
+    return expected + deviation * expected / (expected + noise) if expected else others
--- a/hillmux/quotas/lease.py
+++ b/hillmux/quotas/lease.py
@@ -13,7 +13,7 @@
 
 Bounds, in units. Without a call a gateway sends at most its lease, its even share of the refill, and what
 remains / `batches.divisor`. Its lease is at most what one request reserves, what its requests did not use,
-and remaining / `batches.divisor` drawn ahead. It ends `IDLE_MS` after the customer's last request.
+and remaining / `batches.divisor` drawn ahead. It ends `IDLE_TIMEOUT_MS` after the customer's last request.
 """
 
 from __future__ import annotations
@@ -22,11 +22,12 @@
 
 from hillmux.quotas.state import QuotaState
 
-HOLD_MS: Final = 500.0  # refill for which a lease waits: what it would cover later is given back at once
-IDLE_MS: Final = 5000.0  # how long a lease waits for the customer's next request
-HOT_SHARES: Final = 2.0  # times its even share that a gateway must serve to draw ahead
-DEMAND_MS: Final = 1000.0  # added to the time since the last report: of two requests at once none is hot
-AHEAD_MS: Final = 3000.0  # time whose demand beyond that is drawn ahead
+MAX_WAIT_MS: Final = 500.0  # for refill to cover a lease; what it would cover later is given back
+IDLE_TIMEOUT_MS: Final = 5000.0  # for which a lease waits for the customer's next request
+DRAW_AHEAD_SHARES: Final = 2.0  # times its even share that a gateway must serve to draw ahead
+DRAW_AHEAD_MS: Final = 3000.0  # whose demand beyond that is drawn ahead
+# Added to the time since the last report, so that two requests at once are not taken for a high demand.
+DEMAND_SMOOTHING_MS: Final = 1000.0
 ROUNDING_UNITS: Final = 1e-9  # what a sum of units may lack of a whole
 
 
@@ -52,22 +53,22 @@
 
 
 def draw_ahead(state: QuotaState, unreported: float, remaining: float, now: float) -> float:
-    """Units to lease beside a report: what a hot gateway will serve beyond its share in the next seconds.
+    """Units to lease beside a report: what a busy gateway will serve beyond its share in the next seconds.
 
     `unreported`: units used since the last report, which tell this gateway's own demand.
     """
     if remaining <= 0 or state.last_total is None:
         return 0.0
-    excess = unreported / (now - state.called_at + DEMAND_MS) - HOT_SHARES * state.share_rate
-    return max(min(excess * AHEAD_MS, remaining / state.batch_divisor), 0.0)
+    excess = unreported / (now - state.called_at + DEMAND_SMOOTHING_MS) - DRAW_AHEAD_SHARES * state.share_rate
+    return max(min(excess * DRAW_AHEAD_MS, remaining / state.batch_divisor), 0.0)
 
 
 def surplus(state: QuotaState, now: float) -> float:
     """Units of a lease to give back: a seldom seen customer's, and what the refill would cover too late."""
     units = available(state)
-    often = 0 < state.request_gap_ms < IDLE_MS  # 0: this is its first request
-    if often and now - state.seen_at < IDLE_MS:
-        units -= max(level(state, now + HOLD_MS), 0.0)
+    often = 0 < state.request_gap_ms < IDLE_TIMEOUT_MS  # 0: this is its first request
+    if often and now - state.seen_at < IDLE_TIMEOUT_MS:
+        units -= max(level(state, now + MAX_WAIT_MS), 0.0)
     return units if units > ROUNDING_UNITS else 0.0
 
 
--- a/hillmux/quotas/quotas.py
+++ b/hillmux/quotas/quotas.py
@@ -15,7 +15,7 @@
 from hillmux import interface as api
 from hillmux.interface import AttemptResult
 from hillmux.quotas import ceiling, estimate, lease, window
-from hillmux.quotas.parts import draw
+from hillmux.quotas.randomized_rounding import round_to_whole
 from hillmux.quotas.registry import FORGET_WINDOWS, Registry
 from hillmux.quotas.state import QuotaState
 from hillmux.quotas.throttle import SILENT_RATE, CallThrottle
@@ -47,48 +47,57 @@
     def change(self, settings: api.Settings) -> None:
         """Go over to new settings with the same plans."""
         self.settings = settings
-        self.registry.most_customers = settings.max_customers
+        self.registry.max_customers = settings.max_customers
 
-    def state_for(self, req: api.Request, plan: api.Plan) -> QuotaState | None:
+    def state_for(self, request: api.Request, plan: api.Plan) -> QuotaState | None:
         """A customer's state under a plan; None where there is no room to know one more customer.
 
         Each plan counts by itself: another plan in a customer's name would reset its use. A number of
         replicas holds for a window and the next: named once, a wrong one would shrink the customer's parts
         for good.
         """
-        replicas = max(1, min(req.replicas, self.settings.fleet_size))
+        replicas = max(1, min(request.replicas, self.settings.fleet_size))
         registry = self.registry
-        key = (req.customer, plan.name)
+        key = (request.customer, plan.name)
         state = registry.states.get(key)
         if state is None:
-            if registry.full() and not self._forget_early():
+            state = self._new_state(key, plan, replicas)
+            if state is None:
                 return None
-            state = QuotaState(key, plan, replicas, self.now, self.now - (self.born or 0.0))
-            registry.add(state, self.born or 0.0)
-        unseen, state.seen_at = self.now - state.seen_at, self.now
-        state.request_gap_ms = unseen
-        registry.asked_at[plan.name] = self.now
+        state.request_gap_ms = self.now - state.seen_at
+        state.seen_at = self.now
+        registry.last_request_at[plan.name] = self.now
         if plan.rate > 0:
-            length = self.window_ms[plan.name]
-            clock = self.now / length + state.phase
-            if int(clock) != state.window:
-                self._start_window(state, int(clock), self.now - clock % 1 * length, unseen < lease.IDLE_MS)
-                if unseen >= FORGET_WINDOWS * length:
-                    # Totals read so long ago are no guide, and asking anew for each of 100,000 seldom seen
-                    # customers would overload the counter. At most the split of the burst goes unreported.
-                    state.remaining = min(self.remaining(state), plan.burst / state.replicas)
+            window_position = self.now / self.window_ms[plan.name] + state.phase
+            if int(window_position) != state.window:
+                self._enter_window(state, window_position)
         if replicas > state.replicas_in_window:
             state.replicas_in_window = replicas
             if replicas > state.replicas:
                 state.set_replicas(replicas)
         return state
 
-    def _forget_early(self) -> bool:
-        forgotten = self.registry.forget_early()
-        if forgotten is None:
-            return False
-        self.calls.pop(forgotten.count_name, None)
-        return True
+    def _new_state(self, key: tuple[str, str], plan: api.Plan, replicas: int) -> QuotaState | None:
+        """Make room for one more customer and add it; None if there is no room."""
+        if self.registry.is_full():
+            forgotten = self.registry.forget_early()
+            if forgotten is None:
+                return None
+            self.calls.pop(forgotten.count_name, None)
+        gateway_start = self.born or 0.0
+        state = QuotaState(key, plan, replicas, self.now, self.now - gateway_start)
+        self.registry.add(state, gateway_start)
+        return state
+
+    def _enter_window(self, state: QuotaState, position: float) -> None:
+        """Go over to the current window; `position`: its number, and as a fraction the part that is over."""
+        length, gap = self.window_ms[state.plan.name], state.request_gap_ms
+        keep_lease = gap < lease.IDLE_TIMEOUT_MS
+        self._start_window(state, int(position), self.now - position % 1 * length, keep_lease)
+        if gap >= FORGET_WINDOWS * length:
+            # Totals read so long ago are no guide, and asking anew for each of 100,000 seldom seen customers
+            # would overload the counter. At most the split of the burst goes unreported.
+            state.remaining = min(self.remaining(state), state.plan.burst / state.replicas)
 
     def _start_window(self, state: QuotaState, number: int, start: float, keep_lease: bool) -> None:
         """Go over to the window of this number, which started at `start` (ms).
@@ -116,8 +125,11 @@
         estimate.advance(state, now, self.pressed, self.throttle.answer_rate < SILENT_RATE)
 
     def unsure(self, state: QuotaState, units: float) -> bool:
-        """Whether the counter should be asked first: nothing was read, or the estimate does not plainly allow
-        what the last total would."""
+        """Whether the counter should be asked first.
+
+        So it is where no total was read yet, or where the last total would allow what the estimate does not
+        plainly allow.
+        """
         if not self.settings.counter_available or not state.has_quota:
             return False
         if state.last_total is None:
@@ -148,7 +160,7 @@
             return not self.succeeded and lease.covers(state, units, self.now)
         if state.last_total is None or self.throttle.answer_rate < SILENT_RATE:
             # A split smaller than the request serves it by chance, so that the fleet's sum is right.
-            state.remaining = draw(self.rng, state.remaining, units)
+            state.remaining = round_to_whole(self.rng, state.remaining, units)
         return state.remaining >= units - ROUNDING_UNITS
 
     def ceiling_has(self, state: QuotaState, units: float) -> bool:
@@ -188,18 +200,26 @@
             # What may have been reported and not be held by the counter is not given back: the total is read.
             amount = max(amount + reserve, 0.0)
         elif amount > 0:
-            now = self.now
-            if now > state.remaining_at:
-                self._advance(state, now)
-            remaining, uncovered_ms = state.remaining, state.covered_at - now
-            if amount < state.batch_share * remaining and uncovered_ms * state.batch_rate < remaining:
-                return
-            if not self.throttle.may_call(now):
+            if not self._report_is_due(state, amount):
                 return
         else:
             amount = -self._lease_surplus(state) if amount else 0.0
             if not amount or not self.throttle.may_call(self.now):
                 return
+        self._call_counter(state, amount, reserve)
+
+    def _report_is_due(self, state: QuotaState, amount: float) -> bool:
+        """Whether so many unreported units are a batch, and a call may be made."""
+        now = self.now
+        if now > state.remaining_at:
+            self._advance(state, now)
+        remaining, uncovered_ms = state.remaining, state.covered_at - now
+        if amount < state.batch_share * remaining and uncovered_ms * state.batch_rate < remaining:
+            return False
+        return self.throttle.may_call(now)
+
+    def _call_counter(self, state: QuotaState, amount: float, reserve: float) -> None:
+        """Report so many units, those of the `reserve` and what is drawn ahead among them."""
         if amount > 0:
             amount += lease.draw_ahead(state, amount, self.remaining(state) - reserve, self.now)
             state.covered_at = self.now
@@ -209,7 +229,9 @@
         plan = state.plan.name
         state.count_name = window.count_name(state.digest, self.plan_tags[plan], state.window)
         self.calls[state.count_name] = state
-        self.out.append(api.IncrementCounter(state.count_name, amount, window.keep_ms(self.window_ms[plan])))
+        self.out.append(
+            api.IncrementCounter(state.count_name, amount, window.retention_ms(self.window_ms[plan]))
+        )
 
     def _lease_surplus(self, state: QuotaState) -> float:
         if self.succeeded:  # the process that goes on holds the lease
@@ -224,7 +246,7 @@
                 self.sync(state)
 
     def replied(self, reply: api.CounterReply) -> QuotaState | None:
-        """Take the end of one call; whose it was, None where nobody waits for it any more."""
+        """Take the result of one call; the customer it was for, None if the call was given up meanwhile."""
         self.throttle.record_result(reply.result)
         state = self.calls.pop(reply.name, None)
         if state is None or not state.call_open:
@@ -260,9 +282,9 @@
             self.calls.pop(state.count_name, None)
 
     def _return_idle_lease(self, state: QuotaState) -> None:
-        if state.reported > state.used and self.now - state.seen_at >= lease.IDLE_MS:
+        if state.reported > state.used and self.now - state.seen_at >= lease.IDLE_TIMEOUT_MS:
             self.sync(state)
 
     def settled(self) -> bool:
         """Whether no customer's use still counts."""
-        return self.registry.settled(self.now)
+        return self.registry.is_quiescent(self.now)
--- a/hillmux/quotas/registry.py
+++ b/hillmux/quotas/registry.py
@@ -12,83 +12,85 @@
 from hillmux.quotas.state import QuotaState
 
 FORGET_WINDOWS: Final = 3.0  # windows without a request after which a customer's totals are no guide
-KEEP_MS: Final = 120000.0  # a customer is kept that long after its last request: to make it anew costs more
-MIN_LOOKS: Final = 64  # customers looked at in one sweep, at least
-FULL_SWEEPS: Final = 1200  # sweeps in which all customers are looked at
-CHOICES: Final = 8  # customers weighed against each other when one must be forgotten early
-IDLE_MS: Final = 1000.0  # what stands for the window of a plan without a quota
+MIN_RETENTION_MS: Final = 120000.0  # after a customer's last request: to make its state anew costs more
+MIN_SWEPT: Final = 64  # customers looked at in one sweep
+SWEEPS_PER_ROUND: Final = 1200  # sweeps in which all customers are looked at
+EVICTION_CANDIDATES: Final = 8  # customers compared when one must be forgotten early
+NO_QUOTA_WINDOW_MS: Final = 1000.0  # stands for the window of a plan without a quota
 
 
 class Registry:
     """Quota states by customer and plan, bounded in number."""
 
     def __init__(self, settings: api.Settings) -> None:
-        self.most_customers = settings.max_customers
+        self.max_customers = settings.max_customers
         # By plan, ms without a request after which use is no guide any longer and the ceiling is full again.
-        self.rests = {
-            plan.name: max(FORGET_WINDOWS * (window.length_ms(plan) or IDLE_MS), ceiling.fill_ms(plan))
-            for plan in settings.plans
-        }
-        self.asked_at: dict[str, float] = {}  # by plan, the moment of its last request
+        self.rest_ms = {plan.name: _rest_ms(plan) for plan in settings.plans}
+        self.last_request_at: dict[str, float] = {}  # by plan, ms
         self.states: dict[tuple[str, str], QuotaState] = {}  # by the names of customer and plan
-        self.ring: deque[QuotaState] = deque()  # the same, in the order in which sweeps look at them
-        self.ceilings_from = (
-            LatestTimes()
-        )  # since when the ceilings fill of customers that were forgotten early
+        self.sweep_queue: deque[QuotaState] = deque()  # all states, in the order in which sweeps look at them
+        # The moments (ms) from which the ceilings fill of customers that were forgotten early.
+        self.forgotten_ceilings = LatestTimes()
 
-    def full(self) -> bool:
-        """Whether no further customer may be known."""
-        return len(self.states) >= self.most_customers
+    def is_full(self) -> bool:
+        """Whether there is no room for a further customer."""
+        return len(self.states) >= self.max_customers
 
     def add(self, state: QuotaState, gateway_start: float) -> None:
-        """Know one more customer; its ceiling fills since the gateway's start (ms) or an early forgetting."""
+        """Add a customer, whose ceiling fills since the gateway's start (ms) or its early forgetting."""
         self.states[state.key] = state
-        state.ceiling_at = max(gateway_start, self.ceilings_from.at(state.digest))
-        self.ring.append(state)
+        state.ceiling_at = max(gateway_start, self.forgotten_ceilings.get(state.digest))
+        self.sweep_queue.append(state)
 
     def forget_early(self) -> QuotaState | None:
-        """Forget, of a few customers with nothing open, the one unseen for the longest; None: there is none.
+        """Forget the longest unseen of a few customers that have nothing open; None if all have.
 
         What it has of its ceiling is noted. Of its quota the counter knows all but the last few requests.
         """
-        best, at, ring = None, 0, self.ring
-        looks = min(CHOICES, len(ring))
-        for i in range(looks):
-            state = ring[0]
-            ring.rotate(-1)
-            if self._idle(state) and (best is None or state.seen_at < best.seen_at):
-                best, at = state, i
-        if best is None:
+        oldest, oldest_index, queue = None, 0, self.sweep_queue
+        candidate_count = min(EVICTION_CANDIDATES, len(queue))
+        for index in range(candidate_count):
+            state = queue[0]
+            queue.rotate(-1)
+            if self._has_nothing_open(state) and (oldest is None or state.seen_at < oldest.seen_at):
+                oldest, oldest_index = state, index
+        if oldest is None:
             return None
-        del ring[len(ring) - looks + at]
-        start = ceiling.fill_start(best)
+        del queue[len(queue) - candidate_count + oldest_index]
+        start = ceiling.fill_start(oldest)
         if start is not None:
-            self.ceilings_from.put(best.digest, start)
-        del self.states[best.key]
-        return best
+            self.forgotten_ceilings.put(oldest.digest, start)
+        del self.states[oldest.key]
+        return oldest
 
-    def sweep(self, now: float, keep: Callable[[QuotaState], None]) -> list[QuotaState]:
-        """Forget customers long unseen at `now` (ms), a few looked at each time; those that were forgotten.
+    def sweep(self, now: float, on_kept: Callable[[QuotaState], None]) -> list[QuotaState]:
+        """Look at a few customers, forget and return those long unseen at `now` (ms).
 
-        `keep` is called with each that was looked at and stays.
-
-        A ceiling that was forgotten starts anew, so only one that would be full again may go.
+        `on_kept` is called with each other one that was looked at. A ceiling that was forgotten starts anew
+        from empty, so only a customer whose ceiling would be full again may be forgotten.
         """
         forgotten = []
-        for _ in range(min(len(self.ring), max(MIN_LOOKS, len(self.ring) // FULL_SWEEPS))):
-            state = self.ring.popleft()
-            if now - state.seen_at >= max(self.rests[state.plan.name], KEEP_MS) and self._idle(state):
+        swept_count = max(MIN_SWEPT, len(self.sweep_queue) // SWEEPS_PER_ROUND)
+        for _ in range(min(len(self.sweep_queue), swept_count)):
+            state = self.sweep_queue.popleft()
+            retention_ms = max(self.rest_ms[state.plan.name], MIN_RETENTION_MS)
+            if now - state.seen_at >= retention_ms and self._has_nothing_open(state):
                 del self.states[state.key]
                 forgotten.append(state)
             else:
-                keep(state)
-                self.ring.append(state)
+                on_kept(state)
+                self.sweep_queue.append(state)
         return forgotten
 
-    def settled(self, now: float) -> bool:
-        """Whether at `now` (ms) no customer's use still counts."""
-        return all(now - at >= self.rests[plan] for plan, at in self.asked_at.items())
+    def is_quiescent(self, now: float) -> bool:
+        """Whether no customer's use counts any more at `now` (ms)."""
+        return all(now - at >= self.rest_ms[plan] for plan, at in self.last_request_at.items())
 
     @staticmethod
-    def _idle(state: QuotaState) -> bool:
+    def _has_nothing_open(state: QuotaState) -> bool:
         return not state.open_requests and not state.waiting
+
+
+def _rest_ms(plan: api.Plan) -> float:
+    window_ms = window.length_ms(plan) or NO_QUOTA_WINDOW_MS
+    return max(FORGET_WINDOWS * window_ms, ceiling.fill_ms(plan))
--- a/hillmux/quotas/state.py
+++ b/hillmux/quotas/state.py
@@ -2,11 +2,19 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from hillmux import interface as api
 from hillmux.quotas import batches, window
 
-# A request that waits for a total of the counter: request, class, aim and end (moments in ms).
-Waiting = tuple[api.Request, api.RequestClass, float, float]
+
+class WaitingRequest(NamedTuple):
+    """A request that waits for a total of the counter; moments in ms."""
+
+    request: api.Request
+    request_class: api.RequestClass
+    due_at: float  # an answer after it has no value
+    deadline_at: float
 
 
 class QuotaState:
@@ -90,7 +98,9 @@
         self.others_rate = plan.rate / 1000 * (1 - 1 / replicas)  # estimate for the others, units per ms
         self.remaining = min(plan.burst, plan.rate * gateway_age_ms / 1000) / replicas
         self.remaining_at = now
-        self.waiting: list[Waiting] | None = None  # None while there are none: most customers never have one
+        self.waiting: list[WaitingRequest] | None = (
+            None  # None while there are none: most customers never have one
+        )
         self.open_requests = 0
         self.ceiling_remaining = self.ceiling_at = 0.0
         self.grant_ratio = 1.0  # part of the waits for a total that found something left
--- a/hillmux/quotas/window.py
+++ b/hillmux/quotas/window.py
@@ -15,7 +15,7 @@
 BURSTS_PER_WINDOW: Final = (
     2.0  # length of a window in burst / rate; older unused units are not lent out later
 )
-KEEP_MAX_MS: Final = 60000.0  # longest time for which the counter is asked to keep a count
+MAX_RETENTION_MS: Final = 60000.0  # longest time for which the counter is asked to keep a count
 PHASES: Final = 65536  # possible starts of a customer's windows, as fractions of a window
 
 
@@ -23,12 +23,12 @@
     """The length of a plan's windows in ms; 0 for a plan without a quota."""
     if plan.rate <= 0:
         return 0.0
-    return min(max(BURSTS_PER_WINDOW * 1000.0 * plan.burst / plan.rate, 1.0), KEEP_MAX_MS / 2)
+    return min(max(BURSTS_PER_WINDOW * 1000.0 * plan.burst / plan.rate, 1.0), MAX_RETENTION_MS / 2)
 
 
-def keep_ms(length: float) -> float:
+def retention_ms(length: float) -> float:
     """How long the counter is to keep the count of a window of this length; both in ms."""
-    return min(2 * length, KEEP_MAX_MS)
+    return min(2 * length, MAX_RETENTION_MS)
 
 
 def digest(customer: str) -> bytes:
--- a/hillmux/recovery/snapshotting_gateway.py
+++ b/hillmux/recovery/snapshotting_gateway.py
@@ -52,7 +52,7 @@
         self._succeeded = False
 
     def _left_behind(self, exact: bool) -> Iterator[dict[str, Any]]:
-        now, rests = self._clock.now_ms(), self._gateway.quotas.registry.rests
+        now, rests = self._clock.now_ms(), self._gateway.quotas.registry.rest_ms
         return export(
             self._gateway, lambda state: worth_leaving(state.seen_at, rests[state.plan.name], now, exact)
         )
--- a/tests/handover/test_state.py
+++ b/tests/handover/test_state.py
@@ -16,7 +16,7 @@
 from hillmux.hot_restart.channel import LONGEST
 from hillmux.hot_restart.state_codec import AT_ONCE, MODULE, StateError, export, restore
 from hillmux.interface import AttemptResult, ListKind, RejectReason
-from hillmux.quotas.registry import CHOICES
+from hillmux.quotas.registry import EVICTION_CANDIDATES
 
 
 def busy(seed: int = 1, customers: int = 30, trouble: bool = True, **changes: object) -> Driver:
@@ -116,10 +116,13 @@
 
 
 def test_ceilings_that_were_forgotten_early_go_along() -> None:
-    d = busy(max_customers=CHOICES)
-    assert d.gateway.quotas.registry.ceilings_from.times is not None
+    d = busy(max_customers=EVICTION_CANDIDATES)
+    assert d.gateway.quotas.registry.forgotten_ceilings.slots is not None
     new = heir(d)
-    assert new.gateway.quotas.registry.ceilings_from.times == d.gateway.quotas.registry.ceilings_from.times
+    assert (
+        new.gateway.quotas.registry.forgotten_ceilings.slots
+        == d.gateway.quotas.registry.forgotten_ceilings.slots
+    )
 
 
 def test_documents_are_of_bounded_size() -> None:
--- a/tests/limits/sharing.py
+++ b/tests/quotas/gateway_fleet.py
@@ -19,7 +19,7 @@
     return (number - window.phase(window.digest(NAME))) * window.length_ms(plan)
 
 
-class Fleet:
+class GatewayFleet:
     """Gateways on one clock and one counter, which answers at once unless a test has it fail."""
 
     def __init__(self, gateways: int, plan: api.Plan = PLAN, into_ms: float = 100.0) -> None:
@@ -112,7 +112,7 @@
         return self.plan.burst + self.plan.rate * (self.now - self.began) / 1000
 
 
-def line_up(fleet: Fleet, number: int = 0) -> None:
+def line_up(fleet: GatewayFleet, number: int = 0) -> None:
     """Have a request refused whose reserve is kept: the first in line for the next unit."""
     fleet.use_elsewhere(fleet.plan.burst - 2)
     assert fleet.ask(number)
--- a/tests/limits/test_lease_calls.py
+++ b/tests/quotas/test_lease_calls.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from limits.sharing import PLAN, ROUNDING, Fleet, line_up, window_start
+from quotas.gateway_fleet import PLAN, ROUNDING, GatewayFleet, line_up, window_start
 
 from hillmux import interface as api
 from hillmux.interface import AttemptResult
@@ -24,7 +24,7 @@
 def test_a_draw_whose_call_was_cut_added_or_not_is_no_lease_until_a_total_holds_it(
     result: str, adds: bool
 ) -> None:
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.ask(0)
     fleet.failing[0] = (result, adds)
     for _ in range(12):
@@ -50,7 +50,7 @@
 
 def test_a_draw_whose_answer_is_late_is_not_spent_twice() -> None:
     """The reply comes after the gateway has given the call up: nobody waits for it any more."""
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.ask(0)
     fleet.failing[0] = (AttemptResult.TIMED_OUT, True)
     for _ in range(12):
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("kept", [0.0, 0.5])
 def test_a_draw_answered_by_a_counter_that_came_back_empty_or_old_ends_the_lease(kept: float) -> None:
     """Empty, or with what it held some seconds ago: no lease holds, and the quota does not open anew."""
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.ask(1)
     fleet.draw(0)
     before, began = sum(fleet.sent), fleet.now
@@ -84,7 +84,7 @@
     assert sum(fleet.sent) - before <= left + refill + ROUNDING
 
 
-def given_back(fleet: Fleet, result: str, adds: bool) -> list[float]:
+def given_back(fleet: GatewayFleet, result: str, adds: bool) -> list[float]:
     """A lease is drawn and its give-back ends so; the amounts that were told."""
     fleet.ask(1)
     drawn = fleet.draw(0)
@@ -100,7 +100,7 @@
 
 
 def test_a_give_back_that_is_lost_is_out_of_use_for_its_window_and_no_longer() -> None:
-    lost, added = Fleet(3), Fleet(3)
+    lost, added = GatewayFleet(3), GatewayFleet(3)
     (units,) = given_back(lost, AttemptResult.CONNECTION_LOST, False)
     assert given_back(added, AttemptResult.OK, True) == [units]
     missing = added.flood(1, 2, times=60) - lost.flood(1, 2, times=60)
@@ -113,14 +113,14 @@
 
 
 def test_a_give_back_whose_call_was_cut_after_it_was_added_is_not_told_twice() -> None:
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     assert len(given_back(fleet, AttemptResult.CONNECTION_LOST, True)) == 1
     assert sum(fleet.totals.values()) == pytest.approx(sum(fleet.sent))
 
 
 def test_a_give_back_that_is_told_twice_lets_in_no_more_than_was_given() -> None:
     """A counter that adds and says that it did not: the protocol's fault, and its price."""
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     first, *again = given_back(fleet, AttemptResult.QUEUE_FULL, True)
     assert again and sum(again) <= len(again) * first + ROUNDING
     fleet.flood(1, 2, times=60)
@@ -130,7 +130,7 @@
 def test_a_call_that_was_not_added_is_still_to_be_reported_in_time() -> None:
     """`covered_at` counts from the last report; a call that the counter refused was none."""
     plan = api.Plan("wide", rate=10.0, burst=100.0)
-    fleet = Fleet(16, plan)
+    fleet = GatewayFleet(16, plan)
     fleet.ask(0)
     fleet.failing[0] = (AttemptResult.QUEUE_FULL, False)
     while len(fleet.calls(0)) == 1:
@@ -145,7 +145,7 @@
 
 
 def test_a_give_back_of_another_is_no_lost_counter_where_more_was_used_since() -> None:
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     line_up(fleet)
     held = fleet.lease(0)
     fleet.use_elsewhere(3.0 - 2.0)  # 3 used, 2 given back
@@ -157,7 +157,7 @@
 
 def test_a_draw_that_was_not_added_and_is_hidden_by_the_others_use_costs_no_more_than_its_amount() -> None:
     """A total tells that a call is missing only while the others used less since: else it seems added."""
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.ask(0)
     fleet.failing[0] = (AttemptResult.CONNECTION_LOST, False)
     while len(fleet.calls(0)) == 1:
@@ -173,7 +173,7 @@
 
 def test_a_give_back_that_is_read_by_the_holder_of_another_lease_lets_nothing_in_beyond() -> None:
     """The total falls, as if the counter had lost counts: the other lease ends, out of use for its window."""
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.use_elsewhere(4.0)
     fleet.draw(0)
     held = fleet.lease(0)
--- a/tests/limits/test_lease_costs.py
+++ b/tests/quotas/test_lease_costs.py
@@ -7,7 +7,7 @@
 
 import pytest
 from conftest import CAPPED
-from limits.sharing import NAME, PLAN, Fleet
+from quotas.gateway_fleet import NAME, PLAN, GatewayFleet
 
 from hillmux import interface as api
 from hillmux.interface import RejectReason
@@ -18,7 +18,7 @@
 
 
 def test_settled_units_smaller_than_asked_are_spent_by_the_next_without_a_call() -> None:
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.use_elsewhere(10.0)
     fleet.ask(0)
     state = fleet.state(0)
@@ -33,7 +33,7 @@
 
 
 def test_settled_units_larger_than_asked_use_up_the_lease_and_the_rest_is_reported() -> None:
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     drawn = fleet.draw(0)
     over = math.ceil(drawn) + 3.0
     fleet.ask(0, units=1.0, true_units=over)
@@ -48,7 +48,7 @@
 def test_settled_units_and_leases_keep_the_quota(seed: int) -> None:
     """Of any size asked and taken: what three gateways are billed is what was reported, but for a batch."""
     draw = random.Random(seed)
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     largest = 4.0
     for _ in range(200):
         asked, taken = draw.choice([1.0, 2.0, largest]), draw.choice([0.0, 0.5, 1.0, 3.0, largest])
@@ -81,7 +81,7 @@
 def test_a_quiet_customer_pays_nothing_for_leases_and_keeps_none(
     replicas: int, rate: float, burst: float, calls: int
 ) -> None:
-    fleet = Fleet(replicas, api.Plan("wide", rate=rate, burst=burst))
+    fleet = GatewayFleet(replicas, api.Plan("wide", rate=rate, burst=burst))
     for _ in range(30):
         assert fleet.ask(0)
         assert fleet.lease(0) == 0.0
@@ -90,7 +90,7 @@
 
 
 def test_a_quiet_customer_that_was_refused_gives_its_reserve_back_at_once() -> None:
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.use_elsewhere(PLAN.burst + 5)
     assert not fleet.ask(0)
     assert [call.amount for call in fleet.calls(0)] == [1.0, -1.0]
@@ -98,11 +98,11 @@
 
 
 def test_leases_of_customers_that_are_forgotten_leave_nothing_behind() -> None:
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.draw(0)
     fleet.wait(130_000.0)
     quotas = fleet.gateways[0].gateway.quotas
-    assert not quotas.registry.states and not quotas.registry.ring and not quotas.calls
+    assert not quotas.registry.states and not quotas.registry.sweep_queue and not quotas.calls
     assert sum(fleet.totals.values()) == pytest.approx(sum(fleet.sent))
 
 
@@ -115,7 +115,7 @@
     draw = random.Random(seed)
     gateways = draw.choice([3, 8, 16])
     plan = api.Plan("wide", rate=draw.uniform(1.0, 8.0), burst=draw.uniform(8.0, 60.0))
-    fleet = Fleet(gateways, plan)
+    fleet = GatewayFleet(gateways, plan)
     fleet.ask(0)
     calls, held, sent, at = len(fleet.calls(0)), fleet.lease(0), 0.0, fleet.now
     most = max(fleet.state(0).remaining, 0.0)
@@ -139,7 +139,7 @@
     """A customer with a ceiling: the same part is left, and the same refused, with and without leases."""
 
     def ceiling_decisions() -> tuple[list[float], list[str]]:
-        fleet = Fleet(3, CAPPED)
+        fleet = GatewayFleet(3, CAPPED)
         left = []
         for i in range(120):
             fleet.ask(0, after=5.0 if i % 2 else 90.0)
--- a/tests/limits/test_lease_records.py
+++ b/tests/quotas/test_lease_records.py
@@ -6,7 +6,7 @@
 
 import pytest
 from conftest import Driver, of
-from limits.sharing import NAME, PLAN, Fleet
+from quotas.gateway_fleet import NAME, PLAN, GatewayFleet
 
 from hillmux import interface as api
 from hillmux.hot_restart import state_codec as documents
@@ -18,7 +18,7 @@
 # --- Handover and snapshots ---
 
 
-def heir_of(fleet: Fleet, number: int, exact: bool | None = None) -> Driver:
+def heir_of(fleet: GatewayFleet, number: int, exact: bool | None = None) -> Driver:
     """A process that goes on from what a gateway's handover, or its snapshot, tells."""
     old, new = fleet.gateways[number], fleet.fresh(number)
     rows = json.loads(json.dumps(list(export(old.gateway))))
@@ -29,7 +29,7 @@
 
 
 def test_a_lease_that_is_handed_over_counts_only_after_a_total_confirms_it() -> None:
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     drawn = fleet.draw(0)
     before = fleet.state(0)
     fleet.gateways[0] = heir_of(fleet, 0)
@@ -43,7 +43,7 @@
 
 
 def test_a_lease_that_is_handed_over_to_a_counter_that_lost_it_is_gone() -> None:
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.draw(0)
     fleet.gateways[0] = heir_of(fleet, 0)
     fleet.totals.clear()
@@ -54,7 +54,7 @@
 
 
 def test_a_loose_snapshot_carries_no_lease_and_an_exact_one_keeps_what_was_reported() -> None:
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.draw(0)
     known = fleet.state(0)
     for exact in (False, True):
@@ -67,7 +67,7 @@
 
 def test_use_that_was_handed_over_unreported_is_reported_as_soon_as_by_its_predecessor() -> None:
     plan = api.Plan("wide", rate=10.0, burst=100.0)
-    fleet = Fleet(16, plan)
+    fleet = GatewayFleet(16, plan)
     fleet.ask(0)
     while fleet.state(0).used - fleet.state(0).reported < 8:
         fleet.ask(0)
@@ -81,7 +81,7 @@
 
 def test_a_row_restored_over_a_customer_that_was_seen_already_is_taken_whole() -> None:
     """What is derived follows the number of replicas in the row, and no lease of before is believed."""
-    fleet = Fleet(8)
+    fleet = GatewayFleet(8)
     fleet.draw(0)
     rows = json.loads(json.dumps(list(export(fleet.gateways[0].gateway))))
     new = fleet.fresh(0)
@@ -98,7 +98,7 @@
 
 def test_counts_have_the_names_of_the_version_before_leases_byte_for_byte() -> None:
     """Old and new gateways of one fleet add to the same counts (names as version d31f922 gives them)."""
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.ask(0)
     (call,) = fleet.calls(0)
     assert call.name == f"{window.digest(NAME).hex()}.50000"
@@ -108,7 +108,7 @@
 
 def test_a_row_of_a_lease_is_given_back_by_the_rules_of_the_version_before() -> None:
     """Its amount due was own - added + reserve; below 0 it was told whenever no call was open."""
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     drawn = fleet.draw(0)
     (row,) = next(doc for doc in export(fleet.gateways[0].gateway) if doc["t"] == "customers")["uses"]
     told = dict(zip(documents.USE, row[2:], strict=True))
@@ -125,7 +125,7 @@
         "others": 0.0005, "luck": 1.0, "seen": 0.0, "ceiling": 0.0, "ceiling_at": 0.0,
     }  # fmt: skip
     assert tuple(values) == documents.USE
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     for name in ("base_at", "left_at", "seen", "ceiling_at"):
         values[name] = fleet.now
     fleet.use_elsewhere(9.0)
--- a/tests/limits/test_lease_schedules.py
+++ b/tests/quotas/test_lease_schedules.py
@@ -80,7 +80,7 @@
 # Measured for seeds 1 and 2: none at 0.9; 0.145, 0.175 and 0.026 at 1.5; 0.254 and 0.109 at 3.5.
 @pytest.mark.parametrize(("use", "mean"), [(0.9, 0.01), (1.5, 0.032), (3.5, 0.131)])
 def test_what_is_stranded_in_leases_while_others_refuse(use: float, mean: float) -> None:
-    """In line stands what refills in `HOLD_MS`, and one request a gateway that is next in its turn.
+    """In line stands what refills in `MAX_WAIT_MS`, and one request a gateway that is next in its turn.
 
     Customers are seen evenly here, so next to nothing is drawn ahead. More would stand in line by that.
     """
@@ -92,7 +92,7 @@
     watch = StrandedLeases(fleet)
     fleet.refusal_watch = watch.refused
     fleet.run(30.0)
-    in_line = scenario.rate * lease.HOLD_MS / 1000 + (scenario.gateways - 1) * REQUEST_UNITS
+    in_line = scenario.rate * lease.MAX_WAIT_MS / 1000 + (scenario.gateways - 1) * REQUEST_UNITS
     assert watch.most <= in_line / scenario.burst
     assert watch.total <= mean * max(watch.refusals, 1)
 
--- a/tests/limits/test_leases.py
+++ b/tests/quotas/test_leases.py
@@ -6,19 +6,19 @@
 import math
 
 import pytest
-from limits.sharing import PLAN, ROUNDING, Fleet, line_up, window_start
+from quotas.gateway_fleet import PLAN, ROUNDING, GatewayFleet, line_up, window_start
 
 from hillmux import interface as api
 from hillmux.hot_restart.state_codec import export, restore
 from hillmux.interface import AttemptResult
 from hillmux.quotas import batches, lease, window
-from hillmux.quotas.estimate import SPLIT
+from hillmux.quotas.estimate import EVEN_SPLIT_FACTOR
 
 # --- Where leases come from ---
 
 
 def test_a_refused_ask_keeps_its_place_in_line_and_is_served_without_a_call() -> None:
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     line_up(fleet)
     calls = len(fleet.calls(0))
     assert not fleet.ask(0, after=20.0)  # its turn has not come
@@ -28,7 +28,7 @@
 
 
 def test_a_hot_gateway_draws_ahead_no_more_than_its_part_of_what_remains() -> None:
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     drawn = fleet.draw(0)
     assert drawn <= PLAN.burst / batches.divisor(3)
     calls = len(fleet.calls(0))
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("others", [0.0, 10.0, 30.0])
 def test_a_request_that_took_less_than_reported_leaves_the_rest_for_the_next(others: float) -> None:
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.ask(0)
     fleet.use_elsewhere(others)
     if fleet.ask(0, units=6.0, true_units=2.0):
@@ -53,7 +53,7 @@
 
 def test_a_gateway_dies_with_a_lease() -> None:
     """The others have less by the lease, for no longer than it takes to refill, and never more."""
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.ask(1)
     drawn = fleet.draw(0)  # and asks no more
     spent = sum(fleet.sent)
@@ -65,7 +65,7 @@
 
 
 def test_a_gateway_restarts_from_nothing_and_its_lease_is_the_use_of_another() -> None:
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.ask(1)
     drawn = fleet.draw(0)
     fleet.gateways[0] = fleet.fresh(0)
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize("adds", [False, True])
 def test_a_gateway_is_cut_off_with_a_lease_for_a_minute(adds: bool) -> None:
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.ask(1)
     drawn = fleet.draw(0)
     fleet.flood(0, 1, times=3)
@@ -90,7 +90,7 @@
     for _ in range(300):
         fleet.ask(0, after=100.0)
         fleet.ask(1, after=100.0)
-    blind = SPLIT / 3 * (PLAN.burst + PLAN.rate * (fleet.now - began) / 1000)
+    blind = EVEN_SPLIT_FACTOR / 3 * (PLAN.burst + PLAN.rate * (fleet.now - began) / 1000)
     assert fleet.sent[0] - before <= drawn + remaining + blind
     fleet.failing.clear()
     fleet.wait(2000.0)
@@ -106,7 +106,7 @@
 @pytest.mark.parametrize("jump_ms", [500.0, 4000.0, 20_000.0, 3_600_000.0])
 def test_a_clock_jumps_under_a_lease(jump_ms: float) -> None:
     """No more than the lease is spent on its account; a window that was skipped keeps none."""
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     line_up(fleet)
     fleet.off[0] = jump_ms
     # By its clock the refill came in, and it has its split of it where totals are that old.
@@ -114,14 +114,14 @@
     fleet.failing[0] = (AttemptResult.TIMED_OUT, False)
     sent = fleet.flood(0, times=30)
     assert sent <= 1 + refilled + PLAN.rate * 0.1
-    if jump_ms >= lease.IDLE_MS:
+    if jump_ms >= lease.IDLE_TIMEOUT_MS:
         assert fleet.lease(0) == 0.0
 
 
 @pytest.mark.parametrize("off_ms", [-5000.0, 5000.0])
 def test_a_clock_is_five_seconds_off_and_its_leases_are_counted_in_its_own_windows(off_ms: float) -> None:
     """It is alone in its window for five seconds, and spends there what two windows hold at most."""
-    fleet = Fleet(3, into_ms=6000.0)
+    fleet = GatewayFleet(3, into_ms=6000.0)
     fleet.off[0] = off_ms
     fleet.gateways[0] = fleet.fresh(0)
     for _ in range(300):
@@ -141,23 +141,23 @@
 @pytest.mark.parametrize("gateways", [5, 24])
 def test_more_gateways_than_units(gateways: int) -> None:
     plan = api.Plan("wide", rate=1.0, burst=3.0)
-    fleet = Fleet(gateways, plan)
+    fleet = GatewayFleet(gateways, plan)
     for _ in range(20):
         for number in range(gateways):
             fleet.ask(number, after=10.0)
-        # In line stands no more than what refills in `HOLD_MS`, and what is in the store.
+        # In line stands no more than what refills in `MAX_WAIT_MS`, and what is in the store.
         held = sum(fleet.lease(number) for number in range(gateways))
-        assert held <= plan.burst + plan.rate * lease.HOLD_MS / 1000 + 1
+        assert held <= plan.burst + plan.rate * lease.MAX_WAIT_MS / 1000 + 1
     assert sum(fleet.sent) <= fleet.quota() + ROUNDING
     assert sum(fleet.sent) >= fleet.quota() - plan.burst
 
 
 def test_one_customer_is_seen_by_one_gateway_then_by_another() -> None:
     """What the first holds is given back once the customer was not seen there for a while."""
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     drawn = fleet.draw(0)
     assert fleet.lease(0) == drawn
-    fleet.wait(lease.IDLE_MS + 300.0)
+    fleet.wait(lease.IDLE_TIMEOUT_MS + 300.0)
     assert fleet.lease(0) == 0.0
     assert fleet.calls(0)[-1].amount == pytest.approx(-drawn)
     assert sum(fleet.totals.values()) == pytest.approx(sum(fleet.sent))
@@ -168,7 +168,7 @@
 
 def test_a_plan_cut_below_what_is_drawn_in_a_new_process_beside_old_ones() -> None:
     """Rate and burst cut alike: the windows and names are the same, and the old ones' use counts."""
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.ask(1)
     fleet.draw(0)
     small = api.Plan(PLAN.name, rate=PLAN.rate / 8, burst=PLAN.burst / 8)
@@ -182,7 +182,7 @@
 
 
 def test_a_plan_cut_in_its_burst_alone_counts_under_names_of_its_own() -> None:
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.draw(0)
     small = api.Plan(PLAN.name, rate=PLAN.rate, burst=4.0)
     fleet.gateways[2] = fleet.fresh(2, small)
@@ -193,7 +193,7 @@
 
 
 def test_a_lease_restored_under_a_plan_cut_below_it_sends_no_more_than_the_new_burst() -> None:
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     fleet.draw(0)
     small = api.Plan(PLAN.name, rate=PLAN.rate / 8, burst=PLAN.burst / 8)
     rows = json.loads(json.dumps(list(export(fleet.gateways[0].gateway))))
@@ -209,10 +209,10 @@
 
 def test_a_lease_whose_customer_is_forgotten_early_is_out_of_use_for_its_window_and_no_longer() -> None:
     """Where there is no room to know one more customer, the one that goes takes its lease along."""
-    fleet = Fleet(3)
+    fleet = GatewayFleet(3)
     drawn = fleet.draw(0)
     driver = fleet.gateways[0]
-    driver.gateway.quotas.registry.most_customers = 1
+    driver.gateway.quotas.registry.max_customers = 1
     driver.ask(plan=PLAN.name, customer="another", width=3, after=100.0)
     assert list(driver.gateway.quotas.registry.states) == [("another", PLAN.name)]
     assert sum(fleet.totals.values()) == pytest.approx(sum(fleet.sent) + drawn)
--- a/tests/recovery/test_memory.py
+++ b/tests/recovery/test_memory.py
@@ -148,7 +148,7 @@
     d = busy()
     quotas = d.gateway.quotas
     (use,) = [u for u in quotas.registry.states.values() if u.plan is CAPPED and u.key[0] == "c1"]
-    rest, full = quotas.registry.rests["capped"], CAPPED.ceiling_burst / use.replicas
+    rest, full = quotas.registry.rest_ms["capped"], CAPPED.ceiling_burst / use.replicas
     for unseen, kept in ((rest - 1, True), (rest, False)):
         now = use.seen_at + unseen
         documents = export(d.gateway, lambda u, now=now: worth_leaving(u.seen_at, rest, now, exact=True))
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -19,10 +19,10 @@
 from hillmux.decision import gateway as policy
 from hillmux.decision.gateway import Gateway, ramp
 from hillmux.interface import NEVER_EXECUTED, AttemptResult, HostStatus, ListKind, RejectReason
-from hillmux.quotas.estimate import SPLIT
+from hillmux.quotas.estimate import EVEN_SPLIT_FACTOR
 from hillmux.quotas.latest_times import LatestTimes
-from hillmux.quotas.registry import CHOICES
-from hillmux.quotas.throttle import CUTS
+from hillmux.quotas.registry import EVICTION_CANDIDATES
+from hillmux.quotas.throttle import MAX_LOST_CONNECTIONS
 
 ROOT = Path(__file__).parents[1]
 DECISION_PACKAGES = ("interface", "decision", "balancing", "quotas")
@@ -412,7 +412,12 @@
             d.end(rid)
     d.sweep(1210)
     quotas = d.gateway.quotas
-    assert not quotas.registry.states and not quotas.registry.ring and not quotas.calls and not d.gateway.held
+    assert (
+        not quotas.registry.states
+        and not quotas.registry.sweep_queue
+        and not quotas.calls
+        and not d.gateway.held
+    )
 
 
 def test_a_customer_long_unseen_gets_our_split_untold_and_no_more() -> None:
@@ -471,23 +476,23 @@
 
 
 def test_of_a_few_customers_the_one_unseen_for_the_longest_goes_early() -> None:
-    d = Driver(counter_available=False, max_customers=CHOICES)
-    for i in range(CHOICES):
+    d = Driver(counter_available=False, max_customers=EVICTION_CANDIDATES)
+    for i in range(EVICTION_CANDIDATES):
         d.end(d.ask(customer=f"c{i}", after=1.0)[0])
     for i in (0, 1, 2, 4, 5, 6, 7):  # all but c3 come again
         d.end(d.ask(customer=f"c{i}", after=1.0)[0])
     d.ask(customer="new", after=1.0)
     states = d.gateway.quotas.registry.states
-    assert ("c3", "open") not in states and len(states) == CHOICES
+    assert ("c3", "open") not in states and len(states) == EVICTION_CANDIDATES
 
 
 def test_who_shares_one_slot_with_a_forgotten_ceiling_keeps_its_own() -> None:
     shadow = LatestTimes()
     shadow.put(bytes([0, 0, 0, 1, 0, 0, 0, 2]), 50.0)
     shadow.put(bytes([0, 0, 0, 1, 0, 0, 0, 3]), 40.0)
-    assert shadow.at(bytes([0, 0, 0, 1, 0, 0, 0, 2])) == 50.0
-    assert shadow.at(bytes([0, 0, 0, 1, 0, 0, 0, 3])) == 40.0  # not that of the slot that both have
-    assert shadow.at(bytes([0, 0, 0, 1, 0, 0, 0, 4])) == 0.0
+    assert shadow.get(bytes([0, 0, 0, 1, 0, 0, 0, 2])) == 50.0
+    assert shadow.get(bytes([0, 0, 0, 1, 0, 0, 0, 3])) == 40.0  # not that of the slot that both have
+    assert shadow.get(bytes([0, 0, 0, 1, 0, 0, 0, 4])) == 0.0
 
 
 def test_known_customers_are_bounded_and_those_in_use_are_kept() -> None:
@@ -498,7 +503,7 @@
         rid, out = d.ask(plan="basic", customer=f"k{i}")
         assert of(out, api.SendAttempt)
         d.end(rid)
-        assert len(d.gateway.quotas.registry.states) == len(d.gateway.quotas.registry.ring) <= 50
+        assert len(d.gateway.quotas.registry.states) == len(d.gateway.quotas.registry.sweep_queue) <= 50
     assert ("busy", "open") in d.gateway.quotas.registry.states
     for i in range(60):
         d.ask(plan="open", customer=f"busy{i}")
@@ -560,7 +565,8 @@
             known = f"known{i // 50 % 10}"
             let_in[known] += ask(f"k{i}", known)
     assert (
-        len(gateway.quotas.registry.states) == len(gateway.quotas.registry.ring) == 8192 and not gateway.held
+        len(gateway.quotas.registry.states) == len(gateway.quotas.registry.sweep_queue) == 8192
+        and not gateway.held
     )
     assert refused <= 100_000 * 0.01
     allowed = full + rate * (now - start)
@@ -867,7 +873,9 @@
         return made
 
     assert calls(AttemptResult.OK) == 60
-    assert calls(AttemptResult.CONNECTION_LOST, CUTS) == CUTS  # one connection's end
+    assert (
+        calls(AttemptResult.CONNECTION_LOST, MAX_LOST_CONNECTIONS) == MAX_LOST_CONNECTIONS
+    )  # one connection's end
     assert d.gateway.quotas.throttle.answer_rate == 1.0
     assert calls(AttemptResult.CONNECTION_LOST) < 15  # nothing else comes: it is gone
     calls(AttemptResult.OK, 300)
@@ -899,7 +907,7 @@
             rid, out = d.ask(plan="basic", width=300)
             sent += len(of(out, api.SendAttempt))
     extra = sent - 300  # the first one of each gateway is let in: most customers are far from their quota
-    assert extra <= 2 * SPLIT * min(PLAN.burst, PLAN.rate * age_s) + 3
+    assert extra <= 2 * EVEN_SPLIT_FACTOR * min(PLAN.burst, PLAN.rate * age_s) + 3
 
 
 # --- The module itself ---
