--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -15,7 +15,8 @@
 ROOT = Path(__file__).parents[1]
 TESTS = (  # the decisions, the adapter, and the real program between scripted peers
     "tests/test_policy.py",
-    "tests/balancing/test_load_balancer.py",
+    "tests/balancing/test_random_histories.py",
+    "tests/balancing/test_selection.py",
     "tests/test_odd_events.py",
     "tests/test_wire.py",
     "tests/test_net.py",
