--- a/benchmarks/capacity/rows_refusals.py
+++ b/benchmarks/capacity/rows_refusals.py
@@ -13,7 +13,7 @@
 from benchmarks.capacity.terms import COUNTER, SEEING, USE
 
 CROWDED_CUSTOMERS = 4_000  # as many a gateway as at the full size, with 48 gateways
-SPLIT = "the even split of a counter that does not answer (`limits/`)"
+SPLIT = "the even split of a counter that does not answer (`quotas/`)"
 
 
 def share(situation: Situation, what: str, reading: Reading, mechanism: str, unit: str = "of all") -> Row:
--- a/benchmarks/capacity/terms.py
+++ b/benchmarks/capacity/terms.py
@@ -19,7 +19,7 @@
     "seen_half": "half of each quota used with bursts of 6 s",
     "seen_ninety": "nine tenths of each quota used with bursts of 6 s",
 }
-COUNTER = "late reports within the even share, leases (`limits/`)"
+COUNTER = "late reports within the even share, leases (`quotas/`)"
 WATCH = "a watch at the agent, changes alone (`net/discovery.py`)"
 LIST = "the whole list at a start (`net/discovery.py`)"
 RELOAD = "SIGHUP, the whole file read anew (`hosted/`)"
--- a/hillmux/decision/gateway.py
+++ b/hillmux/decision/gateway.py
@@ -185,9 +185,9 @@
         """The actions that answer one event at `now_ms`; times never run backwards."""
         if now_ms > self.now:
             self.now = self.fleet.now = self.quotas.now = now_ms
-        self.out = self.quotas.out = []
+        self.out = self.quotas.actions = []
         if self.born is None:
-            self.born = self.quotas.born = self.now
+            self.born = self.quotas.started_at = self.now
             self.sweep_due = self.now + SWEEP_MS
             self.out.append(api.SetTimer("sweep", SWEEP_MS))
             if self.s.must_subscribe:
@@ -214,7 +214,7 @@
         """
         self.q, self.f, self.lost, self.done, self.done_rate = 0.0, 1.0, 0.0, 0.0, 0.0
         self.q_sum, self.q_n, self.q_seen = 0.0, 0, 0
-        self.quotas.pressed = False
+        self.quotas.shedding_load = False
         for cell in self.cells.values():
             cell.f, cell.r = 1.0, 0.0
 
@@ -238,7 +238,7 @@
             case api.DrainStarted():
                 self.quotas.drain()
             case api.TakenOver():
-                self.quotas.succeeded = event.by_successor
+                self.quotas.taken_over = event.by_successor
             case api.SettingsChanged():
                 self._change(event.settings)
             case api.TimerFired() | api.HealthCheckReply() | api.GossipMessage():
@@ -253,7 +253,7 @@
             raise ValueError("plans: cannot change in service")
         self.s, self.classes = settings, {c.name: c for c in settings.classes}
         self.fleet.change_settings(settings)
-        self.quotas.change(settings)
+        self.quotas.change_settings(settings)
         used = {h.cls.name for h in self.held.values()} | set(self.classes)
         used |= {cls.name for quota in self.askers for _, cls, _, _ in quota.waiting or ()}
         self.latency = {n: v for n, v in self.latency.items() if n in used}
@@ -271,7 +271,7 @@
         """
         return (
             self.idle()
-            and self.quotas.settled()
+            and self.quotas.is_quiescent()
             and all(
                 not h.ejections and not h.connection_refused and self.fleet.capacity_share(h) >= 1
                 for h in self.hosts.values()
@@ -319,7 +319,7 @@
             self._refuse(req.id, RejectReason.TOO_MANY_CUSTOMERS)
             return
         # A try with little time left would be held past its end: it is decided at once.
-        if aim_at - self.now > self.s.counter_timeout_ms + 2 * SWEEP_MS and self.quotas.unsure(
+        if aim_at - self.now > self.s.counter_timeout_ms + 2 * SWEEP_MS and self.quotas.should_ask_counter(
             quota, req.units
         ):
             if not self._admit(cls, plan, req.units):  # asking for what is shed would crowd the counter
@@ -331,7 +331,7 @@
             if quota.waiting is None:
                 quota.waiting = []
             quota.waiting.append(WaitingRequest(req, cls, aim_at, end_at))
-            self.quotas.sync(quota, req.units)
+            self.quotas.report_use(quota, req.units)
         else:
             self._decide(req, cls, quota, aim_at, end_at, False)
 
@@ -357,12 +357,12 @@
     ) -> None:
         """Send on or refuse, at once."""
         plan = quota.plan
-        over = not self.quotas.has(quota, req.units)
+        over = not self.quotas.has_units(quota, req.units)
         if over:
             fits = plan.over_quota_weight > plan.over_quota_cost and self.q < ROOM * Q_MIN
         else:
             fits = admitted or self._admit(cls, plan, req.units)
-        if not fits or not self.quotas.ceiling_has(quota, req.units):
+        if not fits or not self.quotas.ceiling_has_units(quota, req.units):
             cause = RejectReason.CEILING if fits else RejectReason.QUOTA if over else RejectReason.OVERLOAD
             self._refuse_new(req, quota, cause, over)
             return
@@ -386,7 +386,7 @@
             held.over = True
         else:
             self.quotas.spend(quota, req.units)
-        self.quotas.sync(quota)
+        self.quotas.report_use(quota)
         self._send(held, host)
 
     def _admit(self, cls: api.RequestClass, plan: api.Plan, units: float) -> bool:
@@ -460,7 +460,7 @@
                 for a in h.attempts
             )
         self.f = ramp((FEW * self.q + late) / (FEW + late))
-        self.quotas.pressed = self.f < 1
+        self.quotas.shedding_load = self.f < 1
         # Staggered ramps: worth per work decides whose ramp f reaches first; the sum over cells stays f.
         total, above = sum(c.work for c in self.cells.values()), 0.0
         for cell in sorted(self.cells.values(), key=lambda c: -c.value):
@@ -473,13 +473,13 @@
     # --- Quotas and ceiling -----------------------------------------------------------------------------
 
     def _count_reply(self, reply: api.CounterReply) -> None:
-        quota = self.quotas.replied(reply)
+        quota = self.quotas.handle_reply(reply)
         if self.quotas.throttle.answer_rate < SILENT_RATE:
             self._say("counter", "counter silent or crowded: calling less, quotas go by our estimates")
         if quota is not None:
             self._settle(quota)
             if reply.result == AttemptResult.OK:
-                self.quotas.sync(quota)
+                self.quotas.report_use(quota)
 
     def _settle(self, quota: QuotaState) -> None:
         """Decide the requests that waited for a total."""
@@ -597,7 +597,7 @@
             held.quota.open_requests -= 1
             if held.unsent and held.unsent == len(held.attempts):
                 # Else a client that leaves during a dial would use up a quota that nothing was sent for.
-                self.quotas.give_back(held.quota, held.req.units, held.over)
+                self.quotas.refund(held.quota, held.req.units, held.over)
 
     def _stream_started(self, event: api.ResponseStarted) -> None:
         held = self.held.get(event.request_id)
@@ -629,7 +629,7 @@
         self.fleet.reindex(attempt.host)
         if event.result == AttemptResult.OK and event.actual_units > 0 and held.quota.plan.rate > 0:
             self.quotas.spend(held.quota, event.actual_units - held.req.units)
-            self.quotas.sync(held.quota)
+            self.quotas.report_use(held.quota)
         if event.final or event.result == AttemptResult.OK or held.answered:
             self._finish(held)
         elif not held.out:
--- a/hillmux/hot_restart/state_codec.py
+++ b/hillmux/hot_restart/state_codec.py
@@ -172,8 +172,8 @@
         else:
             setattr(gateway, name, value)
     registry = gateway.quotas.registry
-    gateway.quotas.born = gateway.born
-    gateway.quotas.pressed = gateway.f < 1
+    gateway.quotas.started_at = gateway.born
+    gateway.quotas.shedding_load = gateway.f < 1
     gateway.latency.update({n: v for n, v in latency.items() if n in gateway.classes})
     registry.last_request_at.update({n: v for n, v in asked_at.items() if n in gateway.plans})
     gateway.fleet.slow_start.warm_work_rate = warm_rate
--- a/hillmux/quotas/ceiling.py
+++ b/hillmux/quotas/ceiling.py
@@ -17,7 +17,7 @@
 ROUNDING_UNITS: Final = 1e-9  # what a sum of units may lack of a whole
 
 
-def has(state: QuotaState, units: float, now: float) -> bool:
+def has_units(state: QuotaState, units: float, now: float) -> bool:
     """Fill the part up to `now` (ms); whether it holds so many units. The plan must have a ceiling."""
     plan = state.plan
     limit = plan.ceiling_burst / state.replicas
--- a/hillmux/quotas/quotas.py
+++ b/hillmux/quotas/quotas.py
@@ -28,23 +28,23 @@
     """Quotas and ceilings of all customers, and the counter calls that keep them known."""
 
     def __init__(
-        self, settings: api.Settings, rng: random.Random, settle: Callable[[QuotaState], None]
+        self, settings: api.Settings, rng: random.Random, on_window_end: Callable[[QuotaState], None]
     ) -> None:
-        """`settle` is called with a customer whose window ends while requests of it wait for a total."""
-        self.settings, self.rng, self.settle = settings, rng, settle
-        self.out: list[api.Action] = []  # where calls go, as the module's actions
+        """`on_window_end` is called with a customer whose window ends, before its count is begun anew."""
+        self.settings, self.rng, self.on_window_end = settings, rng, on_window_end
+        self.actions: list[api.Action] = []  # where calls go, as the module's actions
         self.now = 0.0
-        self.born: float | None = None  # moment of the gateway's start
-        self.pressed = False  # the back end does not take all requests
-        self.succeeded = False  # another process holds this gateway's parts of ceilings
+        self.started_at: float | None = None  # moment of the gateway's start
+        self.shedding_load = False  # admission control does not admit all requests
+        self.taken_over = False  # another process holds this gateway's parts of ceilings
         self.draining = False  # this process ends soon: it keeps no leases
         self.window_ms = {plan.name: window.length_ms(plan) for plan in settings.plans}
         self.plan_tags = window.plan_tags(settings.plans)
         self.registry = Registry(settings)
         self.throttle = CallThrottle(rng)
-        self.calls: dict[str, QuotaState] = {}  # by the name of the count, while a call is open
+        self.open_calls: dict[str, QuotaState] = {}  # by the name of the count, while a call is open
 
-    def change(self, settings: api.Settings) -> None:
+    def change_settings(self, settings: api.Settings) -> None:
         """Go over to new settings with the same plans."""
         self.settings = settings
         self.registry.max_customers = settings.max_customers
@@ -83,8 +83,8 @@
             forgotten = self.registry.forget_early()
             if forgotten is None:
                 return None
-            self.calls.pop(forgotten.count_name, None)
-        gateway_start = self.born or 0.0
+            self.open_calls.pop(forgotten.count_name, None)
+        gateway_start = self.started_at or 0.0
         state = QuotaState(key, plan, replicas, self.now, self.now - gateway_start)
         self.registry.add(state, gateway_start)
         return state
@@ -105,8 +105,8 @@
         A gateway that sees a customer once in many seconds notices late. What the others used since the start
         is in the new window's total, so what remained is also taken at that start.
         """
-        self.calls.pop(state.count_name, None)
-        self.settle(state)
+        self.open_calls.pop(state.count_name, None)
+        self.on_window_end(state)
         state.window, state.count_name = number, ""
         if state.replicas != state.replicas_in_window:
             state.set_replicas(state.replicas_in_window)
@@ -122,9 +122,9 @@
         return state.remaining
 
     def _advance(self, state: QuotaState, now: float) -> None:
-        estimate.advance(state, now, self.pressed, self.throttle.answer_rate < SILENT_RATE)
+        estimate.advance(state, now, self.shedding_load, self.throttle.answer_rate < SILENT_RATE)
 
-    def unsure(self, state: QuotaState, units: float) -> bool:
+    def should_ask_counter(self, state: QuotaState, units: float) -> bool:
         """Whether the counter should be asked first.
 
         So it is where no total was read yet, or where the last total would allow what the estimate does not
@@ -147,7 +147,7 @@
         refilled_ms = state.batch_divisor * units / state.plan.rate * 1000
         return self.now - state.last_total_at >= refilled_ms or self.rng.random() < state.grant_ratio
 
-    def has(self, state: QuotaState, units: float) -> bool:
+    def has_units(self, state: QuotaState, units: float) -> bool:
         """Whether the quota has room for a request of so many units."""
         plan = state.plan
         if plan.max_concurrency and state.open_requests >= max(1, plan.max_concurrency // state.replicas):
@@ -157,17 +157,17 @@
         if self.now > state.remaining_at:
             self._advance(state, self.now)
         if state.reported > state.used and lease.available(state) >= units:
-            return not self.succeeded and lease.covers(state, units, self.now)
+            return not self.taken_over and lease.covers(state, units, self.now)
         if state.last_total is None or self.throttle.answer_rate < SILENT_RATE:
-            # A split smaller than the request serves it by chance, so that the fleet's sum is right.
+            # A split smaller than the request serves it by chance: the sum over all gateways is right.
             state.remaining = round_to_whole(self.rng, state.remaining, units)
         return state.remaining >= units - ROUNDING_UNITS
 
-    def ceiling_has(self, state: QuotaState, units: float) -> bool:
+    def ceiling_has_units(self, state: QuotaState, units: float) -> bool:
         """Whether this gateway's part of the ceiling holds so many units; True for a plan without one."""
         if state.plan.ceiling_rate <= 0:
             return True
-        return not self.succeeded and ceiling.has(state, units, self.now)
+        return not self.taken_over and ceiling.has_units(state, units, self.now)
 
     def spend(self, state: QuotaState, units: float) -> None:
         """Take units from the quota; negative ones are given back."""
@@ -177,14 +177,14 @@
         state.remaining -= units
         state.upper_bound -= units
 
-    def give_back(self, state: QuotaState, units: float, over: bool) -> None:
-        """Undo a request of which nothing was sent; `over`: it was beyond its quota, and took none of it."""
-        state.ceiling_remaining += units  # `ceiling.has` holds it to what is full
-        if not over:
+    def refund(self, state: QuotaState, units: float, beyond_quota: bool) -> None:
+        """Undo a request of which nothing was sent; one `beyond_quota` took none of it."""
+        state.ceiling_remaining += units  # `ceiling.has_units` holds it to what is full
+        if not beyond_quota:
             self.spend(state, -units)
-            self.sync(state)
+            self.report_use(state)
 
-    def sync(self, state: QuotaState, reserve: float = 0.0) -> None:
+    def report_use(self, state: QuotaState, reserve: float = 0.0) -> None:
         """Report use to the counter if it is due, or give back what a lease holds too much.
 
         A gateway that keeps within its even share of the refill reports in large batches, one that goes
@@ -228,13 +228,13 @@
         state.call_amount = amount
         plan = state.plan.name
         state.count_name = window.count_name(state.digest, self.plan_tags[plan], state.window)
-        self.calls[state.count_name] = state
-        self.out.append(
+        self.open_calls[state.count_name] = state
+        self.actions.append(
             api.IncrementCounter(state.count_name, amount, window.retention_ms(self.window_ms[plan]))
         )
 
     def _lease_surplus(self, state: QuotaState) -> float:
-        if self.succeeded:  # the process that goes on holds the lease
+        if self.taken_over:  # the process that goes on holds the lease
             return 0.0
         return lease.available(state) if self.draining else lease.surplus(state, self.now)
 
@@ -243,12 +243,12 @@
         self.draining = True
         for state in self.registry.states.values():
             if state.reported > state.used:
-                self.sync(state)
+                self.report_use(state)
 
-    def replied(self, reply: api.CounterReply) -> QuotaState | None:
+    def handle_reply(self, reply: api.CounterReply) -> QuotaState | None:
         """Take the result of one call; the customer it was for, None if the call was given up meanwhile."""
         self.throttle.record_result(reply.result)
-        state = self.calls.pop(reply.name, None)
+        state = self.open_calls.pop(reply.name, None)
         if state is None or not state.call_open:
             return None
         state.call_open, state.count_name = False, ""
@@ -279,12 +279,12 @@
     def sweep(self) -> None:
         """Forget customers long unseen and give back idle leases, a few looked at each time."""
         for state in self.registry.sweep(self.now, self._return_idle_lease):
-            self.calls.pop(state.count_name, None)
+            self.open_calls.pop(state.count_name, None)
 
     def _return_idle_lease(self, state: QuotaState) -> None:
         if state.reported > state.used and self.now - state.seen_at >= lease.IDLE_TIMEOUT_MS:
-            self.sync(state)
+            self.report_use(state)
 
-    def settled(self) -> bool:
-        """Whether no customer's use still counts."""
+    def is_quiescent(self) -> bool:
+        """Whether no customer's use counts any more."""
         return self.registry.is_quiescent(self.now)
--- a/tests/quotas/test_lease_costs.py
+++ b/tests/quotas/test_lease_costs.py
@@ -102,7 +102,7 @@
     fleet.draw(0)
     fleet.wait(130_000.0)
     quotas = fleet.gateways[0].gateway.quotas
-    assert not quotas.registry.states and not quotas.registry.sweep_queue and not quotas.calls
+    assert not quotas.registry.states and not quotas.registry.sweep_queue and not quotas.open_calls
     assert sum(fleet.totals.values()) == pytest.approx(sum(fleet.sent))
 
 
--- a/tests/recovery/test_memory.py
+++ b/tests/recovery/test_memory.py
@@ -84,7 +84,7 @@
         assert (use.remaining, use.last_total) == (0.0, None)
         assert use.ceiling_at == new.now
         if use.plan.ceiling_rate > 0:
-            assert not new.gateway.quotas.ceiling_has(use, 1.0)
+            assert not new.gateway.quotas.ceiling_has_units(use, 1.0)
 
 
 def test_what_two_lives_spend_of_a_ceiling_stays_under_it_however_often_one_is_killed() -> None:
@@ -109,8 +109,8 @@
     for cell in d.gateway.cells.values():
         cell.f = 0.2
     young, old = heir(d, 500, exact=False).gateway, heir(d, 60_000, exact=True).gateway
-    assert young.f == 0.3 and young.quotas.pressed and {c.f for c in young.cells.values()} == {0.2}
-    assert old.f == 1.0 and not old.quotas.pressed and {c.f for c in old.cells.values()} == {1.0}
+    assert young.f == 0.3 and young.quotas.shedding_load and {c.f for c in young.cells.values()} == {0.2}
+    assert old.f == 1.0 and not old.quotas.shedding_load and {c.f for c in old.cells.values()} == {1.0}
 
 
 def test_a_start_that_the_list_tells_goes_before_what_was_known_of_the_host() -> None:
@@ -156,7 +156,7 @@
         assert (use.key in named) == kept
     use.ceiling_remaining, use.ceiling_at = 0.0, use.seen_at  # all of it was spent with its last request
     d.give(api.TimerFired("none"), after=use.seen_at + rest - d.now)
-    assert quotas.ceiling_has(use, full)
+    assert quotas.ceiling_has_units(use, full)
 
 
 def test_what_is_left_for_a_kill_has_the_customers_seen_of_late_for_others_would_not_be_believed() -> None:
--- a/tests/recovery/test_waking.py
+++ b/tests/recovery/test_waking.py
@@ -53,7 +53,7 @@
 def test_a_fraction_from_before_a_long_stall_refuses_nobody(stood_ms: float) -> None:
     d = jammed()
     d.now += stood_ms
-    assert let_in(d) == 50 and not d.gateway.quotas.pressed
+    assert let_in(d) == 50 and not d.gateway.quotas.shedding_load
 
 
 @pytest.mark.parametrize("stood_ms", [0, 300, OLD_MS - 500])
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -415,7 +415,7 @@
     assert (
         not quotas.registry.states
         and not quotas.registry.sweep_queue
-        and not quotas.calls
+        and not quotas.open_calls
         and not d.gateway.held
     )
 
