--- a/benchmarks/capacity/hosts.py
+++ b/benchmarks/capacity/hosts.py
@@ -13,7 +13,7 @@
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
 from hillmux.interface import ListKind
-from hillmux.net.discovery import Listing, parse_listing
+from hillmux.net.discovery_response import DiscoveryResponse, parse_discovery_response
 
 CUSTOMERS = 700  # 62,000 tenants over 710 gateways, eight gateways each
 REPEATS = 7
@@ -22,9 +22,9 @@
 AS_SOURCE = "the module as source; the compiled build, which the platform runs, costs about half"
 
 
-def read(body: bytes) -> Listing:
-    """An answer's body as a listing, in the way of `hillmux.net.discovery.Discovery`."""
-    return parse_listing(json.loads(body))
+def read(body: bytes) -> DiscoveryResponse:
+    """An answer's body as a listing, in the way of `hillmux.net.discovery_watch.DiscoveryWatch`."""
+    return parse_discovery_response(json.loads(body))
 
 
 class Reader:
@@ -34,11 +34,11 @@
         self.now_ms = 1e6
         self._gateway = Gateway(settings(CUSTOMERS), seed)
 
-    def take(self, listing: Listing) -> None:
+    def take(self, listing: DiscoveryResponse) -> None:
         """Have the module take an answer in."""
         self.now_ms += 1.0
-        kind = ListKind.FULL if listing.whole else ListKind.CHANGES
-        self._gateway.handle(self.now_ms, api.EndpointList(kind, listing.servers))
+        kind = ListKind.FULL if listing.is_full else ListKind.CHANGES
+        self._gateway.handle(self.now_ms, api.EndpointList(kind, listing.endpoints))
 
 
 def measure_list(size: int, seed: int) -> Values:
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -2,7 +2,7 @@
 
     .venv/bin/python benchmarks/cold.py [--seeds 10000] [--processes 4]
 
-A fleet of gateways, each with its own `Fleet`, sees one host start cold among warm ones. Shares of the
+A fleet of gateways, each with its own `LoadBalancer`, sees one host start cold among warm ones. Shares of the
 traffic are uneven; at the start some gateways have just restarted and know of nobody's sending. N is what the
 settings allow the host in `tip_after_ms` as it starts, in requests of mean work; it grows as the host warms.
 Counted is, for each window of the first seconds, what all gateways sent: requests, and the work in them by
