--- a/hillmux/decision/admission.py
+++ b/hillmux/decision/admission.py
@@ -103,7 +103,7 @@
         """Go back to the state of a new gateway, which admits all requests."""
         self._occupancy.reset()
         self.admit_fraction = 1.0
-        self._quotas.pressed = False
+        self._quotas.shedding_load = False
         for share in self.shares.values():
             share.admit_fraction = 1.0
             share.accumulator = 0.0
@@ -112,7 +112,7 @@
         """Update the occupancy, and the admit fractions by it."""
         self._occupancy.update()
         self.admit_fraction = admit_fraction_for(self._occupancy.value())
-        self._quotas.pressed = self.admit_fraction < 1
+        self._quotas.shedding_load = self.admit_fraction < 1
         self._stagger_fractions()
         if self.admit_fraction < LOGGED_ADMIT_FRACTION:
             self._context.log_rate_limited(
--- a/hillmux/decision/attempts.py
+++ b/hillmux/decision/attempts.py
@@ -5,7 +5,8 @@
 from math import inf
 
 from hillmux import interface as api
-from hillmux.balancing.fleet import Fleet, Host
+from hillmux.balancing.host import Host
+from hillmux.balancing.load_balancer import LoadBalancer
 from hillmux.decision.admission import AdmissionControl
 from hillmux.decision.context import DecisionContext
 from hillmux.decision.host_health import HostHealth
@@ -50,7 +51,7 @@
     def __init__(
         self,
         context: DecisionContext,
-        fleet: Fleet,
+        fleet: LoadBalancer,
         quotas: Quotas,
         admission: AdmissionControl,
         latency: LatencyEstimates,
@@ -83,7 +84,7 @@
                 return None
             locality = allowed
             tried = [attempt.host for attempt in pending.attempts]
-        return self._fleet.pick(
+        return self._fleet.select(
             pending.request.pool,
             pending.expected_work,
             pending.request_class.idempotency == Idempotency.IDEMPOTENT,
@@ -101,7 +102,7 @@
             timeout_ms = early_timeout_ms(pending, timeout_ms, self._latency.expected_ms(pending))
         pending.attempts.append(Attempt(host, context.now))
         pending.open_attempts += 1
-        self._fleet.began(host, pending.expected_work)
+        self._fleet.request_started(host, pending.expected_work)
         context.actions.append(SendAttempt(pending.request.id, host.name, timeout_ms, window_ms))
 
     def response_started(self, event: api.ResponseStarted) -> None:
@@ -114,8 +115,8 @@
         if attempt.open and not attempt.streaming:
             # The host has done its work; a client that reads slowly must not count as the host's load.
             attempt.streaming = True
-            self._fleet.ended(attempt.host)
-            self._fleet.place(attempt.host)
+            self._fleet.request_ended(attempt.host)
+            self._fleet.reindex(attempt.host)
 
     def ended(self, event: api.AttemptEnded) -> None:
         """An attempt has ended: take account of its result, then answer the request or retry it."""
@@ -128,7 +129,7 @@
         attempt.open = False
         pending.open_attempts -= 1
         if not attempt.streaming:
-            self._fleet.ended(attempt.host)
+            self._fleet.request_ended(attempt.host)
         if event.result in NEVER_EXECUTED:
             attempt.may_have_run = False
             if event.result in NEVER_DELIVERED:
@@ -136,12 +137,12 @@
         if self._occupancy.record(pending, attempt, event):
             self._admission.update()
         self._health.record(pending, attempt.host, event)
-        self._fleet.place(attempt.host)
+        self._fleet.reindex(attempt.host)
         if event.result == AttemptResult.OK:
             self._occupancy.completions += 1
             if event.actual_units > 0 and pending.quota.plan.rate > 0:
                 self._quotas.spend(pending.quota, event.actual_units - pending.request.units)
-                self._quotas.sync(pending.quota)
+                self._quotas.report_use(pending.quota)
             self.finish(pending)
         elif event.final or pending.answered:
             self.finish(pending)
@@ -192,4 +193,4 @@
         pending.quota.open_requests -= 1
         if pending.undelivered_attempts and pending.undelivered_attempts == len(pending.attempts):
             # Otherwise a client that leaves during a dial would use up a quota for which nothing was sent.
-            self._quotas.give_back(pending.quota, pending.request.units, pending.beyond_quota)
+            self._quotas.refund(pending.quota, pending.request.units, pending.beyond_quota)
--- a/hillmux/decision/request_state.py
+++ b/hillmux/decision/request_state.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from hillmux import interface as api
-from hillmux.balancing.fleet import Host
+from hillmux.balancing.host import Host
 from hillmux.quotas.state import QuotaState
 
 
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -197,7 +197,7 @@
         open_now = sum(request.client is not None for request in self.requests.values())
         fleet = self.decision_module.fleet
         return self.metrics.shown(
-            [c.name for c in self.settings.classes], open_now, len(fleet.hosts), fleet.skipped()
+            [c.name for c in self.settings.classes], open_now, len(fleet.hosts), fleet.skipped_count()
         )
 
     def hand(self, host: str, out: bool) -> str:
--- a/hillmux/recovery/snapshotting_gateway.py
+++ b/hillmux/recovery/snapshotting_gateway.py
@@ -52,7 +52,7 @@
         self._succeeded = False
 
     def _left_behind(self, exact: bool) -> Iterator[dict[str, Any]]:
-        now, rests = self.clock.now_ms(), self.decision_module.quotas.registry.rests
+        now, rests = self.clock.now_ms(), self.decision_module.quotas.registry.rest_ms
         return export(
             self.decision_module,
             lambda state: worth_leaving(state.seen_at, rests[state.plan.name], now, exact),
@@ -124,9 +124,9 @@
             not asked or gateway.quotas.throttle.answer_rate >= SILENT_RATE,
             self._outcomes,
             gateway.admission.admit_fraction,
-            fleet.up,
-            fleet.cold,
-            fleet.failing,
+            fleet.host_set.available_count,
+            fleet.host_set.warming_count,
+            fleet.host_set.ejected_count,
             stalled,
         )
         if self._phases.look(clock, view):
--- a/tests/compatibility/test_stored_state.py
+++ b/tests/compatibility/test_stored_state.py
@@ -15,7 +15,7 @@
 from decision.playback import Playback
 
 from hillmux.admin.host_overrides import HandFile
-from hillmux.balancing.fleet import Host
+from hillmux.balancing.host import Host
 from hillmux.decision.gateway import Gateway
 from hillmux.hot_restart.state_codec import export, restore
 from hillmux.quotas.state import QuotaState
@@ -49,15 +49,15 @@
 def host_fields(host: Host) -> dict[str, object]:
     """A host's attributes under their stored names and in the stored order, apart from the codec's tables."""
     return {
-        "born": host.born,
-        "cold_from_ms": host.cold_from_ms,
-        "slow": host.slow,
-        "strikes": host.strikes,
-        "fails": host.fails,
-        "down_until": host.down_until,
-        "died": host.died,
-        "credit": host.credit,
-        "credit_at": host.credit_at,
+        "born": host.started_at_ms,
+        "cold_from_ms": host.warming_since_ms,
+        "slow": host.latency_ratio,
+        "strikes": host.consecutive_failures,
+        "fails": host.ejections,
+        "down_until": host.ejected_until_ms,
+        "died": host.connection_refused,
+        "credit": host.slow_start_credit,
+        "credit_at": host.slow_start_credit_at_ms,
     }
 
 
@@ -109,9 +109,9 @@
     gateway = restored(seed)
     head, *others = documents_of(seed)
     assert scalar_fields(gateway) == head["scalars"]
-    assert gateway.fleet.warm_rate == head["warm_rate"]
+    assert gateway.fleet.slow_start.warm_work_rate == head["warm_rate"]
     assert gateway.latency.per_unit_ms == head["latency"]
-    assert gateway.quotas.registry.asked_at == head["asked_at"]
+    assert gateway.quotas.registry.last_request_at == head["asked_at"]
     cells = [
         [*key, share.value, share.work, share.admit_fraction, share.accumulator]
         for key, share in gateway.admission.shares.items()
@@ -122,8 +122,8 @@
     uses = {(row[0], row[1]): row[2:] for document in others for row in document.get("uses", ())}
     states = gateway.quotas.registry.states
     assert {key: list(use_fields(state).values()) for key, state in states.items()} == uses
-    sketch = gateway.quotas.registry.ceilings_from
-    assert sketch.at(inputs.SKETCH_KEY) == inputs.SKETCH_TIME_MS
+    sketch = gateway.quotas.registry.forgotten_ceilings
+    assert sketch.get(inputs.SKETCH_KEY) == inputs.SKETCH_TIME_MS
 
 
 @pytest.mark.parametrize("seed", inputs.STREAM_SEEDS)
--- a/tests/decision/test_admission.py
+++ b/tests/decision/test_admission.py
@@ -14,9 +14,9 @@
 def slow_down(d: Driver, name: str, pace: float) -> None:
     """Make a host answer at `pace` times the usual latency, as the module sees it."""
     host = d.gateway.hosts[name]
-    host.slow = pace
-    host.weigh()
-    d.gateway.fleet.place(host)
+    host.latency_ratio = pace
+    host.update_load()
+    d.gateway.fleet.reindex(host)
 
 
 def test_admit_fraction_falls_from_all_to_the_minimum() -> None:
@@ -115,7 +115,7 @@
             d.end(request_id, took=50)
     d.sweep(5)
     assert d.gateway.admission.admit_fraction == 1.0
-    assert pending_on_slow_host is None or d.gateway.hosts["h0"].slow > 1
+    assert pending_on_slow_host is None or d.gateway.hosts["h0"].latency_ratio > 1
 
 
 def test_outlier_gives_no_samples_but_a_slow_fleet_does() -> None:
@@ -123,7 +123,7 @@
         d = Driver(servers=1)
         request_id, _ = d.ask()
         slow_down(d, "h0", 10.0)
-        d.gateway.fleet.mid, d.gateway.occupancy.response_occupancy = mid, 0.5
+        d.gateway.fleet.outliers.median_latency_ratio, d.gateway.occupancy.response_occupancy = mid, 0.5
         d.end(request_id, AttemptResult.TIMED_OUT, took=90)
         assert d.gateway.occupancy.interval_count == samples
 
--- a/tests/recovery/test_memory.py
+++ b/tests/recovery/test_memory.py
@@ -11,7 +11,7 @@
 from handover.test_state import busy, known
 
 from hillmux import interface as api
-from hillmux.balancing.fleet import Host
+from hillmux.balancing.host import Host
 from hillmux.hot_restart import state_codec as state
 from hillmux.hot_restart.state_codec import StateError, export, restore
 from hillmux.interface import AttemptResult, ListKind
@@ -24,9 +24,9 @@
 }  # fmt: skip
 # Made anew from the list, the settings or what is remembered, or of what is open: nothing to remember.
 MADE = {
-    Host: {"name", "zone", "cell", "nominal", "up", "open", "pool", "server", "listed", "group", "home",
-           "regions", "rank", "at", "pace", "load", "log_load", "log_nominal", "out", "place", "near",
-           "tier"},
+    Host: {"name", "zone", "cell", "capacity", "up", "open_requests", "pool", "pool_name", "endpoint",
+           "listed", "group", "localities", "rank", "rank_index", "latency_bin", "load_per_request",
+           "idle_rank", "log_capacity", "disabled", "ring_position", "in_aperture", "ranking"},
     QuotaState: {"key", "plan", "digest", "phase", "count_name", "call_open", "call_amount", "called_at",
                  "waiting", "open_requests",
                  # From the plan and the number of replicas; how a lease stands, which only a total confirms.
@@ -43,7 +43,7 @@
     """A module born `age` after the other left its documents, that goes on from what may be believed."""
     now = d.now + age
     new = Driver(servers=6, seed=99, now=now, counter_available=False)
-    new.give(api.EndpointList(ListKind.CHANGES, (d.gateway.hosts["h5"].server,)))
+    new.give(api.EndpointList(ListKind.CHANGES, (d.gateway.hosts["h5"].endpoint,)))
     restore(new.gateway, believed(left(d), d.now, exact, now, now))
     return new
 
@@ -56,7 +56,10 @@
 
 @pytest.mark.parametrize(
     ("kind", "left_behind"),
-    [(Host, state.HOST), (QuotaState, tuple(state.USE_ATTRIBUTES[name] for name in state.USE))],
+    [
+        (Host, tuple(state.HOST_ATTRIBUTES[name] for name in state.HOST)),
+        (QuotaState, tuple(state.USE_ATTRIBUTES[name] for name in state.USE)),
+    ],
 )
 def test_every_field_of_a_host_and_a_customer_is_left_behind_or_made_anew(
     kind: type, left_behind: tuple[str, ...]
@@ -81,7 +84,7 @@
         assert (use.remaining, use.last_total) == (0.0, None)
         assert use.ceiling_at == new.now
         if use.plan.ceiling_rate > 0:
-            assert not new.gateway.quotas.ceiling_has(use, 1.0)
+            assert not new.gateway.quotas.ceiling_has_units(use, 1.0)
 
 
 def test_what_two_lives_spend_of_a_ceiling_stays_under_it_however_often_one_is_killed() -> None:
@@ -106,9 +109,9 @@
     for share in d.gateway.admission.shares.values():
         share.admit_fraction = 0.2
     young, old = heir(d, 500, exact=False).gateway, heir(d, 60_000, exact=True).gateway
-    assert young.admission.admit_fraction == 0.3 and young.quotas.pressed
+    assert young.admission.admit_fraction == 0.3 and young.quotas.shedding_load
     assert {share.admit_fraction for share in young.admission.shares.values()} == {0.2}
-    assert old.admission.admit_fraction == 1.0 and not old.quotas.pressed
+    assert old.admission.admit_fraction == 1.0 and not old.quotas.shedding_load
     assert {share.admit_fraction for share in old.admission.shares.values()} == {1.0}
 
 
@@ -120,7 +123,7 @@
     new.give(api.EndpointList(ListKind.CHANGES, (restarted,)))
     restore(new.gateway, believed(documents, d.now, True, new.now, new.now))
     host = new.gateway.hosts["h2"]
-    assert new.gateway.fleet.warmth(host) < 1 and host.slow == 1.0
+    assert new.gateway.fleet.capacity_share(host) < 1 and host.latency_ratio == 1.0
 
 
 def test_a_host_that_the_list_does_not_name_is_not_revived() -> None:
@@ -132,11 +135,14 @@
 
 def test_slowness_drifts_back_and_an_old_failure_is_forgotten() -> None:
     d = busy()
-    slow = d.gateway.hosts["h2"].slow = 3.0
-    assert d.gateway.hosts["h1"].fails
+    slow = d.gateway.hosts["h2"].latency_ratio = 3.0
+    assert d.gateway.hosts["h1"].ejections
     later = heir(d, SLOW_HALF_MS, exact=False).gateway
-    assert later.hosts["h2"].slow == pytest.approx(1 + (slow - 1) / 2)
-    assert not later.hosts["h1"].fails and heir(d, 1000, exact=False).gateway.hosts["h1"].strikes
+    assert later.hosts["h2"].latency_ratio == pytest.approx(1 + (slow - 1) / 2)
+    assert (
+        not later.hosts["h1"].ejections
+        and heir(d, 1000, exact=False).gateway.hosts["h1"].consecutive_failures
+    )
 
 
 def test_a_customer_is_left_out_of_an_exact_end_only_once_its_ceiling_had_filled_again() -> None:
@@ -144,7 +150,7 @@
     d = busy()
     quotas = d.gateway.quotas
     (use,) = [u for u in quotas.registry.states.values() if u.plan is CAPPED and u.key[0] == "c1"]
-    rest, full = quotas.registry.rests["capped"], CAPPED.ceiling_burst / use.replicas
+    rest, full = quotas.registry.rest_ms["capped"], CAPPED.ceiling_burst / use.replicas
     for unseen, kept in ((rest - 1, True), (rest, False)):
         now = use.seen_at + unseen
         documents = export(d.gateway, lambda u, now=now: worth_leaving(u.seen_at, rest, now, exact=True))
@@ -152,7 +158,7 @@
         assert (use.key in named) == kept
     use.ceiling_remaining, use.ceiling_at = 0.0, use.seen_at  # all of it was spent with its last request
     d.give(api.TimerFired("none"), after=use.seen_at + rest - d.now)
-    assert quotas.ceiling_has(use, full)
+    assert quotas.ceiling_has_units(use, full)
 
 
 def test_what_is_left_for_a_kill_has_the_customers_seen_of_late_for_others_would_not_be_believed() -> None:
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -15,7 +15,8 @@
 ROOT = Path(__file__).parents[1]
 TESTS = (  # the decisions, the adapter, and the real program between scripted peers
     "tests/decision",
-    "tests/test_fleet.py",
+    "tests/balancing/test_random_histories.py",
+    "tests/balancing/test_selection.py",
     "tests/simulator/test_adapter.py",
     "tests/test_net.py",
     "tests/test_flows.py",
