--- a/benchmarks/capacity/operator_figures.py
+++ b/benchmarks/capacity/operator_figures.py
@@ -6,8 +6,8 @@
 
 from benchmarks.capacity.probe import OPERATOR, Probe, Values
 from benchmarks.capacity.size import FULL
-from hillmux.admin.commands import VARS, answer
-from hillmux.admin.metrics import MOST_CLASSES, Figures
+from hillmux.admin.commands import VARS, respond
+from hillmux.admin.metrics import MAX_CLASSES, Metrics
 
 OK, REFUSED, FAILED = 200, 429, 502
 DAY_S = 86_400
@@ -21,13 +21,13 @@
     def __init__(self, classes: int, seed: int) -> None:
         rng = random.Random(seed)
         self._classes = [f"class-{number:03}" for number in range(classes)]
-        self._counts = Figures()
+        self._counts = Metrics()
         for name in self._classes:
             requests = REQUESTS / classes * rng.uniform(0.5, 1.5)
-            self._counts.passed[name] = int(requests * PARTS[OK])
-            self._counts.dropped[name] = int(requests * PARTS[REFUSED])
+            self._counts.served[name] = int(requests * PARTS[OK])
+            self._counts.rejected[name] = int(requests * PARTS[REFUSED])
             self._counts.failed[name] = int(requests * PARTS[FAILED])
-            self._counts.tries[name] = int(requests)
+            self._counts.attempts[name] = int(requests)
 
     def ready(self) -> bool:
         """It serves."""
@@ -37,18 +37,18 @@
         """Nobody looks."""
         return ""
 
-    def figures(self) -> dict[str, object]:
+    def metrics_by_name(self) -> dict[str, object]:
         """All figures under their public names."""
-        return self._counts.shown(self._classes, in_progress=20, known=FULL.hosts, skipped=30)
+        return self._counts.to_dict(self._classes, in_progress=20, known=FULL.hosts, skipped=30)
 
-    def hand(self, host: str, out: bool) -> str:
+    def override_host(self, host: str, out: bool) -> str:
         """It always holds."""
         return ""
 
 
 def measure(classes: int, seed: int) -> Values:
     """One answer of a gateway with so many classes."""
-    told = answer(VARS.encode(), Operated(classes, seed))
+    told = respond(VARS.encode(), Operated(classes, seed))
     return {"operator.figures.bytes_per_gateway": float(len(told))}
 
 
@@ -57,7 +57,7 @@
         name="operator.figures",
         role=OPERATOR,
         axis="classes of requests",
-        sizes=(3, 30, 100, MOST_CLASSES),
+        sizes=(3, 30, 100, MAX_CLASSES),
         figures={"operator.figures.bytes_per_gateway": "bytes an answer"},
         measure=measure,
         small=3,
--- a/benchmarks/snapshots.py
+++ b/benchmarks/snapshots.py
@@ -28,12 +28,12 @@
 from hillmux.lab import record
 from hillmux.lab.run import play
 from hillmux.lab.scenario import load
-from hillmux.recovery.snapshot_format import Builder, Head, Identity
-from hillmux.recovery.snapshot_store import Folder
+from hillmux.recovery.snapshot_format import Identity, SnapshotBuilder, SnapshotHeader
+from hillmux.recovery.snapshot_store import StateDirectory
 
 ROOT = Path(__file__).resolve().parents[1]
 
-HEAD = Head(Identity("g1", "bench", "p", "f"), "i", 1, 1e12, False)
+HEAD = SnapshotHeader(Identity("g1", "bench", "p", "f"), "i", 1, 1e12, False)
 MAP_BYTES = 1 << 30
 
 
@@ -62,7 +62,7 @@
 
 def plain(folder: Path) -> Callable[[bytes, list[bytes]], None]:
     """What is built."""
-    mine = Folder(folder)
+    mine = StateDirectory(folder)
     mine.lock()
     return lambda data, lines: mine.write(data)
 
@@ -107,7 +107,7 @@
         gateway = module(hosts, customers)
         turns: list[float] = []
         for _ in range(rounds):
-            builder, known = Builder(), iter(export(gateway))
+            builder, known = SnapshotBuilder(), iter(export(gateway))
             while True:
                 began = time.perf_counter()
                 document = next(known, None)
@@ -115,11 +115,11 @@
                     break
                 builder.add(document)
                 turns.append(1000 * (time.perf_counter() - began))
-        data = builder.data(HEAD)
+        data = builder.encode(HEAD)
         lines = data.splitlines(keepends=True)
         high = sorted(turns)[-1 - len(turns) // 100]
         print(f"{hosts} hosts, {customers} customers: {len(data) / 1e6:.2f} MB, {len(lines) - 1} documents, "
-              f"{builder.left_out} left out; the loop: {sum(turns) / rounds:.1f} ms in all, a turn "
+              f"{builder.omitted_documents} left out; the loop: {sum(turns) / rounds:.1f} ms in all, a turn "
               f"{statistics.median(turns):.2f} ms, p99 {high:.2f}")  # fmt: skip
         took: dict[str, list[float]] = {"file": [], "sqlite": [], "lmdb": []}
         with tempfile.TemporaryDirectory(dir=ROOT) as name:
@@ -153,7 +153,7 @@
                 figures = result.figures
                 events = list(record.read(result.folder))
                 own = [e["t"] for e in events if e["ev"] == "phase" and e["text"].startswith("full")]
-                share = [w.share() for w in figures.windows]
+                share = [w.served_share() for w in figures.windows]
                 print(orjson.dumps({
                     "seed": seed, "disk": how or "empty", "full_s": figures.full_service_s,
                     "after_ready_s": figures.full_after_ready_s,
--- a/benchmarks/thousand.py
+++ b/benchmarks/thousand.py
@@ -62,8 +62,8 @@
     windows = []
     for second in range(int(seconds)):
         asked, served = figures.windows.get(second, [0.0, 0.0])
-        windows.append(full_service.Window(asked, served))
-    baseline = full_service.before(windows[middle // 2 : middle])
+        windows.append(full_service.ServiceWindow(asked, served))
+    baseline = full_service.baseline(windows[middle // 2 : middle])
     return full_service.time_to_full(windows[middle + 1 :], baseline)
 
 
--- a/hillmux/__main__.py
+++ b/hillmux/__main__.py
@@ -23,9 +23,9 @@
 def _node(config: Config, loop: asyncio.AbstractEventLoop) -> Node:
     """The node that a configuration asks for; operators' calls and snapshots cost nothing where off."""
     if config.keep is not None:
-        from hillmux.recovery.snapshotting_gateway import KeptNode
+        from hillmux.recovery.snapshotting_gateway import SnapshottingGateway
 
-        return KeptNode(config, loop)
+        return SnapshottingGateway(config, loop)
     if config.operator is None:
         return Node(config, loop)
     from hillmux.net.managed_gateway import OperatedNode
--- a/hillmux/hot_restart/__init__.py
+++ b/hillmux/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""A second version of a gateway takes over from the first while both run."""
+"""Hot restart: a new process of a gateway takes over listener, state and connections from the running one."""
--- a/hillmux/hot_restart/channel.py
+++ b/hillmux/hot_restart/channel.py
@@ -1,8 +1,8 @@
-"""Packets of JSON, each perhaps with one descriptor, between two processes of one gateway (Unix sockets).
+"""Packets of JSON, each with at most one file descriptor, between two processes of one gateway.
 
-SOCK_SEQPACKET keeps packets whole and in order; SCM_RIGHTS (unix(7)) carries a descriptor. Packets that the
-other side has no room for wait here, in a line that is as long as the connections and documents that we
-hold.
+A Unix socket of type SOCK_SEQPACKET keeps packets whole and in order; SCM_RIGHTS (unix(7)) carries a
+descriptor. Packets for which the other process has no room wait in a queue, which is bounded by the
+connections and documents that this process holds.
 """
 
 from __future__ import annotations
@@ -14,47 +14,53 @@
 import socket
 import struct
 from collections import deque
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Iterator
 
-LONGEST = 192 * 1024  # of a packet: the system's default send buffer holds one
-NAME = "hillmux.sock"
+from hillmux.hot_restart.packets import Packet
+
+MAX_PACKET_BYTES = 192 * 1024  # fits the system's default send buffer
+SOCKET_NAME = "hillmux.sock"
 BACKLOG = 4
-READS = 64  # packets read in one turn of the loop
+MAX_PACKETS_PER_WAKEUP = 64  # read in one turn of the event loop
 
 
-class Channel:
-    """One end of a conversation."""
+class PacketChannel:
+    """One end of a conversation; closing it loses what waits to be sent."""
 
     def __init__(
         self,
         sock: socket.socket,
         loop: asyncio.AbstractEventLoop,
-        received: Callable[[dict[str, Any], int | None], None],
-        lost: Callable[[], None],
+        on_packet: Callable[[Packet, int | None], None],
+        on_lost: Callable[[], None],
     ) -> None:
-        self._sock, self._loop, self._received, self._lost = sock, loop, received, lost
-        self._waiting: deque[tuple[bytes, int | None]] = deque()
+        self._sock, self._loop = sock, loop
+        self._on_packet, self._on_lost = on_packet, on_lost
+        self._send_queue: deque[tuple[bytes, int | None]] = deque()
         self.open = True
         sock.setblocking(False)
         loop.add_reader(sock, self._read)
 
-    def send(self, packet: dict[str, Any], descriptor: int | None = None) -> None:
-        """Send a packet in its turn; the descriptor is ours from now on, and closed once it is sent."""
+    def send(self, packet: Packet, descriptor: int | None = None) -> None:
+        """Send a packet after those before it; takes the descriptor over and closes it once it is sent.
+
+        Raises:
+            ValueError: the packet is longer than `MAX_PACKET_BYTES`.
+        """
         if not self.open:
             if descriptor is not None:
                 os.close(descriptor)
             return
         data = json.dumps(packet, separators=(",", ":")).encode()
-        if len(data) > LONGEST:
+        if len(data) > MAX_PACKET_BYTES:
             raise ValueError(f"a packet of {len(data)} bytes")
-        self._waiting.append((data, descriptor))
-        if len(self._waiting) == 1:
+        self._send_queue.append((data, descriptor))
+        if len(self._send_queue) == 1:
             self._write()
 
-    def sent(self) -> bool:
-        """Whether nothing waits to be sent."""
-        return not self._waiting
+    def all_sent(self) -> bool:
+        """Whether no packet waits to be sent."""
+        return not self._send_queue
 
     def close(self) -> None:
         """End the conversation."""
@@ -64,14 +70,14 @@
         self._loop.remove_reader(self._sock)
         self._loop.remove_writer(self._sock)
         self._sock.close()
-        for _, descriptor in self._waiting:
+        for _, descriptor in self._send_queue:
             if descriptor is not None:
                 os.close(descriptor)
-        self._waiting.clear()
+        self._send_queue.clear()
 
     def _write(self) -> None:
-        while self._waiting:
-            data, descriptor = self._waiting[0]
+        while self._send_queue:
+            data, descriptor = self._send_queue[0]
             try:
                 if descriptor is None:
                     self._sock.send(data)
@@ -81,40 +87,40 @@
                 self._loop.add_writer(self._sock, self._write)
                 return
             except OSError:
-                self._end()
+                self._connection_lost()
                 return
-            self._waiting.popleft()
+            self._send_queue.popleft()
             if descriptor is not None:
                 os.close(descriptor)
         self._loop.remove_writer(self._sock)
 
     def _read(self) -> None:
-        for _ in range(READS):
+        for _ in range(MAX_PACKETS_PER_WAKEUP):
             if not self.open:
                 return
             try:
-                data, descriptors, flags, _ = socket.recv_fds(self._sock, LONGEST + 1, 1)
+                data, descriptors, flags, _ = socket.recv_fds(self._sock, MAX_PACKET_BYTES + 1, 1)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                self._end()
+                self._connection_lost()
                 return
             descriptor = descriptors[0] if descriptors else None
-            packet = _packet(data) if not flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC) else None
-            if packet is None:  # the end, or nothing of ours
+            packet = _decode(data) if not flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC) else None
+            if packet is None:  # the end of the stream, or no packet of this protocol
                 if descriptor is not None:
                     os.close(descriptor)
-                self._end()
+                self._connection_lost()
                 return
-            self._received(packet, descriptor)
+            self._on_packet(packet, descriptor)
 
-    def _end(self) -> None:
+    def _connection_lost(self) -> None:
         if self.open:
             self.close()
-            self._lost()
+            self._on_lost()
 
 
-def _packet(data: bytes) -> dict[str, Any] | None:
+def _decode(data: bytes) -> Packet | None:
     try:
         packet = json.loads(data)
     except ValueError:
@@ -123,20 +129,24 @@
 
 
 @contextlib.contextmanager
-def _path(folder: str):  # type: ignore[no-untyped-def]  # a context of one str
-    """The socket's path, however long the folder's name is: an address holds 108 bytes (unix(7))."""
-    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+def _socket_path(directory: str) -> Iterator[str]:
+    """A short path of the socket: an address holds 108 bytes (unix(7)), a directory's name may be longer."""
+    descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        yield f"/proc/self/fd/{descriptor}/{NAME}"
+        yield f"/proc/self/fd/{descriptor}/{SOCKET_NAME}"
     finally:
         os.close(descriptor)
 
 
-def listen(folder: str) -> socket.socket:
-    """Listen in a folder, in place of whoever listened there before; OSError where that fails."""
+def listen(directory: str) -> socket.socket:
+    """Listen in a directory, in place of the process that listened there before.
+
+    Raises:
+        OSError: the socket cannot be bound.
+    """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
-        with _path(folder) as path:
+        with _socket_path(directory) as path:
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(path)
             sock.bind(path)
@@ -149,22 +159,22 @@
     return sock
 
 
-def connect(folder: str) -> socket.socket | None:
-    """A connection to whoever listens in a folder; None where nobody does."""
+def connect(directory: str) -> socket.socket | None:
+    """Connect to the process that listens in a directory; None if there is none of the same user."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
-        with _path(folder) as path:
+        with _socket_path(directory) as path:
             sock.connect(path)
     except OSError:
         sock.close()
         return None
-    if not ours(sock):
+    if not is_same_user(sock):
         sock.close()
         return None
     return sock
 
 
-def ours(sock: socket.socket) -> bool:
-    """Whether the other side runs as the same user: what is passed here are our clients."""
+def is_same_user(sock: socket.socket) -> bool:
+    """Whether the other process runs as the same user: only such a one may receive clients' connections."""
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
     return bool(struct.unpack("3i", credentials)[1] == os.getuid())
--- a/hillmux/lab/measures.py
+++ b/hillmux/lab/measures.py
@@ -15,7 +15,7 @@
 class Figures:
     """What a run came to; windows are of one second from its start."""
 
-    windows: list[full.Window] = field(default_factory=list)
+    windows: list[full.ServiceWindow] = field(default_factory=list)
     first: int = 0
     tries: int = 0
     attempts: int = 0
@@ -96,7 +96,7 @@
             case "ready":
                 last_ready = (event["t"] - t0) / 1000
     figures.results = dict(results)
-    figures.windows = [full.Window(asked[s], served[s], tuple(took[s])) for s in range(int(length_s))]
+    figures.windows = [full.ServiceWindow(asked[s], served[s], tuple(took[s])) for s in range(int(length_s))]
     figures.served_share = sum(served.values()) / max(sum(asked.values()), 1e-9)
     all_took = sorted(t for times in took.values() for t in times)
     if all_took:
@@ -108,11 +108,11 @@
         calm = figures.windows[1 : max(int(first_fault), 2)]
         figures.usual_dials_s = max((n for (_, s), n in dials.items() if s < int(first_fault)), default=0)
         if calm:
-            then = full.before(calm)
+            then = full.baseline(calm)
             after = figures.windows[int(last_fault) :]
             figures.full_service_s = full.time_to_full(after, then)
             if figures.full_service_s is not None:
-                figures.second_wave_s = full.second_wave(after, then, figures.full_service_s)
+                figures.second_wave_s = full.second_drop(after, then, figures.full_service_s)
                 end = int(last_fault) + figures.full_service_s
                 if last_ready is not None and last_ready > first_fault:
                     figures.full_after_ready_s = max(end - last_ready, 0.0)
--- a/hillmux/lab/report.py
+++ b/hillmux/lab/report.py
@@ -80,7 +80,7 @@
     plots[0].stackplot(seconds, *(series.line(series.results[name]) for name in names), labels=names)
     plots[0].set_ylabel("tries ended a second")
     plots[0].legend(loc="upper right", ncols=3)
-    shares = [w.share() for w in figures.windows]
+    shares = [w.served_share() for w in figures.windows]
     plots[1].plot(range(len(shares)), shares)
     plots[1].set_ylim(0, 1.05)
     plots[1].set_ylabel("worth served in time")
--- a/hillmux/lab/run.py
+++ b/hillmux/lab/run.py
@@ -227,7 +227,8 @@
         "late_ms": late_ms,
         "unmet": result.unmet,
         "verdicts": {v.rule: [v.says(), v.exercised, v.broken] for v in verdicts},
-        "figures": asdict(figures) | {"windows": [[w.asked, w.served] for w in figures.windows]},
+        "figures": asdict(figures)
+        | {"windows": [[w.offered_weight, w.served_weight] for w in figures.windows]},
     }
     (folder / "verdict.json").write_bytes(orjson.dumps(said, option=orjson.OPT_INDENT_2))
     return result
--- a/hillmux/net/clients.py
+++ b/hillmux/net/clients.py
@@ -88,10 +88,10 @@
 class Heir(Protocol):
     """The process that goes on serving our clients."""
 
-    def take(self, descriptor: int) -> None:
+    def pass_connection(self, descriptor: int) -> None:
         """Take a connection over; the descriptor is the heir's."""
 
-    def took(self) -> bool:
+    def all_passed(self) -> bool:
         """Whether all that it was given has left."""
 
 
@@ -458,7 +458,7 @@
             or transport.get_write_buffer_size()
         ):
             return False
-        heir.take(os.dup(transport.get_extra_info("socket").fileno()))
+        heir.pass_connection(os.dup(transport.get_extra_info("socket").fileno()))
         self._ending = True
         transport.abort()  # closes our descriptor and says nothing to the client: the heir has another
         return True
@@ -609,7 +609,7 @@
             now = self.loop.time()
             for connection in list(self.connections):
                 connection.drain(now)
-        return not self.connections and not self._pending and (self.heir is None or self.heir.took())
+        return not self.connections and not self._pending and (self.heir is None or self.heir.all_passed())
 
     def opened(self, connection: Connection) -> None:
         """A connection is up, and silent so far."""
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -4,15 +4,15 @@
 
 import asyncio
 import logging
-from collections.abc import Iterable
 from itertools import chain
 from typing import Any, ClassVar, cast
 
 from hillmux import interface as api
-from hillmux.admin.host_overrides import HandError, HandFile, Listed, refused
-from hillmux.admin.metrics import Figures
+from hillmux.admin.host_overrides import KnownHosts, OverrideFile, OverrideFileError, rejection_reason
+from hillmux.admin.metrics import Metrics
 from hillmux.admin.server import OperatorServer
-from hillmux.hot_restart.service import HandOver, Heir, TakeOver
+from hillmux.hot_restart.client import HotRestartClient
+from hillmux.hot_restart.server import HandOver, HotRestartServer, SuccessorProcess
 from hillmux.hot_restart.state_codec import StateError, export, restore
 from hillmux.interface import ListKind
 from hillmux.net.clients import Server
@@ -66,15 +66,15 @@
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config, loop)
         cast(_CountedHosts, self._flow_hosts).node = self
-        self.figures_kept = Figures()
-        self._seen = Listed()
-        self._hand_file = HandFile(config.folder)
+        self.figures_kept = Metrics()
+        self._seen = KnownHosts()
+        self._hand_file = OverrideFile(config.folder)
         self._held_out: set[str] = set()
         self._operators = OperatorServer(self, loop)
         self._folder = config.folder
         self._server: Server[Any] | None = None  # once clients are let in
-        self._hand_over = HandOver(self, loop)
-        self._take_over: TakeOver | None = None
+        self._hand_over = HotRestartServer(self, loop)
+        self._take_over: HotRestartClient | None = None
 
     def start(self) -> None:
         """Also begin to look for hosts that are taken out by hand, every LOOK_S."""
@@ -98,11 +98,11 @@
     def reload(self, config: Config) -> None:
         """Also count the reload."""
         super().reload(config)
-        self.figures_kept.loads += 1
+        self.figures_kept.config_reloads += 1
 
     def not_reloaded(self) -> None:
         """Count a new configuration that was turned down."""
-        self.figures_kept.load_errors += 1
+        self.figures_kept.config_reload_errors += 1
 
     def ready(self) -> bool:
         """Whether requests can be served: False until clients are let in."""
@@ -121,7 +121,7 @@
     async def open(self, server: Server[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
         """Take over from the process that serves here already, if there is one; else listen."""
         if self._folder is not None:
-            self._take_over = TakeOver.find(self._folder, self._loop, server.adopt)
+            self._take_over = HotRestartClient.connect(self._folder, self._loop, server.adopt)
         listening = await self._inherit(server) if self._take_over is not None else None
         if listening is None:
             listening = server.start(address, shared=True)
@@ -129,7 +129,7 @@
         if self._folder is not None:
             self._hand_over.start(self._folder)  # in the old one's place: the next version finds us
         if self._take_over is not None:
-            self._take_over.serving()
+            self._take_over.announce_serving()
         return listening
 
     async def _inherit(self, server: Server[Any]) -> list[tuple[str, int]] | None:
@@ -139,7 +139,7 @@
         while not self.could_serve() and self._loop.time() < end:
             await asyncio.sleep(0.02)
         try:
-            descriptor, documents = await self._take_over.ask()
+            descriptor, documents = await self._take_over.request_state()
         except OSError as error:
             log.warning("hand-over: %s; serving beside it, if it still does", error)
             self._take_over = None
@@ -158,52 +158,52 @@
         log.info("took over from the process that served here")
         return server.inherit(descriptor)
 
-    def give(self) -> tuple[int, Iterable[dict[str, Any]]]:
-        """Stop accepting and deciding: a descriptor of the listening socket, and what is known."""
+    def hand_over(self) -> HandOver:
+        """Stop accepting and deciding; returns listener and state."""
         assert self._server is not None
         self._post(api.TakenOver(True))
         names = self._seen.all()
         seen = [
             {"t": SEEN, "names": names[at : at + SEEN_AT_ONCE]} for at in range(0, len(names), SEEN_AT_ONCE)
         ]
-        return self._server.lend(), chain(export(self._gateway), seen)
+        return HandOver(self._server.lend(), chain(export(self._gateway), seen))
 
-    def keep(self) -> None:
-        """Go on after all: the successor ended before it served."""
+    def resume(self) -> None:
+        """Serve again: the successor ended before it served."""
         assert self._server is not None
         self._post(api.TakenOver(False))
         self._server.take_back()
 
-    def gone(self, heir: Heir) -> None:
-        """The successor serves."""
+    def on_successor_serving(self, successor: SuccessorProcess) -> None:
+        """The successor accepts connections: pass the clients' connections on to it."""
         assert self._server is not None
-        self._server.succeeded_by(heir)
+        self._server.succeeded_by(successor)
 
-    def alone(self) -> None:
-        """The successor that served is gone; connections cannot be passed on any more."""
+    def on_successor_lost(self) -> None:
+        """The successor that served has ended; no more connections can be passed on."""
         assert self._server is not None
         self._server.heir = None
 
     # Operators' calls
 
-    def figures(self) -> dict[str, object]:
+    def metrics_by_name(self) -> dict[str, object]:
         """All figures, as JSON holds them."""
         open_now = sum(request.client is not None for request in self._requests.values())
         fleet = self._gateway.fleet
-        return self.figures_kept.shown(
+        return self.figures_kept.to_dict(
             [c.name for c in self.settings.classes], open_now, len(fleet.hosts), fleet.skipped()
         )
 
-    def hand(self, host: str, out: bool) -> str:
+    def override_host(self, host: str, disabled: bool) -> str:
         """Take a host out by hand, or put it back; "" once that holds, else why not."""
-        wrong = refused(host, out, self._seen, self._held_out)
+        wrong = rejection_reason(host, disabled, self._seen, self._held_out)
         if wrong:
             return wrong
         try:
-            self._hand_file.change(host, out)
-        except HandError as error:
+            self._hand_file.set_disabled(host, disabled)
+        except OverrideFileError as error:
             return str(error)
-        self._hold_out(self._hand_file.out)
+        self._hold_out(self._hand_file.disabled)
         return ""
 
     def _look(self) -> None:
@@ -229,11 +229,11 @@
         self, request: _Open | None, status: int, reply: Reply | None = None, retry_after_ms: float = 0.0
     ) -> None:
         if request is not None and request.client is not None:
-            self.figures_kept.answered(request.order.class_name, status)
+            self.figures_kept.count_answer(request.order.class_name, status)
         super()._answer(request, status, reply, retry_after_ms)
 
     def tried(self, attempt: Attempt) -> None:
         """An attempt has left whole."""
         request = self._requests.get(attempt.request)
         if request is not None:
-            self.figures_kept.tried(request.order.class_name)
+            self.figures_kept.count_attempt(request.order.class_name)
--- a/hillmux/recovery/commands.py
+++ b/hillmux/recovery/commands.py
@@ -10,10 +10,10 @@
 import click
 
 from hillmux.hot_restart import state_codec as state
-from hillmux.recovery.retention import FOREVER, ITEMS, Item
+from hillmux.recovery.retention import FOREVER, RETENTION_RULES, RetentionRule
 from hillmux.recovery.snapshot_format import Snapshot, SnapshotError, decode
 
-WRONG = 1
+EXIT_INVALID = 1
 
 
 @click.group()
@@ -31,7 +31,7 @@
             read(path)
         except SnapshotError as error:
             click.echo(f"{path}: {error}", err=True)
-            wrong = WRONG
+            wrong = EXIT_INVALID
         else:
             click.echo(f"{path}: whole")
     sys.exit(wrong)
@@ -45,8 +45,8 @@
         found = read(path)
     except SnapshotError as error:
         click.echo(f"{path}: {error}", err=True)
-        sys.exit(WRONG)
-    for line in shown(found):
+        sys.exit(EXIT_INVALID)
+    for line in describe(found):
         click.echo(line)
 
 
@@ -58,25 +58,27 @@
         raise SnapshotError(f"cannot be read: {error.strerror}") from None
 
 
-def shown(found: Snapshot) -> list[str]:
+def describe(found: Snapshot) -> list[str]:
     """A snapshot as lines for people."""
-    head, sizes = found.head, Counter[str]()
+    head, sizes = found.header, Counter[str]()
     for document in found.documents:
         sizes["hosts"] += len(document["hosts"]) if document.get("t") == state.HOSTS else 0
         sizes["customers"] += len(document["uses"]) if document.get("t") == state.CUSTOMERS else 0
     lines = [
-        f"gateway    {head.who.name}, fleet {head.who.fleet or '(none named)'}, plans {head.who.plans}",
+        f"gateway    {head.owner.name}, fleet {head.owner.fleet or '(none named)'}, plans {head.owner.plans}",
         f"written    {_moment(head.taken_ms)} by {head.incarnation}, its number {head.serial}",
         f"end        {'exact: nothing was decided after it' if head.exact else 'a process went on after it'}",
         f"holds      {sizes['hosts']} hosts, {sizes['customers']} customers",
         "",
         f"{'item':<16}{'believed until':<24}guards against",
     ]
-    return lines + [f"{i.name:<16}{_until(i, head.taken_ms, head.exact):<24}{i.guards}" for i in ITEMS]
+    return lines + [
+        f"{i.name:<16}{_until(i, head.taken_ms, head.exact):<24}{i.risk}" for i in RETENTION_RULES
+    ]
 
 
-def _until(item: Item, taken_ms: float, exact: bool) -> str:
-    lasts = item.exact_ms if exact else item.loose_ms
+def _until(item: RetentionRule, taken_ms: float, exact: bool) -> str:
+    lasts = item.after_clean_exit_ms if exact else item.after_crash_ms
     if lasts == FOREVER:
         return "always"
     return _moment(taken_ms + lasts) if lasts else "not at all"
--- a/hillmux/recovery/readiness.py
+++ b/hillmux/recovery/readiness.py
@@ -1,112 +1,141 @@
-"""How far a gateway has come back, by what it sees itself: its phase, and the causes that keep it there.
+"""How far a gateway has recovered after a start or a fault, by its own view: its phase, and the causes.
 
-    starting    it could not serve: no hosts are known, or the list is still waited for
-    learning    it serves, and goes by what it was given: discovery or the counter has not answered yet, or
-                too few outcomes were seen to know how long requests take
-    ramping     it knows, and lets in less than all, or many of its hosts are cold or fail
-    full        none of that held for `HOLD_MS`
+    starting    it cannot serve: no hosts are known, or discovery's first answer is awaited
+    learning    it serves from restored or configured state: discovery or the counter has not answered yet, or
+                too few outcomes were seen to know usual latencies
+    ramping     it admits less than all requests, or many of its hosts warm up or are ejected
+    full        no such cause held for `FULL_AFTER_CLEAR_MS`
 
-It is the gateway's own half of what full service is; the clients' half, worth and latency, is judged from
-outside (`full.py`). Once full, ordinary pressure is no coming back: only a stall of its own, or the loss of
-many hosts, begins it anew. Free of I/O; times in milliseconds.
+This is the gateway's own view; what clients see, served weight and latency, is judged by `full_service.py`.
+Once full, ordinary overload does not end the phase; a stall of the process or the loss of many hosts does.
+Free of I/O; times in milliseconds.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import StrEnum
 
-STARTING, LEARNING, RAMPING, FULL = "starting", "learning", "ramping", "full"
-HOLD_MS = 5_000.0  # as `full.HOLD_S`
-OUTCOMES = 20  # outcomes after which times are known
-ALMOST = 0.98  # of all that is let in: less is a cause
-MANY = 0.3  # share of the hosts that are cold or fail, from which on a full gateway comes back anew
-SOME = 0.1  # and up to which it may be full
+FULL_AFTER_CLEAR_MS = 5_000.0  # as `full_service.HOLD_S`
+MIN_OUTCOMES = 20  # outcomes after which usual latencies are known
+FULL_ADMIT_FRACTION = 0.98
+MAX_IMPAIRED_SHARE = 0.1  # of the hosts, up to which a recovering gateway may become full
+RESTART_IMPAIRED_SHARE = 0.3  # of the hosts, from which on a full gateway recovers anew
+
+
+class Phase(StrEnum):
+    """A phase of recovery; values are reported to operators."""
+
+    STARTING = "starting"
+    LEARNING = "learning"
+    RAMPING = "ramping"
+    FULL = "full"
 
 
 @dataclass(slots=True, frozen=True)
-class View:
+class GatewayCondition:
     """What a gateway sees of itself now."""
 
     ready: bool
-    discovery: bool  # it has answered in this life
-    counter: bool  # it answers, or none is asked
-    outcomes: int  # seen in this life
-    fraction: float  # let in of the requests of the least worth
+    discovery_answered: bool  # since the start of the process
+    counter_answers: bool  # also true where no counter is used
+    outcomes: int  # of attempts, since the start of the process
+    admit_fraction: float  # of the requests of lowest priority
     hosts: int  # that are up
-    cold: int
-    failing: int
-    stalled: bool  # it stood still a moment ago
+    warming_hosts: int
+    ejected_hosts: int
+    stalled: bool  # the process was stopped a moment ago
 
-    def trouble(self) -> float:
-        """The share of its hosts that are cold or fail."""
-        return (self.cold + self.failing) / max(self.hosts, 1)
+    def impaired_share(self) -> float:
+        """The share of the hosts that warm up or are ejected."""
+        return (self.warming_hosts + self.ejected_hosts) / max(self.hosts, 1)
 
 
 @dataclass(slots=True, frozen=True)
-class Phase:
-    """A phase, since when, and why it is not the next one."""
+class Readiness:
+    """A phase, when it began, and the causes that keep the gateway from the next one."""
 
-    name: str
+    phase: Phase
     since_ms: float
     causes: tuple[str, ...] = ()
 
     def text(self) -> str:
-        """For a line of a log, or of an answer."""
-        return self.name + (f": {'; '.join(self.causes)}" if self.causes else "")
+        """Phase and causes on one line, for the log and for operators."""
+        return self.phase + (f": {'; '.join(self.causes)}" if self.causes else "")
 
 
-class Phases:
-    """The phase of one gateway, looked at again and again."""
+class ReadinessTracker:
+    """The phase of one gateway, from periodic observations of its condition."""
 
     def __init__(self, now_ms: float) -> None:
-        self.now = Phase(STARTING, now_ms, ("no look yet",))
-        self.began_ms = now_ms  # of this coming back
-        self.took_ms: float | None = None  # until it was full, once it is
-        self._clear_ms: float | None = None  # since when no cause holds
-
-    def look(self, now_ms: float, view: View) -> bool:
-        """Take a look; whether the phase is another one now."""
-        if self.now.name == FULL:
-            if not (view.stalled or not view.ready or view.trouble() >= MANY):
+        self.current = Readiness(Phase.STARTING, now_ms, ("no look yet",))
+        self.recovery_started_ms = now_ms
+        self.recovery_ms: float | None = None  # how long the recovery took, once the gateway is full
+        self._clear_since_ms: float | None = None  # since when no cause holds
+
+    def update(self, now_ms: float, condition: GatewayCondition) -> bool:
+        """Judge the condition of now; returns whether the phase has changed."""
+        before = self.current
+        if before.phase == Phase.FULL:
+            if not _recovers_anew(condition):
                 return False
-            self.began_ms, self.took_ms, self._clear_ms = now_ms, None, None
-        name, causes = _causes(view)
+            self.recovery_started_ms, self.recovery_ms, self._clear_since_ms = now_ms, None, None
+        phase, causes = _causes(condition)
         if causes:
-            self._clear_ms = None
+            self._clear_since_ms = None
         else:
-            self._clear_ms = now_ms if self._clear_ms is None else self._clear_ms
-            held = now_ms - self._clear_ms
-            if held >= HOLD_MS:
-                # It was full when the causes ended; the hold only shows it.
-                self.took_ms = self._clear_ms - self.began_ms
-                name = FULL
-            else:
-                name, causes = RAMPING, ("nothing is in the way, for less than 5 s",)
-        before = self.now
-        since = before.since_ms if name == before.name else now_ms
-        self.now = Phase(name, since, causes)
-        return name != before.name
-
-
-def _causes(view: View) -> tuple[str, tuple[str, ...]]:
-    """The phase that the causes belong to, the earliest that has any."""
-    if not view.ready:
-        found = "no hosts are known" if not view.hosts else "the list is waited for, or it drains"
-        return STARTING, (found,)
-    learning = []
-    if not view.discovery:
-        learning.append("discovery has not answered: hosts are those of the kept list")
-    if not view.counter:
-        learning.append("the counter does not answer: quotas go by estimates")
-    if view.outcomes < OUTCOMES:
-        learning.append(f"{view.outcomes} of {OUTCOMES} outcomes seen")
-    if learning:
-        return LEARNING, tuple(learning)
-    ramping = []
-    if view.stalled:
-        ramping.append("it stood still")
-    if view.fraction < ALMOST:
-        ramping.append(f"{view.fraction:.2f} is let in")
-    if view.trouble() > SOME:
-        ramping.append(f"of {view.hosts} hosts {view.cold} are cold and {view.failing} fail")
-    return RAMPING, tuple(ramping)
+            phase, causes = self._after_causes_ended(now_ms)
+        since_ms = before.since_ms if phase == before.phase else now_ms
+        self.current = Readiness(phase, since_ms, causes)
+        return phase != before.phase
+
+    def _after_causes_ended(self, now_ms: float) -> tuple[Phase, tuple[str, ...]]:
+        """Full once no cause has held for long enough; the recovery ended when the last cause did."""
+        if self._clear_since_ms is None:
+            self._clear_since_ms = now_ms
+        if now_ms - self._clear_since_ms < FULL_AFTER_CLEAR_MS:
+            return Phase.RAMPING, ("nothing is in the way, for less than 5 s",)
+        self.recovery_ms = self._clear_since_ms - self.recovery_started_ms
+        return Phase.FULL, ()
+
+
+def _recovers_anew(condition: GatewayCondition) -> bool:
+    return condition.stalled or not condition.ready or condition.impaired_share() >= RESTART_IMPAIRED_SHARE
+
+
+def _causes(condition: GatewayCondition) -> tuple[Phase, tuple[str, ...]]:
+    """The earliest phase that any cause holds the gateway in, with its causes; none: nothing holds it."""
+    if not condition.ready:
+        return Phase.STARTING, (_starting_cause(condition),)
+    if learning := _learning_causes(condition):
+        return Phase.LEARNING, learning
+    return Phase.RAMPING, _ramping_causes(condition)
+
+
+def _starting_cause(condition: GatewayCondition) -> str:
+    return "the list is waited for, or it drains" if condition.hosts else "no hosts are known"
+
+
+def _learning_causes(condition: GatewayCondition) -> tuple[str, ...]:
+    causes = []
+    if not condition.discovery_answered:
+        causes.append("discovery has not answered: hosts are those of the kept list")
+    if not condition.counter_answers:
+        causes.append("the counter does not answer: quotas go by estimates")
+    if condition.outcomes < MIN_OUTCOMES:
+        causes.append(f"{condition.outcomes} of {MIN_OUTCOMES} outcomes seen")
+    return tuple(causes)
+
+
+def _ramping_causes(condition: GatewayCondition) -> tuple[str, ...]:
+    causes = []
+    if condition.stalled:
+        causes.append("it stood still")
+    if condition.admit_fraction < FULL_ADMIT_FRACTION:
+        causes.append(f"{condition.admit_fraction:.2f} is let in")
+    if condition.impaired_share() > MAX_IMPAIRED_SHARE:
+        causes.append(
+            f"of {condition.hosts} hosts {condition.warming_hosts} are cold"
+            f" and {condition.ejected_hosts} fail"
+        )
+    return tuple(causes)
--- a/hillmux/recovery/snapshot_format.py
+++ b/hillmux/recovery/snapshot_format.py
@@ -1,12 +1,12 @@
-"""A snapshot as bytes: what a module knew, who it was, when, and whether anything was decided after it.
+"""The snapshot file: the decision module's state, its owner and time, and whether the process ended with it.
 
-    HMSNAP1 <digest of the head> <head as JSON>
+    HMSNAP1 <digest of the header> <header as JSON>
     <a document as JSON>
     ...
 
-The head has the digest and the size of all documents. A file that was torn, cut, flipped, written by another
-version, gateway or fleet, copied from elsewhere, or that is from the future is told as such, and nothing of
-it is believed. Free of I/O. JSON by orjson, digests by BLAKE2b (RFC 7693).
+The header holds the digest and the size of all documents. A file that is truncated or corrupted, that another
+version, gateway or fleet wrote, that was copied from another directory or lies in the future is rejected as a
+whole. Free of I/O. JSON by orjson, digests by BLAKE2b (RFC 7693).
 """
 
 from __future__ import annotations
@@ -19,116 +19,138 @@
 import orjson
 
 MAGIC = b"HMSNAP1"
-DIGEST = 16  # bytes
-MOST_BYTES = 16 << 20  # of a snapshot; the customers that would go beyond it are left out
-MOST_HEAD = 4096
-AHEAD_MS = 2_000.0  # how far another clock's now may be ahead of ours
+DIGEST_BYTES = 16  # bytes
+MAX_DOCUMENT_BYTES = 16 << 20  # of all documents of a snapshot; customers beyond it are omitted
+MAX_HEADER_BYTES = 4096
+MAX_CLOCK_SKEW_MS = 2_000.0  # by which the clock of the process that wrote a snapshot may be ahead
 
 
 class SnapshotError(ValueError):
-    """Bytes that no process may go on from; the text says what is wrong with them."""
+    """A snapshot that must not be restored; the text says why."""
 
 
 @dataclass(slots=True, frozen=True)
 class Identity:
-    """Who may go on from a snapshot."""
+    """The owner of a snapshot: only a process of the same identity may restore it.
+
+    Its field names are keys of the stored header.
+    """
 
     name: str  # of the gateway
     fleet: str  # of the tier, as the configuration names it
-    plans: str  # digest of the plans that counts and ceilings are kept by
-    folder: str  # the folder that it was written in, as the system knows it: a copy has another
+    plans: str  # digest of the plans that counts and ceilings belong to
+    folder: str  # identity of the directory that it was written in: a copy of the directory has another
 
 
 @dataclass(slots=True, frozen=True)
-class Head:
+class SnapshotHeader:
     """What stands above the documents."""
 
-    who: Identity
+    owner: Identity
     incarnation: str  # of the process that wrote it
-    serial: int  # of its snapshots
+    serial: int  # among the snapshots of that process
     taken_ms: float  # Unix time
-    exact: bool  # nothing was decided after it
+    exact: bool  # the process took no decision after it
+
+    def to_json(self, documents: bytes) -> bytes:
+        """The header of these documents under its stored keys."""
+        return orjson.dumps(
+            {
+                "who": asdict(self.owner),
+                "incarnation": self.incarnation,
+                "serial": self.serial,
+                "taken_ms": self.taken_ms,
+                "exact": self.exact,
+                "size": len(documents),
+                "digest": digest(documents),
+            }
+        )
 
 
 @dataclass(slots=True, frozen=True)
 class Snapshot:
-    """A head and its documents."""
+    """A header and its documents."""
 
-    head: Head
+    header: SnapshotHeader
     documents: list[dict[str, Any]]
 
 
 def digest(data: bytes) -> str:
     """BLAKE2b of bytes, in hex."""
-    return blake2b(data, digest_size=DIGEST).hexdigest()
+    return blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
-class Builder:
-    """A snapshot that grows document by document, never over its bound; those that don't fit are left out."""
+class SnapshotBuilder:
+    """Collects documents up to a size limit; a document that does not fit is omitted."""
 
-    def __init__(self, most: int = MOST_BYTES) -> None:
-        self._most, self._size = most, 0
+    def __init__(self, max_bytes: int = MAX_DOCUMENT_BYTES) -> None:
+        self._max_bytes, self._size = max_bytes, 0
         self._lines: list[bytes] = []
-        self.left_out = 0
+        self.omitted_documents = 0
 
     def add(self, document: dict[str, Any]) -> None:
-        """One more document."""
+        """Add a document if it fits, else count it as omitted."""
         line = orjson.dumps(document) + b"\n"
-        if self._size + len(line) > self._most:
-            self.left_out += 1
+        if self._size + len(line) > self._max_bytes:
+            self.omitted_documents += 1
             return
         self._lines.append(line)
         self._size += len(line)
 
-    def data(self, head: Head) -> bytes:
-        """All of it, as bytes."""
-        body = b"".join(self._lines)
-        told = orjson.dumps({**asdict(head), "size": len(body), "digest": digest(body)})
-        return b"%b %b %b\n%b" % (MAGIC, digest(told).encode(), told, body)
+    def encode(self, header: SnapshotHeader) -> bytes:
+        """The file's bytes."""
+        documents = b"".join(self._lines)
+        encoded_header = header.to_json(documents)
+        return b"%b %b %b\n%b" % (MAGIC, digest(encoded_header).encode(), encoded_header, documents)
 
 
 def decode(data: bytes) -> Snapshot:
-    """Bytes as a snapshot, whole.
+    """The snapshot in a file's bytes. Its owner and time are not judged here but by `check_usable`.
 
     Raises:
-        SnapshotError: they are none, or are damaged; `who` and `when` are judged by `check`.
+        SnapshotError: the bytes are no snapshot, or damaged.
     """
-    line, newline, body = data.partition(b"\n")
-    magic, _, rest = line.partition(b" ")
+    first_line, newline, body = data.partition(b"\n")
+    magic, _, rest = first_line.partition(b" ")
     if magic != MAGIC:
         raise SnapshotError(f"version: found {magic[:16]!r}, expected {MAGIC.decode()}")
-    told, _, text = rest.partition(b" ")
-    if not newline or len(line) > MOST_HEAD or told != digest(text).encode():
+    header_digest, _, header_json = rest.partition(b" ")
+    if not newline or len(first_line) > MAX_HEADER_BYTES or header_digest != digest(header_json).encode():
         raise SnapshotError("head: damaged, or cut")
-    raw = orjson.loads(text)  # its digest is right: it is as it was written
-    head = _head(raw)
-    if len(body) != raw.get("size"):
-        raise SnapshotError(f"size: found {len(body)} bytes of documents, expected {raw.get('size')}")
-    if digest(body) != raw.get("digest"):
+    raw_header = orjson.loads(header_json)
+    header = _parse_header(raw_header)
+    if len(body) != raw_header.get("size"):
+        raise SnapshotError(f"size: found {len(body)} bytes of documents, expected {raw_header.get('size')}")
+    if digest(body) != raw_header.get("digest"):
         raise SnapshotError("digest: the documents are damaged")
-    documents = [orjson.loads(part) for part in body.splitlines()]
+    documents = [orjson.loads(line) for line in body.splitlines()]
     if not all(isinstance(document, dict) for document in documents):
         raise SnapshotError("documents: found something that is no object")
-    return Snapshot(head, documents)
+    return Snapshot(header, documents)
+
 
+def check_usable(header: SnapshotHeader, identity: Identity, now_ms: float) -> None:
+    """Check that a process of this identity may restore the snapshot now.
 
-def check(head: Head, me: Identity, now_ms: float) -> None:
-    """Whether we may go on from it now; SnapshotError says why not."""
+    Raises:
+        SnapshotError: it has another owner, or its time lies in the future.
+    """
     for field in fields(Identity):
-        found, expected = getattr(head.who, field.name), getattr(me, field.name)
+        found, expected = getattr(header.owner, field.name), getattr(identity, field.name)
         if found != expected:
             raise SnapshotError(f"{field.name}: found {found!r}, expected {expected!r}")
-    if head.taken_ms > now_ms + AHEAD_MS:
-        raise SnapshotError(f"taken_ms: found {head.taken_ms - now_ms:.0f} ms from now, expected the past")
+    if header.taken_ms > now_ms + MAX_CLOCK_SKEW_MS:
+        raise SnapshotError(f"taken_ms: found {header.taken_ms - now_ms:.0f} ms from now, expected the past")
 
 
-def _head(raw: dict[str, Any]) -> Head:
-    who, taken = raw.get("who"), raw.get("taken_ms")
-    if not isinstance(who, dict) or set(who) != {f.name for f in fields(Identity)}:
+def _parse_header(raw: dict[str, Any]) -> SnapshotHeader:
+    owner, taken_ms = raw.get("who"), raw.get("taken_ms")
+    if not isinstance(owner, dict) or set(owner) != {f.name for f in fields(Identity)}:
         raise SnapshotError("who: expected name, fleet, plans and folder")
-    if isinstance(taken, bool) or not isinstance(taken, int | float) or not math.isfinite(taken):
-        raise SnapshotError(f"taken_ms: found {taken!r}, expected a moment")
+    if isinstance(taken_ms, bool) or not isinstance(taken_ms, int | float) or not math.isfinite(taken_ms):
+        raise SnapshotError(f"taken_ms: found {taken_ms!r}, expected a moment")
     if not isinstance(raw.get("exact"), bool) or not isinstance(raw.get("serial"), int):
         raise SnapshotError("exact, serial: expected a truth value and a whole number")
-    identity = Identity(**{name: str(value) for name, value in who.items()})
-    return Head(identity, str(raw.get("incarnation", "")), raw["serial"], float(taken), raw["exact"])
+    identity = Identity(**{name: str(value) for name, value in owner.items()})
+    incarnation = str(raw.get("incarnation", ""))
+    return SnapshotHeader(identity, incarnation, raw["serial"], float(taken_ms), raw["exact"])
--- a/hillmux/recovery/snapshot_service.py
+++ b/hillmux/recovery/snapshot_service.py
@@ -1,4 +1,5 @@
-"""Snapshots of a running gateway: taken away at its start, written in the background, exact at its end."""
+"""Snapshots of a running gateway: the previous one is taken at its start, new ones are written periodically
+and a final one at its end."""
 
 from __future__ import annotations
 
@@ -7,165 +8,182 @@
 import secrets
 import threading
 from collections.abc import Callable, Iterator
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
-from hillmux.recovery.retention import believed
+from hillmux.recovery.retention import retained
 from hillmux.recovery.snapshot_format import (
-    MOST_BYTES,
-    Builder,
-    Head,
+    MAX_DOCUMENT_BYTES,
     Identity,
     Snapshot,
+    SnapshotBuilder,
     SnapshotError,
-    check,
+    SnapshotHeader,
+    check_usable,
     decode,
 )
-from hillmux.recovery.snapshot_store import Folder
+from hillmux.recovery.snapshot_store import StateDirectory
 
 log = logging.getLogger(__name__)
 
-PART = 0.1  # of the time, at most, that writing takes: a slow disk is written to less often
+MAX_WRITING_SHARE = 0.1  # of the time: to a slow disk snapshots are written less often
 
+ExportState = Callable[[bool], Iterator[dict[str, Any]]]
 
-class Snapshots:
-    """One process's snapshots.
 
-    `known` tells what the module knows, in documents of bounded size: all of it for an exact one, else what
-    of it may be believed later.
+@dataclass(slots=True, frozen=True)
+class SnapshotOwner:
+    """Whose snapshots these are; with the identity of the directory it makes the snapshot's `Identity`."""
+
+    name: str  # of the gateway
+    fleet: str
+    plans: str  # digest of the plans
+
+
+class SnapshotService:
+    """The snapshots of one process.
+
+    `export_state` yields the decision module's state in documents of bounded size: all of it for a final
+    snapshot (True), else what may still be restored after a crash.
     """
 
     def __init__(
         self,
-        folder: Path,
-        every_s: float,
-        name: str,
-        fleet: str,
-        plans: str,
-        known: Callable[[bool], Iterator[dict[str, Any]]],
+        directory: Path,
+        interval_s: float,
+        owner: SnapshotOwner,
+        export_state: ExportState,
         now_ms: Callable[[], float],
         loop: asyncio.AbstractEventLoop,
-        most: int = MOST_BYTES,
+        max_bytes: int = MAX_DOCUMENT_BYTES,
     ) -> None:
-        self._folder, self._every_s = Folder(folder), every_s
-        self._name, self._fleet, self._plans = name, fleet, plans
-        self._known, self._now_ms, self._loop, self._most = known, now_ms, loop, most
-        self._me: Identity | None = None  # once the folder is ours
+        self._directory, self._interval_s, self._owner = StateDirectory(directory), interval_s, owner
+        self._export_state, self._now_ms, self._loop = export_state, now_ms, loop
+        self._max_bytes = max_bytes
+        self._identity: Identity | None = None  # once this process holds the directory's lock
         self._incarnation, self._serial = secrets.token_hex(8), 0
         self._task: asyncio.Task[None] | None = None
-        self._writing, self._over = threading.Lock(), False
-        self._told = ""  # what the log was told last of a write that failed
+        self._write_lock, self._stopped = threading.Lock(), False
+        self._last_warning = ""
 
-    def take(self) -> Snapshot | None:
-        """What the process before left, if we may go on from it; one line in the log says why not.
+    def take_previous(self) -> Snapshot | None:
+        """The snapshot of the previous process, if this one may restore it; else the log says why not.
 
-        Exact or not, it is taken away: another start must find what we write, not what we went on from.
+        It is set aside in any case: the next start must find what this process writes, not this one again.
         """
-        if not self._own():
-            log.info("snapshots: another process has %s: nothing is taken from it", self._folder.path)
+        if not self._lock_directory():
+            log.info("snapshots: another process has %s: nothing is taken from it", self._directory.path)
             return None
-        assert self._me is not None
+        assert self._identity is not None
         try:
-            data = self._folder.read()
+            data = self._directory.read()
             if data is None:
-                log.info("snapshots: none in %s", self._folder.path)
+                log.info("snapshots: none in %s", self._directory.path)
                 return None
-            self._folder.take_away()
+            self._directory.set_aside()
             snapshot = decode(data)
-            check(snapshot.head, self._me, self._now_ms())
+            check_usable(snapshot.header, self._identity, self._now_ms())
         except (OSError, SnapshotError) as error:
             log.warning("snapshots: left, nothing of it is believed: %s", error)
             return None
         return snapshot
 
-    def believed(self, snapshot: Snapshot, born_ms: float) -> list[dict[str, Any]]:
-        """What a process that began at `born_ms` may go on from now."""
-        head = snapshot.head
-        return believed(snapshot.documents, head.taken_ms, head.exact, self._now_ms(), born_ms)
+    def retained(self, snapshot: Snapshot, started_at_ms: float) -> list[dict[str, Any]]:
+        """What a process that started at `started_at_ms` may restore now.
+
+        Raises:
+            SnapshotContentError: the documents have another form.
+        """
+        header = snapshot.header
+        return retained(snapshot.documents, header.taken_ms, header.exact, self._now_ms(), started_at_ms)
 
     def start(self) -> None:
-        """Write in the background from now on."""
-        self._task = self._loop.create_task(self._write_on())
-
-    def seal(self) -> None:
-        """Nothing is decided any more: write it down as exact, at once, and let go of the folder."""
-        self._end()
-        if self._own():
-            builder = Builder(self._most)
-            for document in self._known(True):
+        """Begin to write snapshots in the background."""
+        self._task = self._loop.create_task(self._write_periodically())
+
+    def write_final(self) -> None:
+        """After the last decision: write a final snapshot at once, and unlock the directory."""
+        self._stop_writing()
+        if self._lock_directory():
+            builder = SnapshotBuilder(self._max_bytes)
+            for document in self._export_state(True):
                 builder.add(document)
-            # Danger: a customer that is left out would be new to an exact birth, and its ceiling full again.
-            data = self._data(builder, exact=not builder.left_out)
-            with self._writing:
-                self._try(lambda: self._folder.write(data))
-        self._folder.close()
-
-    def give_up(self) -> None:
-        """Another process goes on from what we know: write no more, and leave nothing to go on from."""
-        self._end()
-        if self._me is not None:
-            with self._writing:
-                self._try(self._folder.take_away)
-        self._folder.close()
-
-    def _end(self) -> None:
-        self._over = True
+            # An omitted customer would be new to a process that restores an exact snapshot with its birth:
+            # its ceiling would be full again. So a snapshot that omits any is not exact.
+            data = self._encode(builder, exact=not builder.omitted_documents)
+            with self._write_lock:
+                self._run_logged(lambda: self._directory.write(data))
+        self._directory.close()
+
+    def abandon(self) -> None:
+        """After another process has taken over: write no more, and leave no snapshot to restore."""
+        self._stop_writing()
+        if self._identity is not None:
+            with self._write_lock:
+                self._run_logged(self._directory.set_aside)
+        self._directory.close()
+
+    def _stop_writing(self) -> None:
+        self._stopped = True
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
-    def _own(self) -> bool:
-        """Whether the folder is ours; it may become so only when the process before us has ended."""
-        if self._me is not None:
+    def _lock_directory(self) -> bool:
+        """Whether this process holds the directory; it cannot before the previous process has ended."""
+        if self._identity is not None:
             return True
         try:
-            if not self._folder.lock():
+            if not self._directory.lock():
                 return False
-            self._me = Identity(self._name, self._fleet, self._plans, self._folder.id())
+            owner = self._owner
+            self._identity = Identity(owner.name, owner.fleet, owner.plans, self._directory.id())
         except OSError as error:
-            self._tell(f"{self._folder.path}: {error}")
+            self._warn_once(f"{self._directory.path}: {error}")
             return False
         return True
 
-    async def _write_on(self) -> None:
-        wait_s = self._every_s
+    async def _write_periodically(self) -> None:
+        wait_s = self._interval_s
         while True:
             await asyncio.sleep(wait_s)
-            if not self._own():
+            if not self._lock_directory():
                 continue
-            began = self._loop.time()
-            builder = Builder(self._most)
-            for document in self._known(False):
-                if builder.left_out:
+            started_at = self._loop.time()
+            builder = SnapshotBuilder(self._max_bytes)
+            for document in self._export_state(False):
+                if builder.omitted_documents:
                     break
                 builder.add(document)
-                await asyncio.sleep(0)  # requests go between two documents
-            data = self._data(builder, exact=False)
+                await asyncio.sleep(0)  # requests are served between two documents
+            data = self._encode(builder, exact=False)
             await self._loop.run_in_executor(None, self._write, data)
-            wait_s = max(self._every_s, (self._loop.time() - began) / PART)
+            wait_s = max(self._interval_s, (self._loop.time() - started_at) / MAX_WRITING_SHARE)
 
     def _write(self, data: bytes) -> None:
-        """In a thread of its own. Danger: it must not come after the exact one, and stand in its place."""
-        with self._writing:
-            if not self._over:
-                self._try(lambda: self._folder.write(data))
+        """Write in a worker thread, unless the final snapshot, which must stand, was written meanwhile."""
+        with self._write_lock:
+            if not self._stopped:
+                self._run_logged(lambda: self._directory.write(data))
 
-    def _data(self, builder: Builder, exact: bool) -> bytes:
-        assert self._me is not None
+    def _encode(self, builder: SnapshotBuilder, exact: bool) -> bytes:
+        assert self._identity is not None
         self._serial += 1
-        return builder.data(Head(self._me, self._incarnation, self._serial, self._now_ms(), exact))
+        header = SnapshotHeader(self._identity, self._incarnation, self._serial, self._now_ms(), exact)
+        return builder.encode(header)
 
-    def _try(self, write: Callable[[], None]) -> None:
+    def _run_logged(self, change_directory: Callable[[], None]) -> None:
         try:
-            write()
-            self._tell("")
+            change_directory()
+            self._warn_once("")
         except FileNotFoundError:
-            self._tell("")  # there was none to take away
+            self._warn_once("")  # there was no snapshot to set aside
         except OSError as error:
-            self._tell(f"not written, the last one stands: {error}")
+            self._warn_once(f"not written, the last one stands: {error}")
 
-    def _tell(self, text: str) -> None:
-        """A line in the log when what is wrong changes, not one for each write."""
-        if text != self._told:
-            self._told = text
+    def _warn_once(self, text: str) -> None:
+        """Log a fault when it changes, not at each write; "" when there is none any more."""
+        if text != self._last_warning:
+            self._last_warning = text
             log.warning("snapshots: %s", text or "written again")
--- a/hillmux/recovery/snapshot_store.py
+++ b/hillmux/recovery/snapshot_store.py
@@ -1,8 +1,8 @@
-"""The folder of a gateway's snapshots: one process at a time, a file that is whole or the one before.
+"""The directory of a gateway's snapshots: locked by one process, with one complete snapshot at any time.
 
-The lock is the kernel's (flock(2)): a process that died holds none. A snapshot is written beside the old one,
-synced, and put in its place (rename(2)), and the folder synced, so a machine that stops at any point leaves
-one whole file. It is taken away as it is read: two processes must not both go on from it.
+The lock is the kernel's (flock(2)), so a process that died holds none. A snapshot is written to a file beside
+the old one, synced and renamed over it (rename(2)), and the directory is synced: a machine that stops at any
+point leaves one complete file. It is set aside when it is read: two processes must not both restore it.
 """
 
 from __future__ import annotations
@@ -12,29 +12,35 @@
 import secrets
 from pathlib import Path
 
-from hillmux.recovery.snapshot_format import MOST_BYTES, MOST_HEAD, SnapshotError
+from hillmux.recovery.snapshot_format import MAX_DOCUMENT_BYTES, MAX_HEADER_BYTES, SnapshotError
 
-FILE, NEXT, TAKEN, LOCK, MARK = "snapshot", "snapshot.next", "snapshot.taken", "lock", "mark"
-MARK_BYTES = 64
+SNAPSHOT_NAME, PARTIAL_NAME, SET_ASIDE_NAME, LOCK_NAME, IDENTITY_NAME = (
+    "snapshot",
+    "snapshot.next",
+    "snapshot.taken",
+    "lock",
+    "mark",
+)
+MAX_IDENTITY_BYTES = 64
 
 
-class Folder:
-    """A folder for one gateway."""
+class StateDirectory:
+    """The directory of one gateway."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self._lock: int | None = None
 
     def lock(self) -> bool:
-        """Make it ours, and make it if it is not there; False while another process has it.
+        """Lock the directory, creating it if needed; False while another process holds it.
 
         Raises:
-            OSError: it can't be made, or opened.
+            OSError: it cannot be created or opened.
         """
         if self._lock is not None:
             return True
         self.path.mkdir(parents=True, exist_ok=True, mode=0o700)
-        lock = os.open(self.path / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        lock = os.open(self.path / LOCK_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
@@ -44,73 +50,75 @@
         return True
 
     def close(self) -> None:
-        """Let another process have it."""
+        """Unlock the directory."""
         if self._lock is not None:
             os.close(self._lock)
             self._lock = None
 
     def id(self) -> str:
-        """What tells this folder from a copy of it: a mark, and the file that the mark stands in."""
-        path = self.path / MARK
+        """An identity that a copy of the directory does not have: a random mark and the inode of its file."""
+        path = self.path / IDENTITY_NAME
         try:
             self._write_new(path, secrets.token_hex(16).encode())
         except FileExistsError:
             pass
         with path.open("rb") as file:
             found = os.fstat(file.fileno())
-            return f"{file.read(MARK_BYTES).decode(errors='replace')}.{found.st_dev:x}.{found.st_ino:x}"
+            return (
+                f"{file.read(MAX_IDENTITY_BYTES).decode(errors='replace')}.{found.st_dev:x}.{found.st_ino:x}"
+            )
 
     def read(self) -> bytes | None:
-        """The bytes of the snapshot; None where there is none.
+        """The bytes of the snapshot; None if there is none.
 
         Raises:
             SnapshotError: it is larger than any that is written.
-            OSError: it can't be read.
+            OSError: it cannot be read.
         """
         try:
-            with (self.path / FILE).open("rb") as file:
-                data = file.read(MOST_BYTES + MOST_HEAD + 1)
+            with (self.path / SNAPSHOT_NAME).open("rb") as file:
+                data = file.read(MAX_DOCUMENT_BYTES + MAX_HEADER_BYTES + 1)
         except FileNotFoundError:
             return None
-        if len(data) > MOST_BYTES + MOST_HEAD:
-            raise SnapshotError(f"size: found over {MOST_BYTES + MOST_HEAD} bytes")
+        if len(data) > MAX_DOCUMENT_BYTES + MAX_HEADER_BYTES:
+            raise SnapshotError(f"size: found over {MAX_DOCUMENT_BYTES + MAX_HEADER_BYTES} bytes")
         return data
 
-    def take_away(self) -> None:
-        """Nobody is to go on from it any more; it stays beside, to be looked at.
+    def set_aside(self) -> None:
+        """Rename the snapshot, so that no process restores it; it stays for inspection.
 
         Raises:
-            OSError: that can't be held; then nobody may believe in it.
+            OSError: that failed; then the snapshot must not be restored.
         """
-        os.replace(self.path / FILE, self.path / TAKEN)
+        os.replace(self.path / SNAPSHOT_NAME, self.path / SET_ASIDE_NAME)
         self._sync()
 
     def write(self, data: bytes) -> None:
-        """Put a snapshot in the place of the last one, durably.
+        """Replace the snapshot durably.
 
         Raises:
-            OSError: the last one stands as it is.
+            OSError: the old one stands unchanged.
         """
-        path = self.path / NEXT
+        path = self.path / PARTIAL_NAME
         path.unlink(missing_ok=True)
         self._write_new(path, data)
-        os.replace(path, self.path / FILE)
+        os.replace(path, self.path / SNAPSHOT_NAME)
         self._sync()
 
     @staticmethod
     def _write_new(path: Path, data: bytes) -> None:
         file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
         try:
-            left = memoryview(data)
-            while left:  # a write may be short
-                left = left[os.write(file, left) :]
+            unwritten = memoryview(data)
+            while unwritten:  # a write may be short
+                unwritten = unwritten[os.write(file, unwritten) :]
             os.fsync(file)
         finally:
             os.close(file)
 
     def _sync(self) -> None:
-        folder = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+        directory = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
-            os.fsync(folder)
+            os.fsync(directory)
         finally:
-            os.close(folder)
+            os.close(directory)
--- a/hillmux/recovery/snapshotting_gateway.py
+++ b/hillmux/recovery/snapshotting_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway where a disk lasts: it goes on from its last snapshot, and tells how far it has come back."""
+"""The platform's gateway with snapshots: it restores the last one, and reports how far it has recovered."""
 
 from __future__ import annotations
 
@@ -10,127 +10,133 @@
 from typing import Any
 
 from hillmux import interface as api
-from hillmux.hot_restart.service import Heir
+from hillmux.hot_restart.server import SuccessorProcess
 from hillmux.hot_restart.state_codec import StateError, export, restore
 from hillmux.net.clients import Server
 from hillmux.net.config import Config
 from hillmux.net.managed_gateway import START_S, OperatedNode
 from hillmux.quotas.throttle import SILENT_RATE
-from hillmux.recovery.readiness import Phases, View
-from hillmux.recovery.retention import BeliefError, worth_leaving
-from hillmux.recovery.snapshot_format import digest
-from hillmux.recovery.snapshot_service import Snapshots
+from hillmux.recovery.readiness import GatewayCondition, ReadinessTracker
+from hillmux.recovery.retention import SnapshotContentError, is_worth_storing
+from hillmux.recovery.snapshot_format import Snapshot, digest
+from hillmux.recovery.snapshot_service import SnapshotOwner, SnapshotService
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 0.25
-STALL_MS = 1_000.0  # a pause of the module as long ago as this still counts
+READINESS_INTERVAL_S = 0.25
+STALL_MEMORY_MS = 1_000.0  # how long a stall counts after its end
 
 
-class KeptNode(OperatedNode):
-    """An operated node with snapshots and phases."""
+class SnapshottingGateway(OperatedNode):
+    """A managed gateway with snapshots and a phase of recovery."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config, loop)
-        keep = config.keep
-        assert keep is not None
-        plans = digest(repr(config.settings.plans).encode())
-        self._snapshots = Snapshots(
-            Path(keep.folder),
-            keep.every_s,
-            config.name,
-            keep.fleet,
-            plans,
-            self._left_behind,
+        snapshots = config.keep
+        assert snapshots is not None
+        self._snapshots = SnapshotService(
+            Path(snapshots.folder),
+            snapshots.every_s,
+            SnapshotOwner(config.name, snapshots.fleet, digest(repr(config.settings.plans).encode())),
+            self._export_state,
             self._clock.now_ms,
             loop,
         )
-        self._born_ms = self._clock.now_ms()
-        self._phases = Phases(self._born_ms)
+        self._started_at_ms = self._clock.now_ms()
+        self._readiness = ReadinessTracker(self._started_at_ms)
         self._outcomes = 0
-        self._looked = time.monotonic()
-        self._succeeded = False
+        self._observed_at = time.monotonic()
+        self._successor_serves = False
 
-    def _left_behind(self, exact: bool) -> Iterator[dict[str, Any]]:
-        now, rests = self._clock.now_ms(), self._gateway.quotas.registry.rests
+    def _export_state(self, exact: bool) -> Iterator[dict[str, Any]]:
+        now_ms, expiry_ms = self._clock.now_ms(), self._gateway.quotas.registry.rests
         return export(
-            self._gateway, lambda state: worth_leaving(state.seen_at, rests[state.plan.name], now, exact)
+            self._gateway,
+            lambda use: is_worth_storing(use.seen_at, expiry_ms[use.plan.name], now_ms, exact),
         )
 
     async def open(self, server: Server[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
-        """As before; what was left by the process before is gone on from, where none hands over."""
-        snapshot = self._snapshots.take()
+        """Also restore the snapshot of the previous process before clients are accepted."""
+        snapshot = self._snapshots.take_previous()
         if snapshot is not None:
-            end = self._loop.time() + START_S
-            # Only what the list names is taken over, so the list comes first: discovery's, or the kept one.
-            while not self.could_serve() and self._loop.time() < end:
-                await asyncio.sleep(0.02)
-            try:
-                restore(self._gateway, self._snapshots.believed(snapshot, self._born_ms))
-                age = (self._clock.now_ms() - snapshot.head.taken_ms) / 1000
-                log.info(
-                    "snapshots: going on from %s, %.1f s old, %s",
-                    snapshot.head.incarnation,
-                    age,
-                    "exact" if snapshot.head.exact else "a process went on after it",
-                )
-            except (StateError, BeliefError) as error:
-                log.warning("snapshots: left, nothing of it is believed: %s", error)
+            # Hosts that no list names yet are not restored, so the endpoint list comes first.
+            await self._until_servable()
+            self._restore(snapshot)
         listening = await super().open(server, address)
         self._snapshots.start()
-        self._watch()
+        self._observe()
         return listening
 
+    async def _until_servable(self) -> None:
+        end = self._loop.time() + START_S
+        while not self.could_serve() and self._loop.time() < end:
+            await asyncio.sleep(0.02)
+
+    def _restore(self, snapshot: Snapshot) -> None:
+        try:
+            restore(self._gateway, self._snapshots.retained(snapshot, self._started_at_ms))
+        except (StateError, SnapshotContentError) as error:
+            log.warning("snapshots: left, nothing of it is believed: %s", error)
+            return
+        header = snapshot.header
+        log.info(
+            "snapshots: going on from %s, %.1f s old, %s",
+            header.incarnation,
+            (self._clock.now_ms() - header.taken_ms) / 1000,
+            "exact" if header.exact else "a process went on after it",
+        )
+
     def stop(self) -> None:
-        """Also write the last snapshot as exact, unless a successor serves."""
+        """Also write the final snapshot, unless a successor serves."""
         super().stop()
-        if not self._succeeded:
-            self._snapshots.seal()
+        if not self._successor_serves:
+            self._snapshots.write_final()
 
-    def gone(self, heir: Heir) -> None:
-        """The successor serves: also write no more snapshots, and set the last one aside."""
-        self._succeeded = True
-        self._snapshots.give_up()
-        super().gone(heir)
+    def on_successor_serving(self, successor: SuccessorProcess) -> None:
+        """Also stop writing snapshots, and set the last one aside."""
+        self._successor_serves = True
+        self._snapshots.abandon()
+        super().on_successor_serving(successor)
 
-    # How far it has come back
+    # Readiness
 
     def phase(self) -> str:
-        """The name of the phase, followed by the causes that keep it from the next one."""
-        return self._phases.now.text()
+        """The phase of recovery, followed by the causes that keep the gateway from the next one."""
+        return self._readiness.current.text()
 
-    def figures(self) -> dict[str, object]:
-        """All figures, with the phase, its causes, and the seconds until it was full (None: not yet)."""
-        phases = self._phases
-        took = None if phases.took_ms is None else round(phases.took_ms / 1000, 2)
+    def metrics_by_name(self) -> dict[str, object]:
+        """All metrics, the phase, its causes, and the seconds that the recovery took (None so far)."""
+        recovery_ms = self._readiness.recovery_ms
         return {
-            **super().figures(),
-            "phase": phases.now.name,
-            "phase_causes": list(phases.now.causes),
-            "full_after_s": took,
+            **super().metrics_by_name(),
+            "phase": self._readiness.current.phase,
+            "phase_causes": list(self._readiness.current.causes),
+            "full_after_s": None if recovery_ms is None else round(recovery_ms / 1000, 2),
         }
 
-    def _watch(self) -> None:
-        now, clock = time.monotonic(), self._clock.now_ms()
-        gateway, fleet = self._gateway, self._gateway.fleet
-        late = now - self._looked > LOOK_S + STALL_MS / 1000
-        self._looked = now
-        asked = self.settings.counter_available and gateway.quotas.throttle.called_at > self._born_ms
-        stalled = late or clock - gateway.stalled_at < STALL_MS
-        view = View(
-            self.ready(),
-            self._heard,
-            not asked or gateway.quotas.throttle.answer_rate >= SILENT_RATE,
-            self._outcomes,
-            gateway.f,
-            fleet.up,
-            fleet.cold,
-            fleet.failing,
-            stalled,
+    def _observe(self) -> None:
+        now, now_ms = time.monotonic(), self._clock.now_ms()
+        late = now - self._observed_at > READINESS_INTERVAL_S + STALL_MEMORY_MS / 1000
+        self._observed_at = now
+        if self._readiness.update(now_ms, self._condition(now_ms, late)):
+            log.info("phase: %s", self.phase())
+        self._loop.call_later(READINESS_INTERVAL_S, self._observe)
+
+    def _condition(self, now_ms: float, late: bool) -> GatewayCondition:
+        """What the gateway sees of itself; `late`: this observation comes after a stall of the process."""
+        gateway, fleet, throttle = self._gateway, self._gateway.fleet, self._gateway.quotas.throttle
+        counter_used = self.settings.counter_available and throttle.called_at > self._started_at_ms
+        return GatewayCondition(
+            ready=self.ready(),
+            discovery_answered=self._heard,
+            counter_answers=not counter_used or throttle.answer_rate >= SILENT_RATE,
+            outcomes=self._outcomes,
+            admit_fraction=gateway.f,
+            hosts=fleet.up,
+            warming_hosts=fleet.cold,
+            ejected_hosts=fleet.failing,
+            stalled=late or now_ms - gateway.stalled_at < STALL_MEMORY_MS,
         )
-        if self._phases.look(clock, view):
-            log.info("phase: %s", self._phases.now.text())
-        self._loop.call_later(LOOK_S, self._watch)
 
     def _post(self, event: api.Event) -> None:
         if isinstance(event, api.AttemptEnded):
--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -11,14 +11,14 @@
 from compatibility.inputs import RECORDED, stored
 
 from hillmux import interface as api
-from hillmux.admin.commands import answer
+from hillmux.admin.commands import respond
 from hillmux.cli import main as command_line
 from hillmux.net import config as platform_config
 from hillmux.net.counter import request_bytes
 from hillmux.net.discovery import Discovery
 from hillmux.net.hosts import Attempt
 from hillmux.net.requests import Message, Terms, order
-from hillmux.recovery.snapshotting_gateway import KeptNode
+from hillmux.recovery.snapshotting_gateway import SnapshottingGateway
 
 
 def platform() -> platform_config.Config:
@@ -84,22 +84,22 @@
     def phase(self) -> str:
         return self.how_far
 
-    def figures(self) -> dict[str, object]:
+    def metrics_by_name(self) -> dict[str, object]:
         return {"loads": 1}
 
-    def hand(self, host: str, out: bool) -> str:
+    def override_host(self, host: str, disabled: bool) -> str:
         return self.wrong
 
 
 @pytest.mark.parametrize("number", range(len(inputs.OPERATOR_CALLS)))
 def test_operators_call_gets_the_same_answer(number: int) -> None:
     line, *state = inputs.OPERATOR_CALLS[number]
-    assert answer(line, FakeGateway(*state)).decode() == stored("messages.json")["operators"][number]
+    assert respond(line, FakeGateway(*state)).decode() == stored("messages.json")["operators"][number]
 
 
 def test_metrics_have_the_same_names_and_first_values() -> None:
     async def metrics() -> dict[str, object]:
-        return KeptNode(platform(), asyncio.get_running_loop()).figures()
+        return SnapshottingGateway(platform(), asyncio.get_running_loop()).metrics_by_name()
 
     assert asyncio.run(metrics()) == stored("messages.json")["metrics"]
 
--- a/tests/compatibility/test_stored_state.py
+++ b/tests/compatibility/test_stored_state.py
@@ -14,14 +14,14 @@
 from decision.event_stream import INSTANCE
 from decision.playback import Playback
 
-from hillmux.admin.host_overrides import HandFile
+from hillmux.admin.host_overrides import OverrideFile
 from hillmux.balancing.fleet import Host
 from hillmux.decision.gateway import Gateway
 from hillmux.hot_restart.state_codec import export, restore
 from hillmux.quotas.state import QuotaState
-from hillmux.recovery.commands import shown
-from hillmux.recovery.retention import ITEMS, believed
-from hillmux.recovery.snapshot_format import Builder, Identity, decode
+from hillmux.recovery.commands import describe
+from hillmux.recovery.retention import RETENTION_RULES, retained
+from hillmux.recovery.snapshot_format import Identity, SnapshotBuilder, decode
 
 
 def documents_of(seed: int) -> list[dict[str, Any]]:
@@ -151,36 +151,34 @@
 
 
 def test_each_item_is_retained_for_as_long_as_before() -> None:
-    assert plain(ITEMS) == stored("snapshot-rules.json")["items"]
+    assert plain(RETENTION_RULES) == stored("snapshot-rules.json")["items"]
 
 
 def test_snapshot_is_shown_to_operators_as_before() -> None:
     snapshot = decode((RECORDED / "snapshot-minutes").read_bytes())
-    assert shown(snapshot) == stored("snapshot-rules.json")["shown"]
+    assert describe(snapshot) == stored("snapshot-rules.json")["shown"]
 
 
 @pytest.mark.parametrize(("name", "age_and_end"), inputs.SNAPSHOT_AGES_MS.items())
 def test_snapshot_is_read_and_retained_as_before(name: str, age_and_end: tuple[float, bool]) -> None:
     age_ms, exact = age_and_end
     snapshot = decode((RECORDED / name).read_bytes())
-    head = snapshot.head
-    assert head.who == Identity("g3", "sites", "0123abcd", "17:42")
+    head = snapshot.header
+    assert head.owner == Identity("g3", "sites", "0123abcd", "17:42")
     assert (head.incarnation, head.taken_ms, head.exact) == ("feedc0de", inputs.READ_AT_MS - age_ms, exact)
     assert snapshot.documents == documents_of(inputs.STREAM_SEEDS[0])
-    retained = believed(
-        snapshot.documents, head.taken_ms, head.exact, inputs.READ_AT_MS, inputs.STARTED_AT_MS
-    )
-    assert retained == stored("retained.json")[name]
+    found = retained(snapshot.documents, head.taken_ms, head.exact, inputs.READ_AT_MS, inputs.STARTED_AT_MS)
+    assert found == stored("retained.json")[name]
 
 
 @pytest.mark.parametrize("name", inputs.SNAPSHOT_AGES_MS)
 def test_snapshot_is_written_byte_for_byte_as_before(name: str) -> None:
     data = (RECORDED / name).read_bytes()
     snapshot = decode(data)
-    builder = Builder()
+    builder = SnapshotBuilder()
     for document in snapshot.documents:
         builder.add(document)
-    assert builder.data(snapshot.head) == data
+    assert builder.encode(snapshot.header) == data
 
 
 def test_ages_of_the_recorded_snapshots_retain_different_documents() -> None:
@@ -190,8 +188,8 @@
 
 def test_host_overrides_are_read_and_written_as_before(tmp_path: Path) -> None:
     shutil.copy(RECORDED / "hosts-out.json", tmp_path)
-    overrides = HandFile(str(tmp_path))
+    overrides = OverrideFile(str(tmp_path))
     assert overrides.refresh() == set(inputs.OVERRIDDEN_HOSTS)
-    overrides.change("another", True)
-    overrides.change("another", False)
+    overrides.set_disabled("another", True)
+    overrides.set_disabled("another", False)
     assert (tmp_path / "hosts-out.json").read_bytes() == (RECORDED / "hosts-out.json").read_bytes()
--- a/tests/handover/test_state.py
+++ b/tests/handover/test_state.py
@@ -13,7 +13,7 @@
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
 from hillmux.hot_restart import state_codec as state
-from hillmux.hot_restart.channel import LONGEST
+from hillmux.hot_restart.channel import MAX_PACKET_BYTES
 from hillmux.hot_restart.state_codec import AT_ONCE, MODULE, StateError, export, restore
 from hillmux.interface import AttemptResult, ListKind, RejectReason
 from hillmux.quotas.registry import CHOICES
@@ -128,7 +128,7 @@
         d.ask("read", "open", f"{i:016x}")
     d.give(api.EndpointList(ListKind.FULL, tuple(server(i, name=f"{i:0>200}") for i in range(3 * AT_ONCE))))
     documents = list(export(d.gateway))
-    assert max(len(json.dumps(doc)) for doc in documents) < LONGEST
+    assert max(len(json.dumps(doc)) for doc in documents) < MAX_PACKET_BYTES
     assert sum(len(doc.get("hosts", ())) for doc in documents) == 3 * AT_ONCE
     assert sum(len(doc.get("uses", ())) for doc in documents) == 3 * AT_ONCE
 
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -11,7 +11,7 @@
 import pytest
 from conftest import LOOP, Rig, Seen, instance, message, on_loop, read_message, reply
 
-from hillmux.hot_restart.channel import LONGEST, NAME, Channel, connect, listen
+from hillmux.hot_restart.channel import MAX_PACKET_BYTES, SOCKET_NAME, PacketChannel, connect, listen
 
 
 def serve(seen: Seen) -> bytes:
@@ -137,7 +137,7 @@
             assert sock is not None
             sock.setblocking(True)
             sock.send(b'{"t":"ask"}')
-            data, descriptors, _, _ = socket.recv_fds(sock, LONGEST, 1)
+            data, descriptors, _, _ = socket.recv_fds(sock, MAX_PACKET_BYTES, 1)
             assert b"listener" in data and len(descriptors) == 1
             waiting = asyncio.create_task(rig.status(message(rid=b"waits")))
             await asyncio.sleep(0.05)
@@ -188,7 +188,7 @@
 def test_a_socket_that_a_dead_process_left_is_nobody(tmp_path: Path) -> None:
     async def scenario() -> None:
         listen(str(tmp_path)).close()
-        assert (tmp_path / NAME).exists()
+        assert (tmp_path / SOCKET_NAME).exists()
         async with Rig(tmp_path, serve, operated=True) as rig:
             assert await rig.status(message()) == 200
 
@@ -200,27 +200,27 @@
         loop = asyncio.get_running_loop()
         ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         got: list[tuple[int, bool]] = []
-        channel = Channel(ours, loop, lambda packet, fd: None, lambda: None)
+        lost = asyncio.Event()
+        channel = PacketChannel(ours, loop, lambda packet, fd: None, lost.set)
         for i in range(200):
             channel.send({"n": i, "fill": "x" * 5000}, os.dup(0) if i % 3 == 0 else None)
-        assert not channel.sent()
+        assert not channel.all_sent()
 
         def received(packet: dict, descriptor: int | None) -> None:
             got.append((packet["n"], descriptor is not None))
             if descriptor is not None:
                 os.close(descriptor)
 
-        other = Channel(theirs, loop, received, lambda: None)
+        other = PacketChannel(theirs, loop, received, lambda: None)
         while len(got) < 200:
             await asyncio.sleep(0.01)
         assert got == [(i, i % 3 == 0) for i in range(200)]
-        assert channel.sent()
+        assert channel.all_sent()
         with pytest.raises(ValueError, match="a packet of"):
-            channel.send({"fill": "x" * LONGEST})
-        ended = asyncio.Event()
-        channel._lost = ended.set
+            channel.send({"fill": "x" * MAX_PACKET_BYTES})
+        assert not lost.is_set()
         other.close()
-        await ended.wait()
+        await lost.wait()
 
     on_loop(scenario)
 
--- a/tests/lab/test_report.py
+++ b/tests/lab/test_report.py
@@ -59,4 +59,4 @@
     figures = measure(record(), 0.0, 5.0, TERMS)
     assert (figures.first, figures.attempts, figures.results) == (40, 40, {"served": 39})
     assert figures.served_share == 39 / 40
-    assert [w.asked for w in figures.windows] == [10, 10, 10, 10, 0]
+    assert [w.offered_weight for w in figures.windows] == [10, 10, 10, 10, 0]
--- a/tests/limits/test_lease_records.py
+++ b/tests/limits/test_lease_records.py
@@ -13,7 +13,7 @@
 from hillmux.hot_restart.state_codec import export, restore
 from hillmux.interface import AttemptResult
 from hillmux.quotas import batches, lease, window
-from hillmux.recovery.retention import believed
+from hillmux.recovery.retention import retained
 
 # --- Handover and snapshots ---
 
@@ -23,7 +23,7 @@
     old, new = fleet.gateways[number], fleet.fresh(number)
     rows = json.loads(json.dumps(list(export(old.gateway))))
     if exact is not None:
-        rows = believed(rows, old.now, exact, old.now, old.now)
+        rows = retained(rows, old.now, exact, old.now, old.now)
     restore(new.gateway, rows)
     return new
 
--- a/tests/operate/test_operated.py
+++ b/tests/operate/test_operated.py
@@ -9,8 +9,8 @@
 import pytest
 from conftest import GRADES, LOOP, Rig, Seen, instance, message, on_loop, reply
 
-from hillmux.admin.commands import LONGEST_LINE
-from hillmux.admin.server import MOST
+from hillmux.admin.commands import MAX_LINE_BYTES
+from hillmux.admin.server import MAX_CONNECTIONS
 
 
 def serve(seen: Seen) -> bytes:
@@ -92,11 +92,13 @@
 def test_callers_who_say_nothing_or_too_much_hold_up_nobody(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, operated=True) as rig:
-            held = [await asyncio.open_connection(LOOP, rig.operator_port) for _ in range(3 * MOST)]
+            held = [
+                await asyncio.open_connection(LOOP, rig.operator_port) for _ in range(3 * MAX_CONNECTIONS)
+            ]
             for _, writer in held[:5]:
                 writer.write(b"che")
             assert await rig.call("check") == "ACK\n"
-            assert (await rig.call("x" * 2 * LONGEST_LINE)).startswith("NAK")
+            assert (await rig.call("x" * 2 * MAX_LINE_BYTES)).startswith("NAK")
             reader, writer = await asyncio.open_connection(LOOP, rig.operator_port)
             writer.write(b"check")
             writer.write_eof()  # a last line without its end
--- a/tests/recovery/test_folder.py
+++ b/tests/recovery/test_folder.py
@@ -11,22 +11,22 @@
 import pytest
 
 from hillmux.recovery import snapshot_store as module
-from hillmux.recovery.snapshot_format import MOST_BYTES, SnapshotError
-from hillmux.recovery.snapshot_store import FILE, MARK, TAKEN, Folder
+from hillmux.recovery.snapshot_format import MAX_DOCUMENT_BYTES, SnapshotError
+from hillmux.recovery.snapshot_store import IDENTITY_NAME, SET_ASIDE_NAME, SNAPSHOT_NAME, StateDirectory
 
 ROOT = Path(__file__).resolve().parents[2]
 HOLD = """
 import sys, time
 from pathlib import Path
-from hillmux.recovery.snapshot_store import Folder
-print(Folder(Path(sys.argv[1])).lock(), flush=True)
+from hillmux.recovery.snapshot_store import StateDirectory
+print(StateDirectory(Path(sys.argv[1])).lock(), flush=True)
 time.sleep(60)
 """
 WRITES = """
 import os, sys
 from pathlib import Path
 from hillmux.recovery import snapshot_store as module
-folder = module.Folder(Path(sys.argv[1]))
+folder = module.StateDirectory(Path(sys.argv[1]))
 folder.lock()
 left = int(sys.argv[2])
 
@@ -50,7 +50,7 @@
     hold = [sys.executable, "-c", HOLD, str(tmp_path)]
     with subprocess.Popen(hold, cwd=ROOT, stdout=subprocess.PIPE) as other:
         assert other.stdout is not None and other.stdout.readline() == b"True\n"
-        mine = Folder(tmp_path)
+        mine = StateDirectory(tmp_path)
         assert not mine.lock()
         other.send_signal(signal.SIGKILL)
         other.wait()
@@ -62,12 +62,12 @@
     seen, point = [], 0
     while True:
         path = tmp_path / str(point)
-        before = Folder(path)
+        before = StateDirectory(path)
         assert before.lock()
         before.write(old)
         before.close()
         done = subprocess.run([sys.executable, "-c", WRITES, str(path), str(point)], cwd=ROOT, check=False)
-        after = Folder(path)
+        after = StateDirectory(path)
         assert after.lock()
         seen.append(after.read())
         after.write(b"next")  # and the next one is not in the way of what was left
@@ -84,7 +84,7 @@
 def test_a_disk_that_is_full_or_fails_leaves_the_last_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, broken: str
 ) -> None:
-    mine = Folder(tmp_path)
+    mine = StateDirectory(tmp_path)
     assert mine.lock()
     mine.write(b"old")
 
@@ -101,7 +101,7 @@
 
 
 def test_short_writes_are_gone_on_with(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    mine, write = Folder(tmp_path), os.write
+    mine, write = StateDirectory(tmp_path), os.write
     assert mine.lock()
     monkeypatch.setattr(module.os, "write", lambda file, data: write(file, data[:7]))
     mine.write(b"0123456789" * 10)
@@ -109,26 +109,26 @@
 
 
 def test_what_was_taken_away_is_there_no_more_and_stands_beside(tmp_path: Path) -> None:
-    mine = Folder(tmp_path)
+    mine = StateDirectory(tmp_path)
     assert mine.lock() and mine.read() is None
     mine.write(b"one")
-    mine.take_away()
-    assert mine.read() is None and (tmp_path / TAKEN).read_bytes() == b"one"
+    mine.set_aside()
+    assert mine.read() is None and (tmp_path / SET_ASIDE_NAME).read_bytes() == b"one"
     with pytest.raises(FileNotFoundError):
-        mine.take_away()
+        mine.set_aside()
 
 
 def test_a_file_larger_than_any_that_is_written_is_not_read(tmp_path: Path) -> None:
-    mine = Folder(tmp_path)
+    mine = StateDirectory(tmp_path)
     assert mine.lock()
-    with (tmp_path / FILE).open("wb") as file:
-        file.truncate(MOST_BYTES * 2)
+    with (tmp_path / SNAPSHOT_NAME).open("wb") as file:
+        file.truncate(MAX_DOCUMENT_BYTES * 2)
     with pytest.raises(SnapshotError, match="size"):
         mine.read()
 
 
 def test_a_mark_that_is_no_text_makes_no_trouble(tmp_path: Path) -> None:
-    mine = Folder(tmp_path)
+    mine = StateDirectory(tmp_path)
     assert mine.lock()
-    (tmp_path / MARK).write_bytes(b"\xff\xfe" * 100)
+    (tmp_path / IDENTITY_NAME).write_bytes(b"\xff\xfe" * 100)
     assert mine.id() == mine.id()
--- a/tests/recovery/test_full.py
+++ b/tests/recovery/test_full.py
@@ -5,15 +5,15 @@
 import pytest
 
 from hillmux.recovery import full_service as full
-from hillmux.recovery.full_service import Window
+from hillmux.recovery.full_service import ServiceWindow
 
 FAST = tuple([50.0] * 98 + [200.0] * 2)
 SLOW = tuple([50.0] * 97 + [300.0] * 3)
-THEN = full.before([Window(100, 98, FAST)] * 3)
+THEN = full.baseline([ServiceWindow(100, 98, FAST)] * 3)
 
 
-def shares(*served: float) -> list[Window]:
-    return [Window(100, s, FAST) for s in served]
+def shares(*served: float) -> list[ServiceWindow]:
+    return [ServiceWindow(100, s, FAST) for s in served]
 
 
 @pytest.mark.parametrize(
@@ -32,17 +32,17 @@
 
 
 def test_a_slow_tail_is_no_full_service_but_that_of_a_few_answers_is_not_judged() -> None:
-    assert full.time_to_full([Window(100, 98, SLOW)] * 9, THEN) is None
-    assert full.time_to_full([Window(100, 98, SLOW[-10:])] * 9, THEN) == 0
+    assert full.time_to_full([ServiceWindow(100, 98, SLOW)] * 9, THEN) is None
+    assert full.time_to_full([ServiceWindow(100, 98, SLOW[-10:])] * 9, THEN) == 0
 
 
 def test_a_second_wave_is_seen() -> None:
     windows = shares(50, 98, 98, 98, 98, 98, 85, 98)
     assert full.time_to_full(windows, THEN) == 1
-    assert full.second_wave(windows, THEN, 1) == 6
-    assert full.second_wave(windows[:6], THEN, 1) is None
+    assert full.second_drop(windows, THEN, 1) == 6
+    assert full.second_drop(windows[:6], THEN, 1) is None
 
 
 def test_nothing_before_the_fault_is_an_error() -> None:
     with pytest.raises(ValueError, match="windows"):
-        full.before([])
+        full.baseline([])
--- a/tests/recovery/test_memory.py
+++ b/tests/recovery/test_memory.py
@@ -16,7 +16,14 @@
 from hillmux.hot_restart.state_codec import StateError, export, restore
 from hillmux.interface import AttemptResult, ListKind
 from hillmux.quotas.state import QuotaState
-from hillmux.recovery.retention import ITEMS, SEEN_MS, SLOW_HALF_MS, BeliefError, believed, worth_leaving
+from hillmux.recovery.retention import (
+    LATENCY_RATIO_HALF_LIFE_MS,
+    RETENTION_RULES,
+    USE_AFTER_CRASH_MS,
+    SnapshotContentError,
+    is_worth_storing,
+    retained,
+)
 
 PLACES = {
     "scalars": state.SCALARS + state.COUNTER, "host": state.HOST, "use": state.USE,
@@ -44,13 +51,13 @@
     now = d.now + age
     new = Driver(servers=6, seed=99, now=now, counter_available=False)
     new.give(api.EndpointList(ListKind.CHANGES, (d.gateway.hosts["h5"].server,)))
-    restore(new.gateway, believed(left(d), d.now, exact, now, now))
+    restore(new.gateway, retained(left(d), d.now, exact, now, now))
     return new
 
 
 @pytest.mark.parametrize("place", PLACES)
 def test_every_field_that_is_left_behind_has_one_item_that_says_how_long_it_holds(place: str) -> None:
-    named = [field for item in ITEMS if item.where == place for field in item.fields]
+    named = [field for item in RETENTION_RULES if item.section == place for field in item.fields]
     assert sorted(named) == sorted(PLACES[place])
 
 
@@ -67,7 +74,7 @@
 
 def test_what_was_exact_a_moment_ago_is_believed_whole() -> None:
     d = busy()
-    assert believed(left(d), d.now, True, d.now, d.now) == left(d)
+    assert retained(left(d), d.now, True, d.now, d.now) == left(d)
 
 
 @pytest.mark.parametrize("age", [0.0, 400.0, 20_000.0])
@@ -95,7 +102,7 @@
         spent += any(isinstance(a, api.SendAttempt) and a.request_id == rid for _, a in d.log)
         d.now += 100
         new = Driver(servers=6, seed=int(d.now), now=d.now, counter_available=False)
-        restore(new.gateway, believed(documents, at, False, d.now, d.now))
+        restore(new.gateway, retained(documents, at, False, d.now, d.now))
         d = new
     assert spent <= plan.ceiling_burst + plan.ceiling_rate * (d.now - began) / 1000
 
@@ -116,7 +123,7 @@
     new = Driver(servers=6, seed=99, now=d.now + 100, counter_available=False)
     restarted = api.Endpoint("h2", "a", 0, started_at_ms=new.now - 50)
     new.give(api.EndpointList(ListKind.CHANGES, (restarted,)))
-    restore(new.gateway, believed(documents, d.now, True, new.now, new.now))
+    restore(new.gateway, retained(documents, d.now, True, new.now, new.now))
     host = new.gateway.hosts["h2"]
     assert new.gateway.fleet.warmth(host) < 1 and host.slow == 1.0
 
@@ -124,7 +131,7 @@
 def test_a_host_that_the_list_does_not_name_is_not_revived() -> None:
     d = busy()
     new = Driver(servers=3, seed=99, now=d.now, counter_available=False)
-    restore(new.gateway, believed(left(d), d.now, True, new.now, new.now))
+    restore(new.gateway, retained(left(d), d.now, True, new.now, new.now))
     assert sorted(new.gateway.hosts) == ["h0", "h1", "h2"]
 
 
@@ -132,7 +139,7 @@
     d = busy()
     slow = d.gateway.hosts["h2"].slow = 3.0
     assert d.gateway.hosts["h1"].fails
-    later = heir(d, SLOW_HALF_MS, exact=False).gateway
+    later = heir(d, LATENCY_RATIO_HALF_LIFE_MS, exact=False).gateway
     assert later.hosts["h2"].slow == pytest.approx(1 + (slow - 1) / 2)
     assert not later.hosts["h1"].fails and heir(d, 1000, exact=False).gateway.hosts["h1"].strikes
 
@@ -145,7 +152,7 @@
     rest, full = quotas.registry.rests["capped"], CAPPED.ceiling_burst / use.replicas
     for unseen, kept in ((rest - 1, True), (rest, False)):
         now = use.seen_at + unseen
-        documents = export(d.gateway, lambda u, now=now: worth_leaving(u.seen_at, rest, now, exact=True))
+        documents = export(d.gateway, lambda u, now=now: is_worth_storing(u.seen_at, rest, now, exact=True))
         named = {tuple(row[:2]) for document in documents for row in document.get("uses", ())}
         assert (use.key in named) == kept
     use.ceiling_remaining, use.ceiling_at = 0.0, use.seen_at  # all of it was spent with its last request
@@ -156,12 +163,16 @@
 def test_what_is_left_for_a_kill_has_the_customers_seen_of_late_for_others_would_not_be_believed() -> None:
     d = busy(customers=30)
     uses = list(d.gateway.quotas.registry.states.values())
-    uses[0].seen_at -= 2 * SEEN_MS
-    documents = export(d.gateway, lambda use: worth_leaving(use.seen_at, 0.0, d.now, exact=False))
+    uses[0].seen_at -= 2 * USE_AFTER_CRASH_MS
+    documents = export(d.gateway, lambda use: is_worth_storing(use.seen_at, 0.0, d.now, exact=False))
     of_late = [tuple(row[:2]) for doc in documents if doc["t"] == "customers" for row in doc["uses"]]
     assert of_late == [use.key for use in uses[1:]]
-    stale = next(item for item in ITEMS if item.name == "use by others")
-    assert all(i.loose_ms <= stale.loose_ms for i in ITEMS if i.where == "use" and i.name != "customer")
+    stale = next(item for item in RETENTION_RULES if item.name == "use by others")
+    assert all(
+        i.after_crash_ms <= stale.after_crash_ms
+        for i in RETENTION_RULES
+        if i.section == "use" and i.name != "customer"
+    )
 
 
 @pytest.mark.parametrize(
@@ -190,8 +201,8 @@
     before = known(new.gateway)
     try:
         now = d.now + draw.choice([0, 1e4])
-        restore(new.gateway, believed(documents, d.now, bool(seed % 2), now, d.now))
-    except (StateError, BeliefError):
+        restore(new.gateway, retained(documents, d.now, bool(seed % 2), now, d.now))
+    except (StateError, SnapshotContentError):
         assert known(new.gateway) == before
     else:
         rid, acts = new.ask("read", "open", "c1", after=5)  # and decides on
@@ -217,5 +228,5 @@
 def test_nothing_of_what_is_aged_changes_the_documents(exact: bool) -> None:
     d = busy()
     documents = left(d)
-    believed(documents, d.now, exact, d.now + 1e6, d.now + 1e6)
+    retained(documents, d.now, exact, d.now + 1e6, d.now + 1e6)
     assert documents == left(d)
--- a/tests/recovery/test_service.py
+++ b/tests/recovery/test_service.py
@@ -14,8 +14,8 @@
 
 from hillmux.recovery import snapshot_store as module
 from hillmux.recovery.snapshot_format import decode
-from hillmux.recovery.snapshot_service import Snapshots
-from hillmux.recovery.snapshot_store import FILE
+from hillmux.recovery.snapshot_service import SnapshotOwner, SnapshotService
+from hillmux.recovery.snapshot_store import SNAPSHOT_NAME
 
 
 class Gateway:
@@ -29,14 +29,18 @@
         for at in range(self.documents):
             yield {"t": "x", "number": self.number, "at": at}
 
-    def snapshots(self, folder: Path, name: str = "g1", most: int = 10_000) -> Snapshots:
+    def snapshots(self, folder: Path, name: str = "g1", most: int = 10_000) -> SnapshotService:
         loop = asyncio.get_running_loop()
-        return Snapshots(folder, 0.02, name, "f", "p", self.known, lambda: self.now, loop, most)
+        owner = SnapshotOwner(name, "f", "p")
+        return SnapshotService(folder, 0.02, owner, self.known, lambda: self.now, loop, most)
 
 
 async def written(folder: Path, least: int) -> None:
     """Wait until the snapshot with at least this number stands."""
-    while not (folder / FILE).exists() or decode((folder / FILE).read_bytes()).head.serial < least:
+    while (
+        not (folder / SNAPSHOT_NAME).exists()
+        or decode((folder / SNAPSHOT_NAME).read_bytes()).header.serial < least
+    ):
         await asyncio.sleep(0.005)
 
 
@@ -44,19 +48,19 @@
     async def scenario() -> None:
         gateway = Gateway()
         first = gateway.snapshots(tmp_path)
-        assert first.take() is None
+        assert first.take_previous() is None
         first.start()
         await written(tmp_path, 3)
-        assert not decode((tmp_path / FILE).read_bytes()).head.exact
+        assert not decode((tmp_path / SNAPSHOT_NAME).read_bytes()).header.exact
         second = gateway.snapshots(tmp_path)
-        assert second.take() is None  # the first has the folder
-        first.seal()
-        found = second.take()
-        assert found is not None and found.head.exact
+        assert second.take_previous() is None  # the first has the folder
+        first.write_final()
+        found = second.take_previous()
+        assert found is not None and found.header.exact
         assert {d["number"] for d in found.documents} == {gateway.number}
-        assert second.take() is None
-        second.give_up()
-        assert gateway.snapshots(tmp_path).take() is None
+        assert second.take_previous() is None
+        second.abandon()
+        assert gateway.snapshots(tmp_path).take_previous() is None
 
     on_loop(scenario)
 
@@ -64,15 +68,17 @@
 def test_a_process_whose_predecessor_still_runs_writes_once_that_has_gone(tmp_path: Path) -> None:
     async def scenario() -> None:
         old, new = Gateway().snapshots(tmp_path), Gateway().snapshots(tmp_path)
-        old.take()
+        old.take_previous()
         old.start()
         await written(tmp_path, 1)
-        new.take()
+        new.take_previous()
         new.start()
-        old.give_up()
-        assert not (tmp_path / FILE).exists()  # nothing that the heir's own end could be overtaken by
+        old.abandon()
+        assert not (
+            tmp_path / SNAPSHOT_NAME
+        ).exists()  # nothing that the heir's own end could be overtaken by
         await written(tmp_path, 1)
-        new.give_up()
+        new.abandon()
 
     on_loop(scenario)
 
@@ -84,10 +90,10 @@
         gateway = Gateway()
         gateway.documents = 1000
         snapshots = gateway.snapshots(tmp_path, most=500)
-        snapshots.take()
-        snapshots.seal()
-        found = decode((tmp_path / FILE).read_bytes())
-        assert not found.head.exact and 0 < len(found.documents) < 1000
+        snapshots.take_previous()
+        snapshots.write_final()
+        found = decode((tmp_path / SNAPSHOT_NAME).read_bytes())
+        assert not found.header.exact and 0 < len(found.documents) < 1000
 
     on_loop(scenario)
 
@@ -98,7 +104,7 @@
     async def scenario() -> None:
         gateway = Gateway()
         snapshots = gateway.snapshots(tmp_path)
-        snapshots.take()
+        snapshots.take_previous()
         loop, begun, write = asyncio.get_running_loop(), asyncio.Event(), snapshots._write
         released = asyncio.Event()
 
@@ -110,10 +116,10 @@
         monkeypatch.setattr(snapshots, "_write", held)
         snapshots.start()
         await begun.wait()
-        snapshots.seal()
+        snapshots.write_final()
         released.set()
         await loop.shutdown_default_executor()
-        assert decode((tmp_path / FILE).read_bytes()).head.exact
+        assert decode((tmp_path / SNAPSHOT_NAME).read_bytes()).header.exact
 
     on_loop(scenario)
 
@@ -126,7 +132,7 @@
     async def scenario() -> None:
         gateway = Gateway()
         snapshots = gateway.snapshots(tmp_path)
-        snapshots.take()
+        snapshots.take_previous()
         snapshots.start()
         await written(tmp_path, 1)
         fsync, calls = os.fsync, []
@@ -140,7 +146,7 @@
         monkeypatch.setattr(module.os, "fsync", fails)
         while len(calls) < 5:
             await asyncio.sleep(0.005)
-        snapshots.give_up()
+        snapshots.abandon()
 
     on_loop(scenario)
     told = [r.getMessage() for r in caplog.records if r.levelno == logging.WARNING]
@@ -157,13 +163,13 @@
         gateway = Gateway()
         for change in ("future", "name"):
             last = gateway.snapshots(tmp_path)
-            last.take()
-            last.seal()
+            last.take_previous()
+            last.write_final()
             gateway.now -= 60_000 if change == "future" else 0
             caplog.clear()
             next_one = gateway.snapshots(tmp_path, name="g2" if change == "name" else "g1")
-            assert next_one.take() is None
-            next_one.give_up()
+            assert next_one.take_previous() is None
+            next_one.abandon()
             (line,) = [r.getMessage() for r in caplog.records]
             assert "nothing of it is believed" in line and ("taken_ms" in line) == (change == "future")
 
--- a/tests/recovery/test_snapshot.py
+++ b/tests/recovery/test_snapshot.py
@@ -9,31 +9,31 @@
 import pytest
 
 from hillmux.recovery.snapshot_format import (
-    AHEAD_MS,
-    Builder,
-    Head,
+    MAX_CLOCK_SKEW_MS,
     Identity,
     Snapshot,
+    SnapshotBuilder,
     SnapshotError,
-    check,
+    SnapshotHeader,
+    check_usable,
     decode,
 )
 
 ME = Identity("g1", "batumi", "p1", "m.1.2")
-HEAD = Head(ME, "ab12", 3, 1e12, True)
+HEAD = SnapshotHeader(ME, "ab12", 3, 1e12, True)
 DOCUMENTS = [{"t": "module", "x": [1.5, None, "é"]}, {"t": "hosts", "hosts": {"h\n1": [0.1, True]}}]
 
 
-def data(head: Head = HEAD) -> bytes:
-    builder = Builder()
+def data(head: SnapshotHeader = HEAD) -> bytes:
+    builder = SnapshotBuilder()
     for document in DOCUMENTS:
         builder.add(document)
-    return builder.data(head)
+    return builder.encode(head)
 
 
 def test_what_was_written_is_read() -> None:
     assert decode(data()) == Snapshot(HEAD, DOCUMENTS)
-    check(HEAD, ME, HEAD.taken_ms)
+    check_usable(HEAD, ME, HEAD.taken_ms)
 
 
 def test_a_file_that_is_cut_anywhere_is_believed_in_nothing() -> None:
@@ -59,10 +59,10 @@
     with pytest.raises(SnapshotError):
         decode(one[: len(one) // 2] + two[len(two) // 2 :] + b"x")
     head, _, _ = one.partition(b"\n")
-    other = Builder()
+    other = SnapshotBuilder()
     other.add({"t": "module", "x": [1.5, None, "e"]})
     with pytest.raises(SnapshotError):
-        decode(head + b"\n" + other.data(HEAD).partition(b"\n")[2])
+        decode(head + b"\n" + other.encode(HEAD).partition(b"\n")[2])
 
 
 def test_what_is_no_snapshot_at_all_ends_in_an_error() -> None:
@@ -82,35 +82,35 @@
 )  # fmt: skip
 def test_a_snapshot_of_another_is_told_by_the_field_that_differs(changes: dict[str, str], named: str) -> None:
     with pytest.raises(SnapshotError, match=f"^{named}: found .*, expected"):
-        check(HEAD, dataclasses.replace(ME, **changes), HEAD.taken_ms)
+        check_usable(HEAD, dataclasses.replace(ME, **changes), HEAD.taken_ms)
 
 
 def test_a_snapshot_from_the_future_is_left() -> None:
-    check(HEAD, ME, HEAD.taken_ms - AHEAD_MS)
+    check_usable(HEAD, ME, HEAD.taken_ms - MAX_CLOCK_SKEW_MS)
     with pytest.raises(SnapshotError, match="taken_ms"):
-        check(HEAD, ME, HEAD.taken_ms - AHEAD_MS - 1)
+        check_usable(HEAD, ME, HEAD.taken_ms - MAX_CLOCK_SKEW_MS - 1)
 
 
 def test_what_would_go_beyond_the_bound_is_left_out_and_the_rest_stands() -> None:
-    builder = Builder(most=200)
+    builder = SnapshotBuilder(max_bytes=200)
     for number in range(100):
         builder.add({"t": "customers", "n": number})
-    found = decode(builder.data(HEAD)).documents
-    assert builder.left_out == 100 - len(found) and found[0] == {"t": "customers", "n": 0}
-    assert len(builder.data(HEAD).partition(b"\n")[2]) <= 200
+    found = decode(builder.encode(HEAD)).documents
+    assert builder.omitted_documents == 100 - len(found) and found[0] == {"t": "customers", "n": 0}
+    assert len(builder.encode(HEAD).partition(b"\n")[2]) <= 200
 
 
 def test_a_copied_folder_is_another_folder(tmp_path: Path) -> None:
     import shutil
 
-    from hillmux.recovery.snapshot_store import Folder
+    from hillmux.recovery.snapshot_store import StateDirectory
 
-    first = Folder(tmp_path / "a")
+    first = StateDirectory(tmp_path / "a")
     assert first.lock()
     mine = first.id()
     assert first.id() == mine  # and stays the same
     shutil.copytree(tmp_path / "a", tmp_path / "b")
-    assert Folder(tmp_path / "b").id() != mine
+    assert StateDirectory(tmp_path / "b").id() != mine
 
 
 def test_an_operator_is_shown_what_a_snapshot_says_and_told_what_is_wrong_with_one(tmp_path: Path) -> None:
