--- a/hillmux/lab/virtual/gateway.py
+++ b/hillmux/lab/virtual/gateway.py
@@ -1,6 +1,6 @@
 """One gateway in virtual time: the decision module, and in place of sockets the modelled hosts and counter.
 
-Follows the platform's gateway (net/core.py, net/hosts.py, net/counter.py) where it matters for many together:
+Follows the platform's gateway (hillmux/net) where it matters for many together:
 kept connections and dials, time-outs, counter calls that are given up, a death that forgets all.
 """
 
@@ -246,7 +246,7 @@
                 total,
             )
 
-        self.loop.after(self.module.s.counter_timeout_ms, end, AttemptResult.TIMED_OUT, 0.0)
+        self.loop.after(self.module.settings.counter_timeout_ms, end, AttemptResult.TIMED_OUT, 0.0)
         self.loop.after(
             world.counter_way_ms, world.counter.call, act.name, act.amount, act.retention_ms, answered
         )
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -1,11 +1,12 @@
-"""The platform's gateway where operators call it: what it counts for them, and hosts that they take out."""
+"""The platform's gateway with operators' calls: metrics, disabled hosts, and hot restart."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
+from collections.abc import Iterable, Iterator
 from itertools import chain
-from typing import Any, ClassVar, cast
+from typing import Any, ClassVar, Final, cast
 
 from hillmux import interface as api
 from hillmux.admin.host_overrides import KnownHosts, OverrideFile, OverrideFileError, rejection_reason
@@ -15,225 +16,244 @@
 from hillmux.hot_restart.server import HandOver, HotRestartServer, SuccessorProcess
 from hillmux.hot_restart.state_codec import StateError, export, restore
 from hillmux.interface import ListKind
-from hillmux.net.clients import Server
-from hillmux.net.config import Config
-from hillmux.net.core import _Open
-from hillmux.net.discovery import Listing
-from hillmux.net.hosts import Attempt
-from hillmux.net.http1 import Reply
-from hillmux.net.platform_gateway import Node
-from hillmux.net.streaming import FlowHostConnection, FlowHosts
+from hillmux.net.attempt import Attempt
+from hillmux.net.clients import Listener
+from hillmux.net.config import GatewayConfig
+from hillmux.net.discovery_response import DiscoveryResponse
+from hillmux.net.forward_request import OpenRequest
+from hillmux.net.http1 import Response
+from hillmux.net.platform_gateway import PlatformGateway
+from hillmux.net.streaming import StreamingUpstreamConnection, StreamingUpstreamPool
 
 log = logging.getLogger(__name__)
 
-START_S = 4.0  # how long a new process waits to be able to serve before it takes over all the same
-SEEN, SEEN_AT_ONCE = "seen", 512  # the hosts that may be taken out by hand
-LOOK_S = 0.2  # spacing of the looks at the hosts out by hand: a call to another process binds within a second
+READY_TIMEOUT_S: Final = 4.0  # a new process that is not ready by then takes over all the same
+# The hot-restart document that holds the hosts which operators may disable, and how many it holds at most.
+KNOWN_HOSTS_DOCUMENT: Final = "seen"
+MAX_NAMES_PER_DOCUMENT: Final = 512
+# A call to another process of this gateway must hold here within a second.
+OVERRIDE_POLL_INTERVAL_S: Final = 0.2
+READY_POLL_INTERVAL_S: Final = 0.02
 
 
-class _CountedConnection(FlowHostConnection):
-    """Tells its pool when an attempt's last byte has left."""
+class CountedConnection(StreamingUpstreamConnection):
+    """Reports to its pool when an attempt's last byte has left."""
 
-    def begin(self, attempt: Attempt) -> None:
+    def start_attempt(self, attempt: Attempt) -> None:
         """Write an attempt's request, and report it if all of it has left at once."""
-        super().begin(attempt)
-        if not self.unsent and attempt.upload is None:  # one that flows tells by itself
-            self._flow_pool.written(attempt)
+        super().start_attempt(attempt)
+        if not self.unsent and attempt.streamed_body is None:  # a streamed body is reported by its last byte
+            self._streaming_pool.on_body_written(attempt)
 
     def resume_writing(self) -> None:
         """All that was written has left: report the attempt."""
         super().resume_writing()
         if self.attempt is not None and not self.unsent:
-            self._flow_pool.written(self.attempt)
+            self._streaming_pool.on_body_written(self.attempt)
 
 
-class _CountedHosts(FlowHosts):
-    """Hosts whose attempts are counted."""
+class CountedPool(StreamingUpstreamPool):
+    """A pool whose attempts are counted."""
 
-    connection: ClassVar[type[Any]] = _CountedConnection
-    node: OperatedNode
+    connection_class: ClassVar[type[Any]] = CountedConnection
+    gateway: ManagedGateway
 
-    def written(self, attempt: Attempt) -> None:
-        """An attempt is whole on its connection."""
-        self.node.tried(attempt)
+    def on_body_written(self, attempt: Attempt) -> None:
+        """An attempt has been sent completely."""
+        self.gateway.attempt_sent(attempt)
 
 
-class OperatedNode(Node):
-    """A node with figures, with hosts out by hand, and with a way to hand over to a next version."""
+class ManagedGateway(PlatformGateway):
+    """A platform gateway with metrics, with hosts that operators disable, and with hot restart."""
 
-    hosts: ClassVar[type[FlowHosts]] = _CountedHosts
+    pool_class: ClassVar[type[StreamingUpstreamPool]] = CountedPool
 
-    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config, loop)
-        cast(_CountedHosts, self._flow_hosts).node = self
-        self.figures_kept = Metrics()
-        self._seen = KnownHosts()
-        self._hand_file = OverrideFile(config.folder)
-        self._held_out: set[str] = set()
-        self._operators = OperatorServer(self, loop)
-        self._folder = config.folder
-        self._server: Server[Any] | None = None  # once clients are let in
-        self._hand_over = HotRestartServer(self, loop)
-        self._take_over: HotRestartClient | None = None
+        cast(CountedPool, self.streaming_pool).gateway = self
+        self.metrics = Metrics()
+        self.known_hosts = KnownHosts()
+        self._override_file = OverrideFile(config.state_directory)
+        self._disabled: set[str] = set()
+        self._operator_server = OperatorServer(self, loop)
+        self._state_directory = config.state_directory
+        self._server: Listener[Any] | None = None  # once clients are accepted
+        self._hot_restart_server = HotRestartServer(self, loop)
+        self._hot_restart_client: HotRestartClient | None = None
 
     def start(self) -> None:
-        """Also begin to look for hosts that are taken out by hand, every LOOK_S."""
+        """Also begin to poll the file of disabled hosts."""
         super().start()
-        self._look()
+        self._poll_override_file()
 
     async def listen(self, address: tuple[str, int] | None) -> None:
-        """Take operators' calls at an address, where there is one; OSError if that cannot be listened on."""
+        """Accept operators' calls at an address, where there is one.
+
+        Raises:
+            OSError: the address cannot be listened on.
+        """
         if address is not None:
-            host, port = await self._operators.start(address)
+            host, port = await self._operator_server.start(address)
             log.info("operators call at %s:%d", host, port)
 
     def stop(self) -> None:
-        """Also close the operators' connections and those for a hand-over."""
+        """Also close the operators' connections and those of a hot restart."""
         super().stop()
-        self._operators.stop()
-        self._hand_over.stop()
-        if self._take_over is not None:
-            self._take_over.close()
+        self._operator_server.stop()
+        self._hot_restart_server.stop()
+        if self._hot_restart_client is not None:
+            self._hot_restart_client.close()
 
-    def reload(self, config: Config) -> None:
+    def reload(self, config: GatewayConfig) -> None:
         """Also count the reload."""
         super().reload(config)
-        self.figures_kept.config_reloads += 1
+        self.metrics.config_reloads += 1
 
-    def not_reloaded(self) -> None:
-        """Count a new configuration that was turned down."""
-        self.figures_kept.config_reload_errors += 1
+    def reload_rejected(self) -> None:
+        """Count a new configuration that was rejected."""
+        self.metrics.config_reload_errors += 1
 
     def ready(self) -> bool:
-        """Whether requests can be served: False until clients are let in."""
+        """Whether requests can be served: False until clients are accepted."""
         return self._server is not None and super().ready()
 
     def could_serve(self) -> bool:
-        """Whether requests could be served, if clients were let in."""
+        """Whether requests could be served if clients were accepted."""
         return super().ready()
 
     def phase(self) -> str:
-        """How far it has come back, and why no further; "" where nobody looks."""
+        """The phase of recovery and what holds it back; "" where recovery is not observed."""
         return ""
 
-    # One process after another
+    # Hot restart
 
-    async def open(self, server: Server[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
+    async def open(self, server: Listener[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
         """Take over from the process that serves here already, if there is one; else listen."""
-        if self._folder is not None:
-            self._take_over = HotRestartClient.connect(self._folder, self._loop, server.adopt)
-        listening = await self._inherit(server) if self._take_over is not None else None
+        if self._state_directory is not None:
+            self._hot_restart_client = HotRestartClient.connect(
+                self._state_directory, self.loop, server.adopt_connection
+            )
+        listening = await self._inherit(server) if self._hot_restart_client is not None else None
         if listening is None:
             listening = server.start(address, shared=True)
         self._server = server
-        if self._folder is not None:
-            self._hand_over.start(self._folder)  # in the old one's place: the next version finds us
-        if self._take_over is not None:
-            self._take_over.announce_serving()
+        if self._state_directory is not None:
+            # In place of the process that served here: the next one connects to this one.
+            self._hot_restart_server.start(self._state_directory)
+        if self._hot_restart_client is not None:
+            self._hot_restart_client.announce_serving()
         return listening
 
-    async def _inherit(self, server: Server[Any]) -> list[tuple[str, int]] | None:
-        """What the old process hands over, once we could serve; None where it does not."""
-        assert self._take_over is not None
-        end = self._loop.time() + START_S
-        while not self.could_serve() and self._loop.time() < end:
-            await asyncio.sleep(0.02)
+    async def _inherit(self, server: Listener[Any]) -> list[tuple[str, int]] | None:
+        """Take over the listening socket and the state once ready; None without an answer."""
+        assert self._hot_restart_client is not None
+        end = self.loop.time() + READY_TIMEOUT_S
+        while not self.could_serve() and self.loop.time() < end:
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
         try:
-            descriptor, documents = await self._take_over.request_state()
+            descriptor, documents = await self._hot_restart_client.request_state()
         except OSError as error:
-            log.warning("hand-over: %s; serving beside it, if it still does", error)
-            self._take_over = None
+            log.warning("hot restart: no answer (%s); serving beside the old process, if it runs", error)
+            self._hot_restart_client = None
             return None
         try:
-            restore(self._gateway, documents)
-            names = [
-                n
-                for d in documents
-                if d.get("t") == SEEN and isinstance(d.get("names"), list)
-                for n in d["names"]
-            ]
-            self._seen.add(n for n in names if isinstance(n, str))
-        except StateError as error:  # another version's, perhaps: its clients are worth more
-            log.warning("hand-over: what the old process knew is left: %s", error)
-        log.info("took over from the process that served here")
-        return server.inherit(descriptor)
+            restore(self.decision_module, documents)
+            self.known_hosts.add(_names_in(documents))
+        except StateError as error:  # perhaps of another version: its clients are taken over all the same
+            log.warning("hot restart: state of the old process ignored: %s", error)
+        log.info("hot restart: took over from the process that served here")
+        return server.inherit_socket(descriptor)
 
     def hand_over(self) -> HandOver:
-        """Stop accepting and deciding; returns listener and state."""
+        """Stop accepting and deciding; returns the listening socket and the state."""
         assert self._server is not None
-        self._post(api.TakenOver(True))
-        names = self._seen.all()
-        seen = [
-            {"t": SEEN, "names": names[at : at + SEEN_AT_ONCE]} for at in range(0, len(names), SEEN_AT_ONCE)
+        self.post(api.TakenOver(True))
+        names = self.known_hosts.all()
+        known_hosts = [
+            {"t": KNOWN_HOSTS_DOCUMENT, "names": names[start : start + MAX_NAMES_PER_DOCUMENT]}
+            for start in range(0, len(names), MAX_NAMES_PER_DOCUMENT)
         ]
-        return HandOver(self._server.lend(), chain(export(self._gateway), seen))
+        return HandOver(self._server.lend_socket(), chain(export(self.decision_module), known_hosts))
 
     def resume(self) -> None:
         """Serve again: the successor ended before it served."""
         assert self._server is not None
-        self._post(api.TakenOver(False))
-        self._server.take_back()
+        self.post(api.TakenOver(False))
+        self._server.take_back_socket()
 
     def on_successor_serving(self, successor: SuccessorProcess) -> None:
         """The successor accepts connections: pass the clients' connections on to it."""
         assert self._server is not None
-        self._server.succeeded_by(successor)
+        self._server.hand_over_to(successor)
 
     def on_successor_lost(self) -> None:
-        """The successor that served has ended; no more connections can be passed on."""
+        """The successor that served has ended; connections cannot be passed on to it any more."""
         assert self._server is not None
-        self._server.heir = None
+        self._server.successor = None
 
     # Operators' calls
 
     def metrics_by_name(self) -> dict[str, object]:
-        """All figures, as JSON holds them."""
-        open_now = sum(request.client is not None for request in self._requests.values())
-        fleet = self._gateway.fleet
-        return self.figures_kept.to_dict(
+        """All metrics, as JSON holds them."""
+        open_now = sum(request.client is not None for request in self.requests.values())
+        fleet = self.decision_module.fleet
+        return self.metrics.to_dict(
             [c.name for c in self.settings.classes], open_now, len(fleet.hosts), fleet.skipped()
         )
 
     def override_host(self, host: str, disabled: bool) -> str:
-        """Take a host out by hand, or put it back; "" once that holds, else why not."""
-        wrong = rejection_reason(host, disabled, self._seen, self._held_out)
-        if wrong:
-            return wrong
+        """Disable a host, or enable it again; "" once that is in force, else why not."""
+        error_text = rejection_reason(host, disabled, self.known_hosts, self._disabled)
+        if error_text:
+            return error_text
         try:
-            self._hand_file.set_disabled(host, disabled)
+            self._override_file.set_disabled(host, disabled)
         except OverrideFileError as error:
             return str(error)
-        self._hold_out(self._hand_file.disabled)
+        self._disable_hosts(self._override_file.disabled)
         return ""
 
-    def _look(self) -> None:
-        """Take over what another process of this gateway was told."""
-        names = self._hand_file.refresh()
+    def _poll_override_file(self) -> None:
+        """Put in force what another process of this gateway was told."""
+        names = self._override_file.refresh()
         if names is not None:
-            self._hold_out(names)
-        self._loop.call_later(LOOK_S, self._look)
-
-    def _hold_out(self, names: set[str]) -> None:
-        self._hosts.hold_out(frozenset(names))
-        for name in names ^ self._held_out:
-            self._post(api.HostDisabled(name, name in names))
-        self._held_out = set(names)
-
-    # What is counted
-
-    def _apply(self, listing: Listing, kind: ListKind) -> None:
-        self._seen.add(server.name for server in listing.servers)
-        super()._apply(listing, kind)
-
-    def _answer(
-        self, request: _Open | None, status: int, reply: Reply | None = None, retry_after_ms: float = 0.0
+            self._disable_hosts(names)
+        self.loop.call_later(OVERRIDE_POLL_INTERVAL_S, self._poll_override_file)
+
+    def _disable_hosts(self, names: set[str]) -> None:
+        self.upstreams.set_disabled(frozenset(names))
+        for name in names ^ self._disabled:
+            self.post(api.HostDisabled(name, name in names))
+        self._disabled = set(names)
+
+    # Metrics
+
+    def apply_endpoints(self, response: DiscoveryResponse, kind: ListKind) -> None:
+        """Also note the hosts, which operators may disable from now on."""
+        self.known_hosts.add(endpoint.name for endpoint in response.endpoints)
+        super().apply_endpoints(response, kind)
+
+    def answer(
+        self,
+        request: OpenRequest | None,
+        status: int,
+        reply: Response | None = None,
+        retry_after_ms: float = 0.0,
     ) -> None:
+        """Also count the response."""
         if request is not None and request.client is not None:
-            self.figures_kept.count_answer(request.order.class_name, status)
-        super()._answer(request, status, reply, retry_after_ms)
+            self.metrics.count_answer(request.forward_request.class_name, status)
+        super().answer(request, status, reply, retry_after_ms)
 
-    def tried(self, attempt: Attempt) -> None:
-        """An attempt has left whole."""
-        request = self._requests.get(attempt.request)
+    def attempt_sent(self, attempt: Attempt) -> None:
+        """Count an attempt that has been sent completely."""
+        request = self.requests.get(attempt.request_id)
         if request is not None:
-            self.figures_kept.count_attempt(request.order.class_name)
+            self.metrics.count_attempt(request.forward_request.class_name)
+
+
+def _names_in(documents: Iterable[dict[str, Any]]) -> Iterator[str]:
+    """The host names in the documents of a hot restart."""
+    for document in documents:
+        if document.get("t") == KNOWN_HOSTS_DOCUMENT and isinstance(document.get("names"), list):
+            yield from (name for name in document["names"] if isinstance(name, str))
--- a/hillmux/net/platform_gateway.py
+++ b/hillmux/net/platform_gateway.py
@@ -1,157 +1,195 @@
-"""The platform's gateway: one core between its discovery, its counter and its hosts."""
+"""The platform's gateway: one gateway core between its discovery, its counter and its upstream hosts."""
 
 from __future__ import annotations
 
 import asyncio
 import time
 from functools import partial
-from typing import Any, ClassVar, cast
+from typing import Any, ClassVar, Final, cast
 
 from hillmux import interface as api
 from hillmux.interface import ListKind
-from hillmux.net.clients import Server
-from hillmux.net.config import Config
-from hillmux.net.core import GUARD_MS, OLD_LIST_MS, TRANSIT_MS, Core, Pulse, _Open
-from hillmux.net.counter import Counter
-from hillmux.net.discovery import Discovery, Listing
-from hillmux.net.hosts import Attempt
-from hillmux.net.http1 import Reply
-from hillmux.net.streaming import UPLOAD_S, FlowConnection, FlowHostConnection, FlowHosts
-
-UPSTREAM_SHARE = 0.36  # of the descriptors
-LIST_WAIT_S = 0.25  # how long a start waits for discovery before it serves with the list it was given: it
-# answers at once or, when it is short of room, after seconds in which clients would find nobody
-
-
-class Node(Core):
-    """A core whose hosts come from discovery and whose counts go to the platform's counter."""
-
-    hosts: ClassVar[type[FlowHosts]] = FlowHosts  # what sends its attempts
-
-    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
-        super().__init__(config.settings, config.seed, loop, Pulse(loop))
-        most = int(UPSTREAM_SHARE * config.sockets)
-        self._flow_hosts = self.hosts(loop, most, config.dial_ms, config.idle_ms, self._ended, self._wanted)
-        self._flow_hosts.begun = self._begun
-        self._hosts = self._flow_hosts
-        self._discovery = Discovery(
-            loop, config.discovery, self._listed, config.known.generation, config.seed, self._stood_still
+from hillmux.net.attempt import Attempt
+from hillmux.net.clients import Listener
+from hillmux.net.config import GatewayConfig
+from hillmux.net.counter_client import HttpCounterClient
+from hillmux.net.discovery_response import DiscoveryResponse
+from hillmux.net.discovery_watch import DiscoveryWatch
+from hillmux.net.forward_request import OpenRequest
+from hillmux.net.gateway_core import (
+    CLIENT_TRANSIT_MS,
+    DEADLINE_MARGIN_MS,
+    STALE_ENDPOINTS_STALL_MS,
+    GatewayCore,
+)
+from hillmux.net.http1 import Response
+from hillmux.net.loop_lag import LoopLagMonitor
+from hillmux.net.streaming import (
+    STREAMED_REQUEST_TIMEOUT_S,
+    StreamingClientConnection,
+    StreamingUpstreamConnection,
+    StreamingUpstreamPool,
+)
+
+UPSTREAM_SOCKET_SHARE: Final = 0.36  # of the process's sockets
+# How long a start waits for discovery before it serves with the list it was given. Discovery answers at once,
+# or after seconds when it is overloaded, in which clients would find no gateway.
+DISCOVERY_WAIT_S: Final = 0.25
+
+
+class PlatformGateway(GatewayCore):
+    """A gateway whose hosts come from discovery and whose counts go to the platform's counter."""
+
+    pool_class: ClassVar[type[StreamingUpstreamPool]] = StreamingUpstreamPool
+
+    def __init__(self, config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> None:
+        super().__init__(config.settings, config.seed, loop, LoopLagMonitor(loop))
+        self.streaming_pool = self.pool_class(
+            loop,
+            int(UPSTREAM_SOCKET_SHARE * config.max_sockets),
+            config.dial_timeout_ms,
+            config.idle_timeout_ms,
+            self.attempt_ended,
+            self.is_wanted,
         )
-        self._client = (
-            Counter(loop, config.counter, config.settings.counter_timeout_ms, self._post)
-            if config.counter is not None
-            else None
+        self.streaming_pool.on_stream_started = self._response_started
+        self.upstreams = self.streaming_pool
+        self._discovery = DiscoveryWatch(
+            loop,
+            config.discovery,
+            self._discovery_responded,
+            config.known_endpoints.generation,
+            config.seed,
+            self._hold_if_stalled,
         )
-        self._counter = self._client
-        self._known = config.known
-        self._started = 0.0
-        self._heard = False  # discovery has answered in this life
+        self._counter_client: HttpCounterClient | None = None
+        if config.counter is not None:
+            timeout_ms = config.settings.counter_timeout_ms
+            self._counter_client = HttpCounterClient(loop, config.counter, timeout_ms, self.post)
+        self.counter = self._counter_client
+        self._known_endpoints = config.known_endpoints
+        self._started_at = 0.0
+        self.discovery_answered = False  # since this process started
 
     def start(self) -> None:
-        """Begin with the known list, then listen to discovery and the counter."""
-        self._started = time.monotonic()
-        self._apply(self._known, ListKind.CACHED)
-        self._hosts.start()
+        """Put the known list of hosts in force, then watch discovery and connect to the counter."""
+        self._started_at = time.monotonic()
+        self.apply_endpoints(self._known_endpoints, ListKind.CACHED)
+        self.upstreams.start()
         self._discovery.start()
-        if self._client is not None:
-            self._client.start()
-        self._pulse.start()
+        if self._counter_client is not None:
+            self._counter_client.start()
+        self.loop_lag.start()
 
     def stop(self) -> None:
-        """Close everything towards the back end."""
+        """Close everything but the clients' side."""
         self._discovery.stop()
-        self._hosts.stop()
-        self._pulse.stop()
-        if self._client is not None:
-            self._client.stop()
-
-    def reload(self, config: Config) -> None:
-        """Go over to the discovery, the counter and the settings that a new configuration names."""
-        self._discovery.move(config.discovery)
-        if self._client is not None and config.counter is not None:
-            self._client.move(config.counter)
+        self.upstreams.stop()
+        self.loop_lag.stop()
+        if self._counter_client is not None:
+            self._counter_client.stop()
+
+    def reload(self, config: GatewayConfig) -> None:
+        """Put the discovery, counter and settings of a new configuration in force."""
+        self._discovery.change_address(config.discovery)
+        if self._counter_client is not None and config.counter is not None:
+            self._counter_client.change_address(config.counter)
         if config.settings != self.settings:
-            self.change(config.settings)
+            self.change_settings(config.settings)
 
-    def not_reloaded(self) -> None:
-        """A new configuration was turned down."""
+    def reload_rejected(self) -> None:
+        """A new configuration was rejected."""
 
     async def listen(self, address: tuple[str, int] | None) -> None:
-        """Take operators' calls at an address, where there is one; OSError where that fails."""
+        """Accept operators' calls at an address, where there is one.
 
-    async def open(self, server: Server[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
-        """Let clients in at an address; the addresses that are listened on. OSError where that fails."""
-        return server.start(address)
+        Raises:
+            OSError: the address cannot be listened on.
+        """
 
-    def _stood_still(self) -> bool:
-        """Asked with each answer of discovery; what it brings on is held until the next one."""
-        if self._pulse.behind_ms(time.monotonic()) <= OLD_LIST_MS:
-            return False
-        self._hold()
-        return True
+    async def open(self, server: Listener[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
+        """Accept clients at an address; the addresses that are listened on.
 
-    def _news_due(self) -> bool:
-        return self._discovery.catching_up
+        Raises:
+            OSError: the address cannot be listened on.
+        """
+        return server.start(address)
 
     def ready(self) -> bool:
-        """Whether requests can be served: hosts are known, by discovery's word if it speaks at all."""
-        if self.draining or not self._hosts.names():
+        """Whether requests can be served: hosts are known, from discovery unless it is silent."""
+        if self.draining or not self.upstreams.host_names():
             return False
-        return self._heard or time.monotonic() - self._started > LIST_WAIT_S
+        return self.discovery_answered or time.monotonic() - self._started_at > DISCOVERY_WAIT_S
 
     def longest_s(self) -> float:
         """The longest that a request may take, in seconds."""
         return max(c.deadline_ms for c in self.settings.classes) / 1000
 
-    # --- What is passed on as it comes ---
+    # Discovery
 
-    def _uploads(self, request: _Open) -> None:
-        request.end_at = time.monotonic() + UPLOAD_S
-        request.order.upload.came = partial(self._whole, request)
+    def _discovery_responded(self, response: DiscoveryResponse) -> None:
+        self.discovery_answered = True
+        self.apply_endpoints(response, ListKind.FULL if response.is_full else ListKind.CHANGES)
 
-    def _whole(self, request: _Open) -> None:
-        if request.client is None or request.flow is not None:
+    def _hold_if_stalled(self) -> bool:
+        """Whether an answer of discovery was read after a stall; events are held until the next one then."""
+        if self.loop_lag.lag_ms(time.monotonic()) <= STALE_ENDPOINTS_STALL_MS:
+            return False
+        self.hold_events()
+        return True
+
+    def endpoints_due(self) -> bool:
+        """Whether discovery still owes an answer that holds all that is known now."""
+        return self._discovery.catching_up
+
+    # Bodies and responses that are streamed
+
+    def await_streamed_body(self, request: OpenRequest) -> None:
+        """Give a body that is still arriving its own time limit; the client's starts with its last byte."""
+        request.deadline = time.monotonic() + STREAMED_REQUEST_TIMEOUT_S
+        request.forward_request.streamed_body.on_complete = partial(self._streamed_body_complete, request)
+
+    def _streamed_body_complete(self, request: OpenRequest) -> None:
+        if request.client is None or request.streaming_attempt is not None:
             return
-        left_s = (request.order.time_left_ms - TRANSIT_MS - GUARD_MS) / 1000
-        request.end_at = time.monotonic() + left_s
-        request.guard = self._guards.add(request, max(left_s, 0.0))
+        time_left_ms = request.forward_request.time_left_ms - CLIENT_TRANSIT_MS - DEADLINE_MARGIN_MS
+        request.deadline = time.monotonic() + time_left_ms / 1000
+        request.deadline_slot = self.deadlines.add(request, max(time_left_ms / 1000, 0.0))
         for attempt in request.attempts:
             if attempt is not None:
-                self._flow_hosts.came(attempt)
+                self.streaming_pool.on_body_complete(attempt)
 
-    def _begun(self, attempt: Attempt, reply: Reply, source: FlowHostConnection) -> FlowConnection | None:
-        request = self._requests[attempt.request]
-        client = cast(FlowConnection | None, request.client)
+    def _response_started(
+        self, attempt: Attempt, reply: Response, source: StreamingUpstreamConnection
+    ) -> StreamingClientConnection | None:
+        request = self.requests[attempt.request_id]
+        client = cast(StreamingClientConnection | None, request.client)
         if client is None:
             return None
-        request.flow = attempt
-        self._guards.cancel(request, request.guard)
-        self._post(api.ResponseStarted(request.id, attempt.number))
-        client.begin(reply, source)
+        request.streaming_attempt = attempt
+        self.deadlines.cancel(request, request.deadline_slot)
+        self.post(api.ResponseStarted(request.id, attempt.number))
+        client.start_response(reply, source)
         return client
 
-    def left(self, rid: str) -> None:
-        """The client is gone; also ends attempts whose answer is passed on or whose body is not whole."""
-        request = self._requests.get(rid)
-        super().left(rid)
+    def client_disconnected(self, request_id: str) -> None:
+        """Also end attempts whose response is streamed or whose body is incomplete."""
+        request = self.requests.get(request_id)
+        super().client_disconnected(request_id)
         if request is not None:
-            self._call_off(request)
+            self._cancel_useless_attempts(request)
 
-    def broken(self, rid: str, status: int) -> None:
-        """Answer with `status`; also ends attempts whose answer is passed on or whose body is not whole."""
-        request = self._requests.get(rid)
-        super().broken(rid, status)
+    def abort_request(self, request_id: str, status: int) -> None:
+        """Also end attempts whose response is streamed or whose body is incomplete."""
+        request = self.requests.get(request_id)
+        super().abort_request(request_id, status)
         if request is not None:
-            self._call_off(request)
+            self._cancel_useless_attempts(request)
 
-    def _call_off(self, request: _Open) -> None:
-        """End the attempts that can come to nothing: on an answer that nobody reads, or on half a body."""
-        upload = request.order.upload
-        if request.flow is not None or (upload is not None and not upload.whole):
+    def _cancel_useless_attempts(self, request: OpenRequest) -> None:
+        """End the attempts with a response that nobody reads, or with half a body."""
+        upload = request.forward_request.streamed_body
+        if request.streaming_attempt is not None or (upload is not None and not upload.complete):
             for attempt in request.attempts:
                 if attempt is not None:
-                    self._hosts.cancel(attempt)
-
-    def _listed(self, listing: Listing) -> None:
-        self._heard = True
-        self._apply(listing, ListKind.FULL if listing.whole else ListKind.CHANGES)
+                    self.upstreams.cancel(attempt)
--- a/hillmux/recovery/snapshotting_gateway.py
+++ b/hillmux/recovery/snapshotting_gateway.py
@@ -12,9 +12,9 @@
 from hillmux import interface as api
 from hillmux.hot_restart.server import SuccessorProcess
 from hillmux.hot_restart.state_codec import StateError, export, restore
-from hillmux.net.clients import Server
-from hillmux.net.config import Config
-from hillmux.net.managed_gateway import START_S, OperatedNode
+from hillmux.net.clients import Listener
+from hillmux.net.config import GatewayConfig
+from hillmux.net.managed_gateway import READY_TIMEOUT_S, ManagedGateway
 from hillmux.quotas.throttle import SILENT_RATE
 from hillmux.recovery.readiness import GatewayCondition, ReadinessTracker
 from hillmux.recovery.retention import SnapshotContentError, is_worth_storing
@@ -27,35 +27,35 @@
 STALL_MEMORY_MS = 1_000.0  # how long a stall counts after its end
 
 
-class SnapshottingGateway(OperatedNode):
+class SnapshottingGateway(ManagedGateway):
     """A managed gateway with snapshots and a phase of recovery."""
 
-    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config, loop)
-        snapshots = config.keep
+        snapshots = config.snapshots
         assert snapshots is not None
         self._snapshots = SnapshotService(
-            Path(snapshots.folder),
-            snapshots.every_s,
+            Path(snapshots.directory),
+            snapshots.interval_s,
             SnapshotOwner(config.name, snapshots.fleet, digest(repr(config.settings.plans).encode())),
             self._export_state,
-            self._clock.now_ms,
+            self.clock.now_ms,
             loop,
         )
-        self._started_at_ms = self._clock.now_ms()
+        self._started_at_ms = self.clock.now_ms()
         self._readiness = ReadinessTracker(self._started_at_ms)
         self._outcomes = 0
         self._observed_at = time.monotonic()
         self._successor_serves = False
 
     def _export_state(self, exact: bool) -> Iterator[dict[str, Any]]:
-        now_ms, expiry_ms = self._clock.now_ms(), self._gateway.quotas.registry.rests
+        now_ms, expiry_ms = self.clock.now_ms(), self.decision_module.quotas.registry.rests
         return export(
-            self._gateway,
+            self.decision_module,
             lambda use: is_worth_storing(use.seen_at, expiry_ms[use.plan.name], now_ms, exact),
         )
 
-    async def open(self, server: Server[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
+    async def open(self, server: Listener[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
         """Also restore the snapshot of the previous process before clients are accepted."""
         snapshot = self._snapshots.take_previous()
         if snapshot is not None:
@@ -68,13 +68,13 @@
         return listening
 
     async def _until_servable(self) -> None:
-        end = self._loop.time() + START_S
-        while not self.could_serve() and self._loop.time() < end:
+        end = self.loop.time() + READY_TIMEOUT_S
+        while not self.could_serve() and self.loop.time() < end:
             await asyncio.sleep(0.02)
 
     def _restore(self, snapshot: Snapshot) -> None:
         try:
-            restore(self._gateway, self._snapshots.retained(snapshot, self._started_at_ms))
+            restore(self.decision_module, self._snapshots.retained(snapshot, self._started_at_ms))
         except (StateError, SnapshotContentError) as error:
             log.warning("snapshots: left, nothing of it is believed: %s", error)
             return
@@ -82,7 +82,7 @@
         log.info(
             "snapshots: going on from %s, %.1f s old, %s",
             header.incarnation,
-            (self._clock.now_ms() - header.taken_ms) / 1000,
+            (self.clock.now_ms() - header.taken_ms) / 1000,
             "exact" if header.exact else "a process went on after it",
         )
 
@@ -115,30 +115,34 @@
         }
 
     def _observe(self) -> None:
-        now, now_ms = time.monotonic(), self._clock.now_ms()
+        now, now_ms = time.monotonic(), self.clock.now_ms()
         late = now - self._observed_at > READINESS_INTERVAL_S + STALL_MEMORY_MS / 1000
         self._observed_at = now
         if self._readiness.update(now_ms, self._condition(now_ms, late)):
             log.info("phase: %s", self.phase())
-        self._loop.call_later(READINESS_INTERVAL_S, self._observe)
+        self.loop.call_later(READINESS_INTERVAL_S, self._observe)
 
     def _condition(self, now_ms: float, late: bool) -> GatewayCondition:
         """What the gateway sees of itself; `late`: this observation comes after a stall of the process."""
-        gateway, fleet, throttle = self._gateway, self._gateway.fleet, self._gateway.quotas.throttle
+        gateway, fleet, throttle = (
+            self.decision_module,
+            self.decision_module.fleet,
+            self.decision_module.quotas.throttle,
+        )
         counter_used = self.settings.counter_available and throttle.called_at > self._started_at_ms
         return GatewayCondition(
             ready=self.ready(),
-            discovery_answered=self._heard,
+            discovery_answered=self.discovery_answered,
             counter_answers=not counter_used or throttle.answer_rate >= SILENT_RATE,
             outcomes=self._outcomes,
-            admit_fraction=gateway.f,
+            admit_fraction=gateway.admission.admit_fraction,
             hosts=fleet.up,
             warming_hosts=fleet.cold,
             ejected_hosts=fleet.failing,
-            stalled=late or now_ms - gateway.stalled_at < STALL_MEMORY_MS,
+            stalled=late or now_ms - gateway.context.stalled_at < STALL_MEMORY_MS,
         )
 
-    def _post(self, event: api.Event) -> None:
+    def post(self, event: api.Event) -> None:
         if isinstance(event, api.AttemptEnded):
             self._outcomes += 1
-        super()._post(event)
+        super().post(event)
