--- a/tests/operate/test_calls.py
+++ b/tests/admin/test_commands.py
@@ -41,7 +41,7 @@
         return self.wrong
 
 
-def test_each_call_has_its_answer() -> None:
+def test_each_command_has_its_answer() -> None:
     gateway = Gateway()
     assert respond(b"check", gateway) == b"ACK\n"
     gateway.how_far = "learning: 3 of 20 outcomes seen"
@@ -69,14 +69,14 @@
         b"vars\tx",
     ],
 )
-def test_what_is_no_call_is_told_so_and_changes_nothing(line: bytes) -> None:
+def test_invalid_command_is_rejected_and_changes_nothing(line: bytes) -> None:
     gateway = Gateway()
     said = respond(line, gateway)
     assert said.startswith(b"NAK ") and said.count(b"\n") == 1
     assert gateway.calls == []
 
 
-def test_figures_count_by_class_and_names_are_bounded() -> None:
+def test_metrics_count_by_class_and_bound_the_number_of_classes() -> None:
     figures = Metrics()
     for status in (200, 204, 429, 503, 502, 504, 409):
         figures.count_answer("read", status)
@@ -92,7 +92,7 @@
     assert len(figures.served) == len(figures.attempts) == MAX_CLASSES
 
 
-def test_only_listed_hosts_go_out_and_a_bound_holds() -> None:
+def test_only_known_hosts_can_be_disabled_up_to_a_limit() -> None:
     listed = KnownHosts()
     listed.add(["s-1"])
     assert rejection_reason("s-1", True, listed, set()) == ""
@@ -105,7 +105,7 @@
     assert rejection_reason("x1", True, listed, full) == rejection_reason("x1", False, listed, full) == ""
 
 
-def test_two_processes_see_each_others_calls(tmp_path: Path) -> None:
+def test_processes_see_each_others_overrides(tmp_path: Path) -> None:
     old, new = OverrideFile(str(tmp_path)), OverrideFile(str(tmp_path))
     assert old.refresh() is None
     old.set_disabled("a", True)
@@ -116,7 +116,7 @@
     assert OverrideFile(str(tmp_path)).refresh() == {"b"}  # a later version, too
 
 
-def test_a_file_that_cannot_be_used_changes_nothing(tmp_path: Path) -> None:
+def test_unusable_override_file_changes_nothing(tmp_path: Path) -> None:
     file = OverrideFile(str(tmp_path))
     file.set_disabled("a", True)
     (tmp_path / FILE_NAME).write_text('{"out": 3}')
@@ -128,7 +128,7 @@
     assert file.disabled == {"a"}
 
 
-def test_a_process_that_stands_with_the_lock_holds_up_nobody(tmp_path: Path) -> None:
+def test_stopped_process_that_holds_the_lock_does_not_block_others(tmp_path: Path) -> None:
     file = OverrideFile(str(tmp_path))
     with open(tmp_path / f"{FILE_NAME}.lock", "w") as held:
         fcntl.flock(held, fcntl.LOCK_EX)
@@ -139,12 +139,12 @@
     assert file.disabled == {"a"}
 
 
-def test_without_a_folder_hosts_are_out_in_this_process() -> None:
+def test_without_a_directory_overrides_hold_in_this_process_only() -> None:
     file = OverrideFile(None)
     file.set_disabled("a", True)
     assert file.disabled == {"a"} and file.refresh() is None
 
 
-def test_the_file_is_plain_json(tmp_path: Path) -> None:
+def test_override_file_is_plain_json(tmp_path: Path) -> None:
     OverrideFile(str(tmp_path)).set_disabled("a", True)
     assert json.loads((tmp_path / FILE_NAME).read_text()) == {"version": 1, "out": ["a"]}
--- a/tests/operate/test_module.py
+++ b/tests/admin/test_disabled_hosts.py
@@ -21,7 +21,7 @@
     return names
 
 
-def test_a_host_out_by_hand_gets_nothing_whatever_the_list_says() -> None:
+def test_disabled_host_gets_no_request_whatever_discovery_lists() -> None:
     d = Driver(servers=3)
     d.give(api.HostDisabled("h0", True))
     assert "h0" not in sends(d)
@@ -37,7 +37,7 @@
     assert d.gateway.fleet.skipped() == 0
 
 
-def test_a_retry_does_not_go_to_a_host_that_went_out_meanwhile() -> None:
+def test_retry_avoids_a_host_disabled_meanwhile() -> None:
     d = Driver(servers=2)
     rid, out = d.ask()
     (first,) = of(out, api.SendAttempt)
@@ -47,7 +47,7 @@
     assert [a.host for a in again] == [first.host]
 
 
-def test_all_hosts_out_is_a_refusal() -> None:
+def test_request_is_rejected_when_all_hosts_are_disabled() -> None:
     d = Driver(servers=2)
     for name in ("h0", "h1"):
         d.give(api.HostDisabled(name, True))
@@ -56,7 +56,7 @@
     assert refused.reason == RejectReason.NO_HOST
 
 
-def test_a_host_put_back_is_cold_unless_its_new_start_was_told() -> None:
+def test_enabled_host_warms_up_unless_discovery_listed_its_restart() -> None:
     d = Driver(servers=4)
     sends(d)
     d.give(api.HostDisabled("h0", True), after=100)
@@ -73,7 +73,7 @@
     assert d.gateway.hosts["h1"].cold_from_ms == born
 
 
-def test_a_failing_host_that_is_put_back_is_not_left_to_rest() -> None:
+def test_enabled_host_is_no_longer_ejected() -> None:
     d = Driver(servers=2)
     fleet, host = d.gateway.fleet, d.gateway.hosts["h0"]
     fleet.down(host)
@@ -84,7 +84,7 @@
     assert (host.fails, fleet.failing, fleet.open_well) == (0, 0, before)
 
 
-def test_a_host_that_is_out_and_was_never_listed_costs_one_name() -> None:
+def test_disabled_host_that_was_never_listed_costs_one_name() -> None:
     d = Driver(servers=2)
     d.give(api.HostDisabled("h9", True))
     d.give(api.EndpointList(ListKind.CHANGES, (server(9),)))
@@ -113,7 +113,7 @@
     assert of(d.end(rid, AttemptResult.ERROR), api.Fail)
 
 
-def test_an_open_request_of_a_dropped_class_goes_on_and_new_ones_are_refused() -> None:
+def test_open_request_of_a_removed_class_continues_and_new_ones_are_rejected() -> None:
     d = Driver(servers=3)
     rid, _ = d.ask("read")
     d.give(changed(classes=(KEYED, UNSAFE)))
@@ -124,7 +124,7 @@
     assert not d.gateway.pending
 
 
-def test_a_request_that_waits_for_a_total_keeps_its_class() -> None:
+def test_request_that_awaits_a_counter_total_keeps_its_class() -> None:
     d = Driver(servers=3)
     rid, out = d.ask("read", "basic", customer="c", units=1)
     for _ in range(8):  # until one has to wait for the counter
@@ -140,7 +140,7 @@
     assert len(answers) == 1
 
 
-def test_ever_new_classes_do_not_fill_the_memory() -> None:
+def test_memory_stays_bounded_under_ever_new_classes() -> None:
     d = Driver(servers=3)
     for i in range(50):
         name = f"read{i}"
@@ -151,7 +151,7 @@
     assert len(gateway.admission.shares) == 1
 
 
-def test_a_new_scope_of_repeats_finds_its_hosts() -> None:
+def test_retry_follows_a_changed_idempotency_key_scope() -> None:
     d = Driver(servers=4, classes=(SAFE,))
     keyed = dataclasses.replace(KEYED, key_scope=KeyScope.ZONE)
     d.give(changed(classes=(keyed,)))
@@ -162,7 +162,7 @@
     assert len(set(zones.values())) == 1
 
 
-def test_plans_do_not_change_and_then_nothing_does() -> None:
+def test_changed_plans_are_rejected_and_change_nothing() -> None:
     d = Driver(servers=2)
     with pytest.raises(ValueError, match="plans"):
         d.give(changed(plans=(PLAN,), classes=(KEYED,)))
@@ -172,7 +172,7 @@
 # --- Answers that have begun at their clients ---
 
 
-def test_an_answer_that_is_being_read_slowly_is_no_load_of_its_host() -> None:
+def test_response_that_a_client_reads_slowly_does_not_count_as_load_of_its_host() -> None:
     d = Driver(servers=1)
     fleet, host = d.gateway.fleet, d.gateway.hosts["h0"]
     streams = [d.ask()[0] for _ in range(5)]
@@ -187,7 +187,7 @@
     assert (host.open, fleet.open_well, d.gateway.pending) == (0, 0, {})
 
 
-def test_an_answer_that_breaks_off_is_not_sent_again() -> None:
+def test_response_that_breaks_off_is_not_retried() -> None:
     d = Driver(servers=3)
     rid, _ = d.ask()
     d.give(api.ResponseStarted(rid, 0))
--- a/tests/operate/test_operated.py
+++ b/tests/admin/test_operators_port.py
@@ -21,7 +21,7 @@
     return None
 
 
-def test_figures_are_what_clients_and_hosts_saw(tmp_path: Path) -> None:
+def test_metrics_match_what_clients_and_hosts_saw(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(
             tmp_path, lambda seen: serve(seen) if "put" not in seen.line else None, operated=True
@@ -60,7 +60,7 @@
     on_loop(scenario)
 
 
-def test_a_host_that_is_out_gets_nothing_until_it_is_back(tmp_path: Path) -> None:
+def test_disabled_host_gets_no_request_until_it_is_enabled(tmp_path: Path) -> None:
     """Whatever discovery says of it meanwhile; and over a restart of the gateway, as over an upgrade."""
 
     async def scenario() -> None:
@@ -89,7 +89,7 @@
     on_loop(scenario)
 
 
-def test_callers_who_say_nothing_or_too_much_hold_up_nobody(tmp_path: Path) -> None:
+def test_silent_and_verbose_callers_do_not_block_others(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, operated=True) as rig:
             held = [
@@ -115,7 +115,7 @@
 ]
 
 
-def test_classes_change_at_sighup_and_open_requests_keep_theirs(tmp_path: Path) -> None:
+def test_reload_changes_classes_and_open_requests_keep_theirs(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, silent, silent, operated=True) as rig:
             old = asyncio.create_task(rig.ask(message(rid=b"old")))
@@ -189,7 +189,7 @@
         (_with("settings.grades.0.effect", "maybe"), "effect: found 'maybe', expected safe, keyed or unsafe"),
     ],
 )
-def test_a_file_that_is_no_good_leaves_the_old_settings_whole(tmp_path: Path, change, said: str) -> None:
+def test_invalid_configuration_leaves_the_old_settings_in_force(tmp_path: Path, change, said: str) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, operated=True) as rig:
             rig.change = change
@@ -203,7 +203,7 @@
     on_loop(scenario)
 
 
-def test_an_operators_address_that_is_taken_ends_the_start_plainly(tmp_path: Path) -> None:
+def test_start_ends_with_a_plain_error_when_the_operators_address_is_taken(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, operated=True) as rig:
             config = json.loads((tmp_path / "config.json").read_text())
--- /dev/null
+++ b/tests/fakes/successors.py
@@ -0,0 +1,58 @@
+"""A busy gateway, what it exports, and a successor that restores it; without sockets and clocks."""
+
+from __future__ import annotations
+
+import json
+import random
+from typing import Any
+
+from conftest import Driver, of, server
+
+from hillmux import interface as api
+from hillmux.decision.gateway import Gateway
+from hillmux.hot_restart.state_codec import export, restore
+from hillmux.interface import AttemptResult, ListKind
+
+
+def busy_gateway(seed: int = 1, customers: int = 30, faults: bool = True, **changes: object) -> Driver:
+    """A gateway after a while of traffic from customers of all plans; `faults`: a slow and a failing host."""
+    driver = Driver(servers=6, seed=seed, counter_available=False, **changes)
+    rng = random.Random(seed)
+    restarted = server(5, started_at_ms=driver.now)
+    driver.give(api.EndpointList(ListKind.CHANGES, (restarted,)), after=5000)
+    for number in range(40 * customers // 10):
+        class_name, plan = rng.choice(["read", "put"]), rng.choice(["capped", "basic", "open"])
+        request_id, actions = driver.ask(
+            class_name,
+            plan,
+            f"c{number % customers}",
+            units=rng.choice([1, 2, 4]),
+            after=rng.expovariate(1 / 30),
+        )
+        for attempt in of(actions, api.SendAttempt):
+            failing, slow = faults and attempt.host == "h1", faults and attempt.host == "h2"
+            driver.end(
+                request_id,
+                AttemptResult.RESET if failing else AttemptResult.OK,
+                took=400 if slow else 50,
+                after=1.0,
+            )
+    driver.sweep(3)
+    return driver
+
+
+def exported_documents(gateway: Gateway) -> list[dict[str, Any]]:
+    """What a gateway exports, after a round trip over JSON."""
+    documents: list[dict[str, Any]] = json.loads(json.dumps(list(export(gateway))))
+    return documents
+
+
+def successor_of(
+    predecessor: Driver, documents: list[dict[str, Any]] | None = None, after_ms: float = 0.0
+) -> Driver:
+    """A gateway of the same settings and endpoints that restores documents, by default the predecessor's."""
+    successor = Driver(servers=6, seed=99, now=predecessor.now + after_ms, counter_available=False)
+    restarted = predecessor.gateway.hosts["h5"].server
+    successor.give(api.EndpointList(ListKind.CHANGES, (restarted,)))
+    restore(successor.gateway, exported_documents(predecessor.gateway) if documents is None else documents)
+    return successor
--- a/tests/handover/test_upgrade.py
+++ b/tests/hot_restart/test_processes.py
@@ -27,7 +27,7 @@
     return (await read_message(reader, writer)).line.split()[1]
 
 
-def test_nothing_is_turned_back_while_versions_follow_each_other(tmp_path: Path) -> None:
+def test_no_request_fails_during_successive_hot_restarts(tmp_path: Path) -> None:
     """Clients that keep their connections and clients that come anew, through three upgrades."""
 
     async def scenario() -> None:
@@ -64,7 +64,7 @@
     on_loop(scenario)
 
 
-def test_what_is_open_is_answered_by_the_old_process_and_the_connection_goes_on(tmp_path: Path) -> None:
+def test_open_request_is_answered_by_the_old_process_and_its_connection_is_passed_on(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, silent, operated=True) as rig:
             reader, writer = await rig.connect()
@@ -93,7 +93,7 @@
     on_loop(scenario)
 
 
-def test_a_host_out_by_hand_stays_out_and_either_process_may_be_told(tmp_path: Path) -> None:
+def test_disabled_host_stays_disabled_and_either_process_accepts_the_command(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, serve, operated=True) as rig:
             assert await rig.call("set-down s-0") == "ACK\n"
@@ -118,7 +118,7 @@
     on_loop(scenario)
 
 
-def test_an_id_that_only_the_old_process_saw_may_be_taken_out(tmp_path: Path) -> None:
+def test_host_known_only_to_the_old_process_can_be_disabled(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, operated=True) as rig:
             await rig.directory.tell([instance("s-old", 1)])
@@ -130,7 +130,7 @@
     on_loop(scenario)
 
 
-def test_a_successor_that_ends_before_it_serves_leaves_the_old_process_as_it_was(tmp_path: Path) -> None:
+def test_old_process_resumes_when_the_successor_ends_before_it_serves(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, operated=True) as rig:
             sock = connect(str(tmp_path))
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("said", [b"{", b"[]", b'{"t":"serving"}', b'{"t":"what"}', b"\0" * 1000])
-def test_nonsense_at_the_socket_changes_nothing(tmp_path: Path, said: bytes) -> None:
+def test_malformed_packets_at_the_socket_change_nothing(tmp_path: Path, said: bytes) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, operated=True) as rig:
             sock = connect(str(tmp_path))
@@ -168,7 +168,7 @@
     on_loop(scenario)
 
 
-def test_an_old_process_that_does_not_answer_is_served_beside(tmp_path: Path) -> None:
+def test_new_process_serves_beside_an_old_one_that_does_not_answer(tmp_path: Path) -> None:
     """A stand-in holds the socket and says nothing: the new process listens beside whoever serves."""
 
     async def scenario() -> None:
@@ -185,7 +185,7 @@
     on_loop(scenario)
 
 
-def test_a_socket_that_a_dead_process_left_is_nobody(tmp_path: Path) -> None:
+def test_socket_of_a_dead_process_is_ignored(tmp_path: Path) -> None:
     async def scenario() -> None:
         listen(str(tmp_path)).close()
         assert (tmp_path / SOCKET_NAME).exists()
@@ -195,7 +195,7 @@
     on_loop(scenario)
 
 
-def test_packets_that_the_other_side_has_no_room_for_wait_in_order(tmp_path: Path) -> None:
+def test_packets_wait_in_order_while_the_peer_does_not_read(tmp_path: Path) -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -225,7 +225,7 @@
     on_loop(scenario)
 
 
-def test_hosts_connection_count_and_address_stay(tmp_path: Path) -> None:
+def test_address_stays_and_connecting_client_waits_for_the_new_process(tmp_path: Path) -> None:
     """The address is the same, and a client that connects in the middle of it waits for the new process."""
 
     async def scenario() -> None:
--- a/tests/handover/test_state.py
+++ b/tests/hot_restart/test_state_codec.py
@@ -1,4 +1,4 @@
-"""What one decision module knows, another goes on from: the same decisions, and nothing half taken."""
+"""A decision module restores what another exported: it decides alike, or nothing is changed."""
 
 from __future__ import annotations
 
@@ -9,60 +9,26 @@
 
 import pytest
 from conftest import CAPPED, Driver, of, server
+from fakes.successors import busy_gateway, exported_documents, successor_of
 
 from hillmux import interface as api
-from hillmux.decision.gateway import Gateway
 from hillmux.hot_restart import state_codec as state
 from hillmux.hot_restart.channel import MAX_PACKET_BYTES
 from hillmux.hot_restart.state_codec import AT_ONCE, MODULE, StateError, export, restore
-from hillmux.interface import AttemptResult, ListKind, RejectReason
+from hillmux.interface import ListKind, RejectReason
 from hillmux.quotas.registry import CHOICES
 
 
-def busy(seed: int = 1, customers: int = 30, trouble: bool = True, **changes: object) -> Driver:
-    """A module in the middle of a day: customers of all plans; in trouble a slow host, and one that fails."""
-    d = Driver(servers=6, seed=seed, counter_available=False, **changes)
-    r = random.Random(seed)
-    d.give(api.EndpointList(ListKind.CHANGES, (server(5, started_at_ms=d.now),)), after=5000)
-    for i in range(40 * customers // 10):
-        cls, plan = r.choice(["read", "put"]), r.choice(["capped", "basic", "open"])
-        rid, out = d.ask(
-            cls, plan, f"c{i % customers}", units=r.choice([1, 2, 4]), after=r.expovariate(1 / 30)
-        )
-        for act in of(out, api.SendAttempt):
-            bad, slow = trouble and act.host == "h1", trouble and act.host == "h2"
-            d.end(
-                rid,
-                AttemptResult.RESET if bad else AttemptResult.OK,
-                took=400 if slow else 50,
-                after=1.0,
-            )
-    d.sweep(3)
-    return d
-
-
-def heir(d: Driver) -> Driver:
-    """A module of the same settings and list that goes on from what the other tells, over the wire's JSON."""
-    new = Driver(servers=6, seed=99, now=d.now, counter_available=False)
-    new.give(api.EndpointList(ListKind.CHANGES, (d.gateway.hosts["h5"].server,)))
-    restore(new.gateway, json.loads(json.dumps(list(export(d.gateway)))))
-    return new
-
-
-def known(gateway: Gateway) -> list[dict]:
-    return json.loads(json.dumps(list(export(gateway))))
-
-
-def test_an_heir_knows_what_its_predecessor_knew() -> None:
-    d = busy()
-    assert known(heir(d).gateway) == known(d.gateway)
+def test_restored_module_exports_the_same_documents() -> None:
+    d = busy_gateway()
+    assert exported_documents(successor_of(d).gateway) == exported_documents(d.gateway)
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_an_heir_decides_as_its_predecessor_would_have(seed: int) -> None:
-    """The same requests at the same times, to the old module as if nothing had been and to its heir."""
-    d = busy(seed, trouble=False)
-    new = heir(d)
+def test_restored_module_decides_as_its_predecessor_would_have(seed: int) -> None:
+    """The same requests at the same times, to the old module as if it went on and to its successor."""
+    d = busy_gateway(seed, faults=False)
+    new = successor_of(d)
     assert new.gateway.fleet.skipped() == d.gateway.fleet.skipped()
     answers = []
     for module in (d, new):
@@ -77,10 +43,10 @@
     assert answers[0] == answers[1]
 
 
-def test_two_processes_of_a_gateway_spend_one_part_of_a_ceiling() -> None:
+def test_old_and_new_process_together_stay_within_one_ceiling() -> None:
     """The old one nothing, the new one what was left and what it earns; both together within the store."""
-    d = busy()
-    new = heir(d)
+    d = busy_gateway()
+    new = successor_of(d)
     d.give(api.TakenOver(True))
     before, use = d.now, d.gateway.quotas.registry.states["c0", "capped"]
     spent = 0
@@ -97,8 +63,8 @@
     assert store + 4.0 * rate - 2 <= spent <= store + 4.0 * rate
 
 
-def test_a_predecessor_that_goes_on_after_all_spends_again() -> None:
-    d = busy(trouble=False)
+def test_resumed_process_spends_of_its_ceilings_again() -> None:
+    d = busy_gateway(faults=False)
     d.give(api.TakenOver(True))
     rid, out = d.ask("read", "capped", "new", units=1)
     assert of(out, api.Reject)[0].reason == RejectReason.CEILING
@@ -106,19 +72,19 @@
     assert of(d.ask("read", "capped", "new", units=1)[1], api.SendAttempt)
 
 
-def test_a_host_that_has_started_anew_since_is_not_taken_for_the_old_one() -> None:
-    d = busy()
+def test_record_of_a_host_restarted_since_is_not_restored() -> None:
+    d = busy_gateway()
     new = Driver(servers=6, seed=99, now=d.now, counter_available=False)
     new.give(api.EndpointList(ListKind.CHANGES, (server(2, started_at_ms=d.now),)))
-    restore(new.gateway, known(d.gateway))
+    restore(new.gateway, exported_documents(d.gateway))
     assert new.gateway.hosts["h2"].slow == 1.0
     assert new.gateway.fleet.warmth(new.gateway.hosts["h2"]) < 1
 
 
-def test_ceilings_that_were_forgotten_early_go_along() -> None:
-    d = busy(max_customers=CHOICES)
+def test_sketch_of_forgotten_ceilings_is_restored() -> None:
+    d = busy_gateway(max_customers=CHOICES)
     assert d.gateway.quotas.registry.ceilings_from.times is not None
-    new = heir(d)
+    new = successor_of(d)
     assert new.gateway.quotas.registry.ceilings_from.times == d.gateway.quotas.registry.ceilings_from.times
 
 
@@ -150,14 +116,14 @@
 
 
 @pytest.mark.parametrize(("field", "value"), _spoilt())
-def test_what_cannot_be_read_is_left_whole(field: str, value: object) -> None:
-    documents = known(busy().gateway)
+def test_malformed_documents_change_nothing(field: str, value: object) -> None:
+    documents = exported_documents(busy_gateway().gateway)
     next(d for d in documents if d["t"] == (field if field == "hosts" else MODULE))[field] = value
     fresh = Driver(servers=6, counter_available=False)
-    before = copy.deepcopy(known(fresh.gateway))
+    before = copy.deepcopy(exported_documents(fresh.gateway))
     with pytest.raises(StateError, match=field if field != "version" else "version 1"):
         restore(fresh.gateway, documents)
-    assert known(fresh.gateway) == before
+    assert exported_documents(fresh.gateway) == before
 
 
 @pytest.mark.parametrize(
@@ -169,8 +135,8 @@
         lambda uses: uses[0].append(1.0),
     ],
 )
-def test_a_customer_that_cannot_be_read_is_told(change) -> None:
-    documents = known(busy().gateway)
+def test_error_names_the_malformed_customer(change) -> None:
+    documents = exported_documents(busy_gateway().gateway)
     change(next(d for d in documents if d["t"] == "customers")["uses"])
     fresh = Driver(servers=6, counter_available=False)
     with pytest.raises(StateError, match="uses"):
@@ -179,20 +145,20 @@
 
 
 @pytest.mark.parametrize("text", ["x", "~~~~~", "0" * 40])
-def test_a_sketch_that_cannot_be_read_is_told(text: str) -> None:
-    documents = [*known(busy().gateway), {"t": "sketch", "text": text}]
+def test_malformed_sketch_is_an_error(text: str) -> None:
+    documents = [*exported_documents(busy_gateway().gateway), {"t": "sketch", "text": text}]
     with pytest.raises(StateError, match="sketch"):
         restore(Driver(servers=6, counter_available=False).gateway, documents)
 
 
-def test_without_one_head_nothing_is_taken() -> None:
-    documents = known(busy().gateway)
+def test_exactly_one_module_document_is_required() -> None:
+    documents = exported_documents(busy_gateway().gateway)
     for some in (documents[1:], [documents[0], *documents]):
         with pytest.raises(StateError, match="one document"):
             restore(Driver(servers=6).gateway, some)
 
 
-def test_names_and_order_in_documents_stay_as_the_first_version_wrote_them() -> None:
+def test_names_and_order_in_documents_are_those_of_the_first_version() -> None:
     """An old and a new version hand over to each other by them, whatever the attributes are called."""
     assert state.USE == (
         "width", "widest", "window", "own", "added", "base", "base_own", "base_use", "base_at", "base_left",
@@ -203,7 +169,7 @@
     assert len(set(state.USE_ATTRIBUTES.values())) == len(state.USE)
 
 
-def test_a_row_of_a_customer_is_written_under_the_names_of_documents() -> None:
+def test_customer_row_is_written_in_the_order_of_the_stored_names() -> None:
     d = Driver(servers=6)
     d.ask("read", "capped", "c0", units=2, width=3)
     (known_state,) = d.gateway.quotas.registry.states.values()
--- a/tests/recovery/test_several.py
+++ b/tests/recovery/test_fleet_restart.py
@@ -28,7 +28,7 @@
     return [e["text"] for e in record.read(result.folder) if e["ev"] == "snapshots" and e["who"] == who]
 
 
-def test_a_herd_that_is_killed_goes_on_from_its_snapshots_and_passes_no_ceiling(tmp_path: Path) -> None:
+def test_killed_gateways_restore_their_snapshots_and_exceed_no_ceiling(tmp_path: Path) -> None:
     """Killed twice under customers that press on their ceilings: what a snapshot says of one is not spent."""
     result = play(fleet(
         {"at_s": 1.6, "what": "kill", "who": "75% of gateways", "name": "herd"},
@@ -47,7 +47,7 @@
         assert all(" s old, a process went on after it" in line for line in lines[1:])
 
 
-def test_a_drain_leaves_an_exact_one_that_is_gone_on_from_once(tmp_path: Path) -> None:
+def test_graceful_shutdown_leaves_a_final_snapshot_that_is_restored_once(tmp_path: Path) -> None:
     result = play(fleet(
         {"at_s": 1.0, "what": "term", "who": "gateway:1"},
         {"at_s": 1.1, "what": "start", "who": "gateway:1", "how": "kept"},
@@ -63,7 +63,7 @@
     ("how", "why"), [("torn", "size: found"), ("flipped", "digest: the documents are damaged"),
                      ("twin", "name: found 'g2', expected 'g1'")],
 )  # fmt: skip
-def test_a_snapshot_that_is_damaged_or_a_twins_is_told_and_left(tmp_path: Path, how: str, why: str) -> None:
+def test_damaged_or_foreign_snapshot_is_logged_and_not_restored(tmp_path: Path, how: str, why: str) -> None:
     result = play(fleet(
         {"at_s": 1.6, "what": "kill", "who": "gateway:1"},
         {"at_s": 1.7, "what": "start", "who": "gateway:1", "how": how},
@@ -74,7 +74,7 @@
     assert told.startswith("left, nothing of it is believed: ") and why in told
 
 
-def test_a_counter_that_is_empty_in_the_middle_of_a_herd_and_at_half_of_it_opens_no_ceiling(
+def test_counter_that_loses_its_totals_opens_no_ceiling(
     tmp_path: Path,
 ) -> None:
     result = play(fleet(
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("how", ["", "kept"])
-def test_one_started_under_a_silent_discovery_with_an_old_list_serves_and_learns(
+def test_gateway_started_with_a_cached_list_and_silent_discovery_serves_and_learns(
     tmp_path: Path, how: str
 ) -> None:
     """Its list names hosts that have gone, and others at each other's addresses, all of them cold by now."""
--- a/tests/recovery/test_full.py
+++ b/tests/recovery/test_full_service.py
@@ -27,22 +27,22 @@
         ([94] * 5, 0),
     ],
 )
-def test_service_is_full_once_it_stays_so(served: list[float], seen: float | None) -> None:
+def test_service_is_full_once_it_stays_full(served: list[float], seen: float | None) -> None:
     assert full.time_to_full(shares(*served), THEN) == seen
 
 
-def test_a_slow_tail_is_no_full_service_but_that_of_a_few_answers_is_not_judged() -> None:
+def test_slow_tail_is_not_full_service_unless_samples_are_few() -> None:
     assert full.time_to_full([ServiceWindow(100, 98, SLOW)] * 9, THEN) is None
     assert full.time_to_full([ServiceWindow(100, 98, SLOW[-10:])] * 9, THEN) == 0
 
 
-def test_a_second_wave_is_seen() -> None:
+def test_second_drop_is_found() -> None:
     windows = shares(50, 98, 98, 98, 98, 98, 85, 98)
     assert full.time_to_full(windows, THEN) == 1
     assert full.second_drop(windows, THEN, 1) == 6
     assert full.second_drop(windows[:6], THEN, 1) is None
 
 
-def test_nothing_before_the_fault_is_an_error() -> None:
+def test_baseline_without_windows_is_an_error() -> None:
     with pytest.raises(ValueError, match="windows"):
         full.baseline([])
--- a/tests/recovery/test_waking.py
+++ b/tests/recovery/test_process_restart.py
@@ -50,27 +50,27 @@
 
 
 @pytest.mark.parametrize("stood_ms", [OUTDATED_MS + 200, 60_000, 3_600_000])
-def test_a_fraction_from_before_a_long_stall_refuses_nobody(stood_ms: float) -> None:
+def test_admit_fraction_from_before_a_long_stall_rejects_nothing(stood_ms: float) -> None:
     d = jammed()
     d.now += stood_ms
     assert let_in(d) == 50 and not d.gateway.quotas.pressed
 
 
 @pytest.mark.parametrize("stood_ms", [0, 300, OUTDATED_MS - 500])
-def test_a_fraction_from_a_moment_ago_holds_through_a_short_one(stood_ms: float) -> None:
+def test_recent_admit_fraction_holds_through_a_short_stall(stood_ms: float) -> None:
     d = jammed()
     d.now += stood_ms
     assert let_in(d) < 25
 
 
-def test_a_jam_that_is_still_there_is_found_out_again() -> None:
+def test_overload_that_outlasts_a_stall_is_detected_again() -> None:
     d = jammed()
     d.now += 60_000
     press(d, 1500, every_ms=2)
     assert d.gateway.admission.admit_fraction < 0.5
 
 
-def test_gateways_that_wake_send_nothing_by_the_list_of_before(tmp_path: Path) -> None:
+def test_gateway_sends_nothing_by_the_endpoint_list_from_before_a_stall(tmp_path: Path) -> None:
     """Two of four stand still while three hosts drain, one by one, and one restarts; requests wait."""
     result = play(day(
         {"at_s": 1.0, "what": "stop", "who": "50% of gateways", "name": "still"},
--- a/tests/recovery/test_memory.py
+++ b/tests/recovery/test_retention.py
@@ -1,14 +1,13 @@
-"""What may be believed of what a process left behind: the table is whole, and errs on the harmless side."""
+"""What is retained of a process's state: the rules are complete, and expired values are harmless."""
 
 from __future__ import annotations
 
-import json
 import random
 from typing import Any
 
 import pytest
 from conftest import CAPPED, Driver, of
-from handover.test_state import busy, known
+from fakes.successors import busy_gateway, exported_documents, successor_of
 
 from hillmux import interface as api
 from hillmux.balancing.fleet import Host
@@ -42,21 +41,15 @@
 }  # fmt: skip
 
 
-def left(d: Driver) -> list[dict]:
-    return json.loads(json.dumps(list(export(d.gateway))))
-
-
-def heir(d: Driver, age: float, exact: bool) -> Driver:
-    """A module born `age` after the other left its documents, that goes on from what may be believed."""
-    now = d.now + age
-    new = Driver(servers=6, seed=99, now=now, counter_available=False)
-    new.give(api.EndpointList(ListKind.CHANGES, (d.gateway.hosts["h5"].server,)))
-    restore(new.gateway, retained(left(d), d.now, exact, now, now))
-    return new
+def successor_after(d: Driver, age_ms: float, exact: bool) -> Driver:
+    """A successor started `age_ms` after the documents were exported, which restores what is retained."""
+    now = d.now + age_ms
+    documents = retained(exported_documents(d.gateway), d.now, exact, now, now)
+    return successor_of(d, documents, age_ms)
 
 
 @pytest.mark.parametrize("place", PLACES)
-def test_every_field_that_is_left_behind_has_one_item_that_says_how_long_it_holds(place: str) -> None:
+def test_every_stored_field_belongs_to_exactly_one_retention_rule(place: str) -> None:
     named = [field for item in RETENTION_RULES if item.section == place for field in item.fields]
     assert sorted(named) == sorted(PLACES[place])
 
@@ -65,23 +58,23 @@
     ("kind", "left_behind"),
     [(Host, state.HOST), (QuotaState, tuple(state.USE_ATTRIBUTES[name] for name in state.USE))],
 )
-def test_every_field_of_a_host_and_a_customer_is_left_behind_or_made_anew(
+def test_every_field_of_a_host_and_a_customer_is_stored_or_derived(
     kind: type, left_behind: tuple[str, ...]
 ) -> None:
     assert set(kind.__slots__) == set(left_behind) | MADE[kind]  # type: ignore[attr-defined]
     assert not set(left_behind) & MADE[kind]
 
 
-def test_what_was_exact_a_moment_ago_is_believed_whole() -> None:
-    d = busy()
-    assert retained(left(d), d.now, True, d.now, d.now) == left(d)
+def test_state_after_a_clean_exit_a_moment_ago_is_retained_whole() -> None:
+    d = busy_gateway()
+    assert retained(exported_documents(d.gateway), d.now, True, d.now, d.now) == exported_documents(d.gateway)
 
 
 @pytest.mark.parametrize("age", [0.0, 400.0, 20_000.0])
-def test_a_process_that_went_on_leaves_no_ceiling_no_count_and_no_birth(age: float) -> None:
-    d = busy()
+def test_after_a_crash_no_ceiling_count_or_start_time_is_retained(age: float) -> None:
+    d = busy_gateway()
     assert any(use.ceiling_remaining > 0 for use in d.gateway.quotas.registry.states.values())
-    new = heir(d, age, exact=False)
+    new = successor_after(d, age, exact=False)
     assert new.gateway.context.started_at == new.now
     for use in new.gateway.quotas.registry.states.values():
         assert (use.ceiling_remaining, use.used, use.reported) == (0.0, 0.0, 0.0)
@@ -91,13 +84,13 @@
             assert not new.gateway.quotas.ceiling_has(use, 1.0)
 
 
-def test_what_two_lives_spend_of_a_ceiling_stays_under_it_however_often_one_is_killed() -> None:
+def test_ceiling_is_not_exceeded_however_often_the_process_is_killed() -> None:
     """Killed after each request, with a snapshot before it, thirty times."""
     d = Driver(servers=6, counter_available=False)
     plan = CAPPED
     spent, began = 0.0, d.now
     for _ in range(30):
-        documents, at = left(d), d.now
+        documents, at = exported_documents(d.gateway), d.now
         rid, _ = d.ask("read", plan.name, "c1", units=1, after=40)
         spent += any(isinstance(a, api.SendAttempt) and a.request_id == rid for _, a in d.log)
         d.now += 100
@@ -107,21 +100,21 @@
     assert spent <= plan.ceiling_burst + plan.ceiling_rate * (d.now - began) / 1000
 
 
-def test_an_old_fraction_lets_a_calm_fleet_in_and_a_young_one_holds() -> None:
-    d = busy()
+def test_expired_admit_fraction_is_reset_and_a_recent_one_is_retained() -> None:
+    d = busy_gateway()
     d.gateway.admission.admit_fraction = 0.3
     for share in d.gateway.admission.shares.values():
         share.admit_fraction = 0.2
-    young, old = heir(d, 500, exact=False).gateway, heir(d, 60_000, exact=True).gateway
+    young, old = successor_after(d, 500, exact=False).gateway, successor_after(d, 60_000, exact=True).gateway
     assert young.admission.admit_fraction == 0.3 and young.quotas.pressed
     assert {share.admit_fraction for share in young.admission.shares.values()} == {0.2}
     assert old.admission.admit_fraction == 1.0 and not old.quotas.pressed
     assert {share.admit_fraction for share in old.admission.shares.values()} == {1.0}
 
 
-def test_a_start_that_the_list_tells_goes_before_what_was_known_of_the_host() -> None:
-    d = busy()
-    documents = left(d)
+def test_later_start_listed_by_discovery_overrides_a_restored_host() -> None:
+    d = busy_gateway()
+    documents = exported_documents(d.gateway)
     new = Driver(servers=6, seed=99, now=d.now + 100, counter_available=False)
     restarted = api.Endpoint("h2", "a", 0, started_at_ms=new.now - 50)
     new.give(api.EndpointList(ListKind.CHANGES, (restarted,)))
@@ -130,25 +123,25 @@
     assert new.gateway.fleet.warmth(host) < 1 and host.slow == 1.0
 
 
-def test_a_host_that_the_list_does_not_name_is_not_revived() -> None:
-    d = busy()
+def test_host_that_is_not_listed_is_not_restored() -> None:
+    d = busy_gateway()
     new = Driver(servers=3, seed=99, now=d.now, counter_available=False)
-    restore(new.gateway, retained(left(d), d.now, True, new.now, new.now))
+    restore(new.gateway, retained(exported_documents(d.gateway), d.now, True, new.now, new.now))
     assert sorted(new.gateway.hosts) == ["h0", "h1", "h2"]
 
 
-def test_slowness_drifts_back_and_an_old_failure_is_forgotten() -> None:
-    d = busy()
+def test_latency_ratio_decays_and_an_old_failure_is_not_retained() -> None:
+    d = busy_gateway()
     slow = d.gateway.hosts["h2"].slow = 3.0
     assert d.gateway.hosts["h1"].fails
-    later = heir(d, LATENCY_RATIO_HALF_LIFE_MS, exact=False).gateway
+    later = successor_after(d, LATENCY_RATIO_HALF_LIFE_MS, exact=False).gateway
     assert later.hosts["h2"].slow == pytest.approx(1 + (slow - 1) / 2)
-    assert not later.hosts["h1"].fails and heir(d, 1000, exact=False).gateway.hosts["h1"].strikes
+    assert not later.hosts["h1"].fails and successor_after(d, 1000, exact=False).gateway.hosts["h1"].strikes
 
 
-def test_a_customer_is_left_out_of_an_exact_end_only_once_its_ceiling_had_filled_again() -> None:
-    """To an heir of the old birth it is new, with a full part: no more than it had."""
-    d = busy()
+def test_final_snapshot_omits_a_customer_only_once_its_ceiling_is_full_again() -> None:
+    """To a successor of the old birth it is new, with a full part: no more than it had."""
+    d = busy_gateway()
     quotas = d.gateway.quotas
     (use,) = [u for u in quotas.registry.states.values() if u.plan is CAPPED and u.key[0] == "c1"]
     rest, full = quotas.registry.rests["capped"], CAPPED.ceiling_burst / use.replicas
@@ -162,8 +155,8 @@
     assert quotas.ceiling_has(use, full)
 
 
-def test_what_is_left_for_a_kill_has_the_customers_seen_of_late_for_others_would_not_be_believed() -> None:
-    d = busy(customers=30)
+def test_periodic_snapshot_holds_only_customers_seen_recently() -> None:
+    d = busy_gateway(customers=30)
     uses = list(d.gateway.quotas.registry.states.values())
     uses[0].seen_at -= 2 * USE_AFTER_CRASH_MS
     documents = export(d.gateway, lambda use: is_worth_storing(use.seen_at, 0.0, d.now, exact=False))
@@ -182,9 +175,9 @@
     [(("scalars", "f"), 1.5), (("latency", "read"), 0.0), (("latency", "read"), 2**5000),
      (("warm_rate",), -1.0)],
 )  # fmt: skip
-def test_a_number_outside_of_its_range_is_told_by_its_field(path: tuple[str, ...], value: float) -> None:
-    d = busy()
-    documents = left(d)
+def test_error_names_the_field_of_a_number_out_of_range(path: tuple[str, ...], value: float) -> None:
+    d = busy_gateway()
+    documents = exported_documents(d.gateway)
     where = documents[0]
     for part in path[:-1]:
         where = where[part]
@@ -194,18 +187,18 @@
 
 
 @pytest.mark.parametrize("seed", range(300))
-def test_documents_spoilt_anywhere_are_taken_whole_or_not_at_all(seed: int) -> None:
+def test_corrupted_documents_are_restored_whole_or_not_at_all(seed: int) -> None:
     """Digests keep damage out; what a faulty version wrote must not crash a start or be half taken."""
-    d, draw = busy(customers=6), random.Random(seed)
-    documents = left(d)
+    d, draw = busy_gateway(customers=6), random.Random(seed)
+    documents = exported_documents(d.gateway)
     spoil(documents, draw)
     new = Driver(servers=6, seed=99, now=d.now, counter_available=False)
-    before = known(new.gateway)
+    before = exported_documents(new.gateway)
     try:
         now = d.now + draw.choice([0, 1e4])
         restore(new.gateway, retained(documents, d.now, bool(seed % 2), now, d.now))
     except (StateError, SnapshotContentError):
-        assert known(new.gateway) == before
+        assert exported_documents(new.gateway) == before
     else:
         rid, acts = new.ask("read", "open", "c1", after=5)  # and decides on
         assert acts and new.end(rid, AttemptResult.OK) is not None if of(acts, api.SendAttempt) else acts
@@ -227,8 +220,8 @@
 
 
 @pytest.mark.parametrize("exact", [False, True])
-def test_nothing_of_what_is_aged_changes_the_documents(exact: bool) -> None:
-    d = busy()
-    documents = left(d)
+def test_retention_does_not_change_its_input(exact: bool) -> None:
+    d = busy_gateway()
+    documents = exported_documents(d.gateway)
     retained(documents, d.now, exact, d.now + 1e6, d.now + 1e6)
-    assert documents == left(d)
+    assert documents == exported_documents(d.gateway)
--- a/tests/recovery/test_snapshot.py
+++ b/tests/recovery/test_snapshot_format.py
@@ -31,12 +31,12 @@
     return builder.encode(head)
 
 
-def test_what_was_written_is_read() -> None:
+def test_snapshot_round_trip() -> None:
     assert decode(data()) == Snapshot(HEAD, DOCUMENTS)
     check_usable(HEAD, ME, HEAD.taken_ms)
 
 
-def test_a_file_that_is_cut_anywhere_is_believed_in_nothing() -> None:
+def test_truncated_file_is_rejected() -> None:
     whole = data()
     for length in range(len(whole)):
         with pytest.raises(SnapshotError):
@@ -45,7 +45,7 @@
         decode(whole + b"{}\n")
 
 
-def test_a_file_with_any_bit_flipped_is_believed_in_nothing() -> None:
+def test_file_with_any_flipped_bit_is_rejected() -> None:
     whole = data()
     for at in range(8 * len(whole)):
         torn = bytearray(whole)
@@ -54,7 +54,7 @@
             decode(bytes(torn))
 
 
-def test_two_writes_mixed_are_believed_in_nothing() -> None:
+def test_mixture_of_two_snapshots_is_rejected() -> None:
     one, two = data(), data(dataclasses.replace(HEAD, serial=4))
     with pytest.raises(SnapshotError):
         decode(one[: len(one) // 2] + two[len(two) // 2 :] + b"x")
@@ -65,7 +65,7 @@
         decode(head + b"\n" + other.encode(HEAD).partition(b"\n")[2])
 
 
-def test_what_is_no_snapshot_at_all_ends_in_an_error() -> None:
+def test_bytes_that_are_no_snapshot_are_rejected() -> None:
     draw = random.Random(7)
     for _ in range(500):
         with pytest.raises(SnapshotError):
@@ -80,18 +80,18 @@
     [({"name": "g2"}, "name"), ({"fleet": "poti"}, "fleet"), ({"plans": "p2"}, "plans"),
      ({"folder": "m.1.3"}, "folder")],
 )  # fmt: skip
-def test_a_snapshot_of_another_is_told_by_the_field_that_differs(changes: dict[str, str], named: str) -> None:
+def test_error_names_the_field_in_which_the_owner_differs(changes: dict[str, str], named: str) -> None:
     with pytest.raises(SnapshotError, match=f"^{named}: found .*, expected"):
         check_usable(HEAD, dataclasses.replace(ME, **changes), HEAD.taken_ms)
 
 
-def test_a_snapshot_from_the_future_is_left() -> None:
+def test_snapshot_from_the_future_is_rejected() -> None:
     check_usable(HEAD, ME, HEAD.taken_ms - MAX_CLOCK_SKEW_MS)
     with pytest.raises(SnapshotError, match="taken_ms"):
         check_usable(HEAD, ME, HEAD.taken_ms - MAX_CLOCK_SKEW_MS - 1)
 
 
-def test_what_would_go_beyond_the_bound_is_left_out_and_the_rest_stands() -> None:
+def test_documents_beyond_the_size_limit_are_omitted() -> None:
     builder = SnapshotBuilder(max_bytes=200)
     for number in range(100):
         builder.add({"t": "customers", "n": number})
@@ -100,7 +100,7 @@
     assert len(builder.encode(HEAD).partition(b"\n")[2]) <= 200
 
 
-def test_a_copied_folder_is_another_folder(tmp_path: Path) -> None:
+def test_copied_directory_has_another_identity(tmp_path: Path) -> None:
     import shutil
 
     from hillmux.recovery.snapshot_store import StateDirectory
@@ -113,7 +113,7 @@
     assert StateDirectory(tmp_path / "b").id() != mine
 
 
-def test_an_operator_is_shown_what_a_snapshot_says_and_told_what_is_wrong_with_one(tmp_path: Path) -> None:
+def test_snapshot_commands_describe_a_snapshot_and_report_faults(tmp_path: Path) -> None:
     from click.testing import CliRunner
 
     from hillmux.cli import main
--- a/tests/recovery/test_service.py
+++ b/tests/recovery/test_snapshot_service.py
@@ -44,7 +44,7 @@
         await asyncio.sleep(0.005)
 
 
-def test_it_is_written_again_and_again_and_the_last_one_is_exact_and_taken_once(tmp_path: Path) -> None:
+def test_snapshots_are_written_periodically_and_the_final_one_is_taken_once(tmp_path: Path) -> None:
     async def scenario() -> None:
         gateway = Gateway()
         first = gateway.snapshots(tmp_path)
@@ -65,7 +65,7 @@
     on_loop(scenario)
 
 
-def test_a_process_whose_predecessor_still_runs_writes_once_that_has_gone(tmp_path: Path) -> None:
+def test_process_writes_once_its_predecessor_has_unlocked_the_directory(tmp_path: Path) -> None:
     async def scenario() -> None:
         old, new = Gateway().snapshots(tmp_path), Gateway().snapshots(tmp_path)
         old.take_previous()
@@ -74,16 +74,15 @@
         new.take_previous()
         new.start()
         old.abandon()
-        assert not (
-            tmp_path / SNAPSHOT_NAME
-        ).exists()  # nothing that the heir's own end could be overtaken by
+        # No snapshot is left that would be older than the successor's own end.
+        assert not (tmp_path / SNAPSHOT_NAME).exists()
         await written(tmp_path, 1)
         new.abandon()
 
     on_loop(scenario)
 
 
-def test_what_does_not_fit_whole_is_not_exact(tmp_path: Path) -> None:
+def test_final_snapshot_that_omits_customers_is_not_exact(tmp_path: Path) -> None:
     """A customer that is left out would find its ceiling full."""
 
     async def scenario() -> None:
@@ -98,7 +97,7 @@
     on_loop(scenario)
 
 
-def test_a_write_that_is_under_way_does_not_come_after_the_exact_one(
+def test_background_write_does_not_replace_the_final_snapshot(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
@@ -124,7 +123,7 @@
     on_loop(scenario)
 
 
-def test_a_disk_that_fails_is_told_once_and_again_when_it_is_well(
+def test_disk_failure_and_its_end_are_logged_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
@@ -156,7 +155,7 @@
     ]
 
 
-def test_a_snapshot_from_the_future_or_of_another_fleet_is_left_with_one_line(
+def test_unusable_snapshot_is_set_aside_with_one_log_line(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def scenario() -> None:
--- a/tests/recovery/test_folder.py
+++ b/tests/recovery/test_snapshot_store.py
@@ -46,7 +46,7 @@
 """
 
 
-def test_a_second_process_waits_until_the_first_is_dead_and_a_dead_one_holds_nothing(tmp_path: Path) -> None:
+def test_directory_is_locked_until_its_process_is_dead(tmp_path: Path) -> None:
     hold = [sys.executable, "-c", HOLD, str(tmp_path)]
     with subprocess.Popen(hold, cwd=ROOT, stdout=subprocess.PIPE) as other:
         assert other.stdout is not None and other.stdout.readline() == b"True\n"
@@ -57,7 +57,7 @@
         assert mine.lock() and mine.lock()  # asked again it is still ours
 
 
-def test_a_process_killed_at_any_point_of_a_write_leaves_the_old_file_or_the_new_one(tmp_path: Path) -> None:
+def test_process_killed_during_a_write_leaves_the_old_or_the_new_file(tmp_path: Path) -> None:
     old, new = b"old" * 5000, b"new" * 5000
     seen, point = [], 0
     while True:
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("broken", ["write", "fsync", "replace"])
-def test_a_disk_that_is_full_or_fails_leaves_the_last_file(
+def test_failing_disk_leaves_the_last_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, broken: str
 ) -> None:
     mine = StateDirectory(tmp_path)
@@ -100,7 +100,7 @@
     assert mine.read() == b"newer"
 
 
-def test_short_writes_are_gone_on_with(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_short_writes_are_continued(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     mine, write = StateDirectory(tmp_path), os.write
     assert mine.lock()
     monkeypatch.setattr(module.os, "write", lambda file, data: write(file, data[:7]))
@@ -108,7 +108,7 @@
     assert mine.read() == b"0123456789" * 10
 
 
-def test_what_was_taken_away_is_there_no_more_and_stands_beside(tmp_path: Path) -> None:
+def test_set_aside_snapshot_is_kept_under_another_name(tmp_path: Path) -> None:
     mine = StateDirectory(tmp_path)
     assert mine.lock() and mine.read() is None
     mine.write(b"one")
@@ -118,7 +118,7 @@
         mine.set_aside()
 
 
-def test_a_file_larger_than_any_that_is_written_is_not_read(tmp_path: Path) -> None:
+def test_file_larger_than_any_written_is_not_read(tmp_path: Path) -> None:
     mine = StateDirectory(tmp_path)
     assert mine.lock()
     with (tmp_path / SNAPSHOT_NAME).open("wb") as file:
@@ -127,7 +127,7 @@
         mine.read()
 
 
-def test_a_mark_that_is_no_text_makes_no_trouble(tmp_path: Path) -> None:
+def test_identity_file_that_is_not_text_is_accepted(tmp_path: Path) -> None:
     mine = StateDirectory(tmp_path)
     assert mine.lock()
     (tmp_path / IDENTITY_NAME).write_bytes(b"\xff\xfe" * 100)
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -20,8 +20,8 @@
     "tests/test_net.py",
     "tests/test_flows.py",
     "tests/test_discovery.py",
-    "tests/operate/test_operated.py",
-    "tests/handover/test_upgrade.py",
+    "tests/admin/test_operators_port.py",
+    "tests/hot_restart/test_processes.py",
 )
 
 
