--- a/benchmarks/capacity/operator_figures.py
+++ b/benchmarks/capacity/operator_figures.py
@@ -6,7 +6,7 @@
 
 from benchmarks.capacity.probe import OPERATOR, Probe, Values
 from benchmarks.capacity.size import FULL
-from hillmux.admin.commands import VARS, respond
+from hillmux.admin.commands import Verb, respond
 from hillmux.admin.metrics import MAX_CLASSES, Metrics
 
 OK, REFUSED, FAILED = 200, 429, 502
@@ -48,7 +48,7 @@
 
 def measure(classes: int, seed: int) -> Values:
     """One answer of a gateway with so many classes."""
-    told = respond(VARS.encode(), Operated(classes, seed))
+    told = respond(Verb.VARS.encode(), Operated(classes, seed))
     return {"operator.figures.bytes_per_gateway": float(len(told))}
 
 
--- a/hillmux/admin/__init__.py
+++ b/hillmux/admin/__init__.py
@@ -1,1 +1,1 @@
-"""What people on call ask of a gateway that serves: its figures, and hosts taken out by hand."""
+"""What operators ask of a running gateway: metrics, readiness, and hosts that they disable."""
--- a/hillmux/admin/commands.py
+++ b/hillmux/admin/commands.py
@@ -1,27 +1,42 @@
-"""The operators' calls, one line a connection: what a line asks for, and how it is answered. Free of I/O."""
+"""Operators' commands, one line a connection: parsing and answers. Free of I/O.
+
+check          ACK and the phase of recovery, or NAK while requests cannot be served
+vars           one line of JSON with all metrics, then `--`
+set-down ID    disable a host; ACK, or NAK and the reason
+set-up ID      enable it again
+"""
 
 from __future__ import annotations
 
 import json
 import re
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import Protocol
 
-CHECK, VARS, SET_DOWN, SET_UP = "check", "vars", "set-down", "set-up"
 ACK, NAK, END_OF_METRICS = "ACK", "NAK", "--"
 MAX_LINE_BYTES = 1024
 HOST_ID = re.compile(r"[!-~]{1,256}")
 
 
+class Verb(StrEnum):
+    """The first word of a command."""
+
+    CHECK = "check"
+    VARS = "vars"
+    SET_DOWN = "set-down"
+    SET_UP = "set-up"
+
+
 class InvalidCommandError(ValueError):
-    """A line that is no call; the text says what may stand there."""
+    """A line that is no command; the text says what is allowed."""
 
 
 @dataclass(slots=True, frozen=True)
 class Command:
-    """One call; `host` is named by those that take a host out or put it back."""
+    """One command; `host` is the operand of `set-down` and `set-up`."""
 
-    verb: str
+    verb: Verb
     host: str = ""
 
 
@@ -32,49 +47,59 @@
         """Whether requests can be served."""
 
     def phase(self) -> str:
-        """How far it has come back, and why no further; "" where nobody looks."""
+        """The phase of recovery and its causes; "" where recovery is not observed."""
 
     def metrics_by_name(self) -> dict[str, object]:
-        """All figures, as JSON holds them."""
+        """All metrics, as values that JSON can hold."""
 
     def override_host(self, host: str, disabled: bool) -> str:
-        """Take a host out by hand, or put it back; "" once that holds, else why not."""
+        """Disable a host or enable it again; "" once that is in force, else why not."""
 
 
 def parse(line: bytes) -> Command:
-    """A line without its end as a call; CallError where it is none."""
+    """The command in a line without its line end.
+
+    Raises:
+        InvalidCommandError: there is none.
+    """
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError:
         raise InvalidCommandError("found bytes that are not ASCII") from None
-    verb = words[0] if words else ""
-    if verb in (CHECK, VARS):
-        if len(words) > 1:
-            raise InvalidCommandError(f"{verb}: takes nothing, found {len(words) - 1} words")
-        return Command(verb)
-    if verb in (SET_DOWN, SET_UP):
-        if len(words) != 2 or not HOST_ID.fullmatch(words[1]):
-            raise InvalidCommandError(f"{verb}: takes the id of one host")
-        return Command(verb, words[1])
-    raise InvalidCommandError(f"{verb[:32]!r} is not {CHECK}, {VARS}, {SET_DOWN} ID or {SET_UP} ID")
+    word, operands = (words[0], words[1:]) if words else ("", [])
+    match word:
+        case Verb.CHECK | Verb.VARS:
+            if operands:
+                raise InvalidCommandError(f"{word}: takes nothing, found {len(operands)} words")
+            return Command(Verb(word))
+        case Verb.SET_DOWN | Verb.SET_UP:
+            if len(operands) != 1 or not HOST_ID.fullmatch(operands[0]):
+                raise InvalidCommandError(f"{word}: takes the id of one host")
+            return Command(Verb(word), operands[0])
+        case _:
+            raise InvalidCommandError(
+                f"{word[:32]!r} is not {Verb.CHECK}, {Verb.VARS}, {Verb.SET_DOWN} ID or {Verb.SET_UP} ID"
+            )
 
 
 def respond(line: bytes, gateway: ManagedProcess) -> bytes:
-    """The whole answer to one line, carried out."""
+    """Carry out the command in a line, and return the complete answer."""
     try:
-        call = parse(line)
+        command = parse(line)
     except InvalidCommandError as error:
-        return _line(NAK, str(error))
-    if call.verb == VARS:
-        figures = json.dumps(gateway.metrics_by_name(), separators=(",", ":"))
-        return f"{figures}\n{END_OF_METRICS}\n".encode()
-    if call.verb == CHECK:
-        if not gateway.ready():
-            return _line(NAK, "not ready: no hosts are known yet, or it drains")
-        return _line(ACK, gateway.phase())
-    wrong = gateway.override_host(call.host, call.verb == SET_DOWN)
-    return _line(NAK, wrong) if wrong else _line(ACK)
-
-
-def _line(word: str, text: str = "") -> bytes:
+        return _answer_line(NAK, str(error))
+    match command.verb:
+        case Verb.VARS:
+            metrics = json.dumps(gateway.metrics_by_name(), separators=(",", ":"))
+            return f"{metrics}\n{END_OF_METRICS}\n".encode()
+        case Verb.CHECK:
+            if not gateway.ready():
+                return _answer_line(NAK, "not ready: no hosts are known yet, or it drains")
+            return _answer_line(ACK, gateway.phase())
+        case _:
+            reason = gateway.override_host(command.host, disabled=command.verb == Verb.SET_DOWN)
+            return _answer_line(NAK, reason) if reason else _answer_line(ACK)
+
+
+def _answer_line(word: str, text: str = "") -> bytes:
     return f"{word} {text}".rstrip().encode("ascii", "replace") + b"\n"
--- a/hillmux/admin/host_overrides.py
+++ b/hillmux/admin/host_overrides.py
@@ -1,8 +1,8 @@
-"""Hosts out by hand: which calls hold, and the file that keeps them for every process of one gateway.
+"""Hosts that operators have disabled: which commands are accepted, and the file that keeps the hosts.
 
-Theory of operation. Two versions of a gateway run side by side during an upgrade, and a call to either binds
-both. So the truth is a small file in the folder that they share: a call reads it, changes it and puts it back
-whole, under a lock, before it is answered; each process looks at it now and then and takes over what differs.
+Two versions of a gateway run side by side during a hot restart, and a command to either must bind both. So
+the state is a small file in the directory that they share: a command reads, changes and replaces it under a
+lock before it is answered, and each process polls it for the changes of the other.
 """
 
 from __future__ import annotations
@@ -12,22 +12,33 @@
 import os
 import time
 from collections.abc import Iterable
+from typing import NamedTuple
 
 FILE_NAME = "hosts-out.json"
-LOCK_TIMEOUT_S = 0.1  # how long the loop may stand for another process's call
-MAX_DISABLED = 4096  # hosts out at once
-MAX_KNOWN = 16384  # ids that were listed once, the latest
+FILE_VERSION = 1
+LOCK_TIMEOUT_S = 0.1  # the event loop is blocked for so long at most
+LOCK_RETRY_INTERVAL_S = LOCK_TIMEOUT_S / 50
+MAX_DISABLED = 4096
+MAX_KNOWN = 16384
 
 
 class OverrideFileError(Exception):
     """The file cannot be read or written; nothing has changed."""
 
 
+class FileStamp(NamedTuple):
+    """What changes whenever the file is replaced."""
+
+    inode: int
+    modified_ns: int
+    size: int
+
+
 class KnownHosts:
-    """The ids that discovery has named: only these may be taken out. Bounded: the longest unnamed go."""
+    """The ids that discovery has listed, up to `MAX_KNOWN` of the latest: only these may be disabled."""
 
     def __init__(self) -> None:
-        self._last_listed: dict[str, None] = {}
+        self._last_listed: dict[str, None] = {}  # the one listed longest ago first
 
     def add(self, names: Iterable[str]) -> None:
         """Note ids that a list names."""
@@ -41,50 +52,54 @@
         return name in self._last_listed
 
     def all(self) -> list[str]:
-        """They, the longest unnamed first."""
+        """All ids, the one listed longest ago first."""
         return list(self._last_listed)
 
 
-def rejection_reason(name: str, out: bool, listed: KnownHosts, held: set[str]) -> str:
-    """Why a call cannot hold; "" where it can. Calls that are repeated hold."""
-    if name not in listed and name not in held:
+def rejection_reason(name: str, disable: bool, known: KnownHosts, disabled: set[str]) -> str:
+    """Why a command cannot be carried out; "" if it can. Repeating a command is allowed."""
+    if name not in known and name not in disabled:
         return f"{name}: discovery has never named it"
-    if out and name not in held and len(held) >= MAX_DISABLED:
+    if disable and name not in disabled and len(disabled) >= MAX_DISABLED:
         return f"{MAX_DISABLED} hosts are out already"
     return ""
 
 
 class OverrideFile:
-    """The file; None as its folder keeps the hosts in this process alone."""
+    """The disabled hosts, in a file of the directory; without a directory, in this process alone."""
 
-    def __init__(self, folder: str | None) -> None:
-        self._path = os.path.join(folder, FILE_NAME) if folder is not None else None
-        self._stamp: tuple[int, int, int] | None = None
+    def __init__(self, directory: str | None) -> None:
+        self._path = os.path.join(directory, FILE_NAME) if directory is not None else None
+        self._stamp: FileStamp | None = None
         self.disabled: set[str] = set()
 
-    def set_disabled(self, name: str, out: bool) -> None:
-        """Take a host out or put it back, for all processes; HandError and no change where that fails."""
+    def set_disabled(self, name: str, disable: bool) -> None:
+        """Disable a host or enable it again, for all processes of the gateway.
+
+        Raises:
+            OverrideFileError: the file cannot be changed.
+        """
         if self._path is None:
-            (self.disabled.add if out else self.disabled.discard)(name)
+            _update(self.disabled, name, disable)
             return
         try:
-            with open(f"{self._path}.lock", "w") as lock:
-                _lock(lock.fileno())
+            with open(f"{self._path}.lock", "w") as lock_file:
+                _lock(lock_file.fileno())
                 names = _read(self._path)
-                (names.add if out else names.discard)(name)
-                new = f"{self._path}.new"
-                with open(new, "w") as file:
-                    json.dump({"version": 1, "out": sorted(names)}, file)
-                os.replace(new, self._path)
-                self._stamp = self._file_stamp()
+                _update(names, name, disable)
+                _replace(self._path, names)
+                self._stamp = _file_stamp(self._path)
         except (OSError, ValueError) as error:
             raise OverrideFileError(f"{FILE_NAME}: {error}") from None
         self.disabled = names
 
     def refresh(self) -> set[str] | None:
-        """The hosts that are out, if another process has changed them; a file that cannot be read changes
+        """The disabled hosts if another process has changed them, else None; an unreadable file changes
         nothing."""
-        if self._path is None or (stamp := self._file_stamp()) == self._stamp or stamp is None:
+        if self._path is None:
+            return None
+        stamp = _file_stamp(self._path)
+        if stamp is None or stamp == self._stamp:
             return None
         try:
             self.disabled = _read(self._path)
@@ -93,18 +108,31 @@
         self._stamp = stamp
         return self.disabled
 
-    def _file_stamp(self) -> tuple[int, int, int] | None:
-        assert self._path is not None
-        try:
-            found = os.stat(self._path)
-        except OSError:
-            return None
-        return found.st_ino, found.st_mtime_ns, found.st_size
+
+def _update(names: set[str], name: str, disable: bool) -> None:
+    if disable:
+        names.add(name)
+    else:
+        names.discard(name)
+
+
+def _file_stamp(path: str) -> FileStamp | None:
+    try:
+        status = os.stat(path)
+    except OSError:
+        return None
+    return FileStamp(status.st_ino, status.st_mtime_ns, status.st_size)
 
 
 def _lock(descriptor: int) -> None:
-    """The lock is held for one small read and write. Guards those who are served here against another process
-    that was stopped while it held it: after LOCK_S the call is turned down (BlockingIOError)."""
+    """Lock the file for one small read and write.
+
+    Another process may have been stopped while it holds the lock; this one must go on serving, so it gives up
+    after `LOCK_TIMEOUT_S`.
+
+    Raises:
+        BlockingIOError: another process holds the lock.
+    """
     end = time.monotonic() + LOCK_TIMEOUT_S
     while True:
         try:
@@ -113,16 +141,23 @@
         except BlockingIOError:
             if time.monotonic() > end:
                 raise
-            time.sleep(LOCK_TIMEOUT_S / 50)
+            time.sleep(LOCK_RETRY_INTERVAL_S)
 
 
 def _read(path: str) -> set[str]:
     try:
         with open(path) as file:
-            raw = json.load(file)
+            document = json.load(file)
     except FileNotFoundError:
         return set()
-    names = raw.get("out") if isinstance(raw, dict) else None
+    names = document.get("out") if isinstance(document, dict) else None
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
         raise ValueError("out: must be a list of host ids")
     return set(names[:MAX_DISABLED])
+
+
+def _replace(path: str, names: set[str]) -> None:
+    new_path = f"{path}.new"
+    with open(new_path, "w") as file:
+        json.dump({"version": FILE_VERSION, "out": sorted(names)}, file)
+    os.replace(new_path, path)
--- a/hillmux/admin/server.py
+++ b/hillmux/admin/server.py
@@ -1,4 +1,4 @@
-"""The operators' port: one line a connection, answered at once; no caller holds up another."""
+"""The operators' port: one command a connection, answered at once; no connection blocks another."""
 
 from __future__ import annotations
 
@@ -8,23 +8,22 @@
 
 from hillmux.admin.commands import MAX_LINE_BYTES, ManagedProcess, respond
 
-MAX_CONNECTIONS = (
-    12  # connections at once, from the descriptors' reserve; beyond them the one silent for longest goes
-)
-IDLE_TIMEOUT_S = 10.0  # a connection without a whole line is kept so long
+MAX_CONNECTIONS = 12  # at once; they come out of the process's reserve of descriptors
+IDLE_TIMEOUT_S = 10.0  # in which a connection must send its line
 BACKLOG = 64
+NO_COMMAND = b"\0"  # stands for a line that is too long
 
 
 class OperatorServer:
-    """Listens for operators' calls."""
+    """Listens for operators' connections."""
 
     def __init__(self, gateway: ManagedProcess, loop: asyncio.AbstractEventLoop) -> None:
         self.gateway, self._loop = gateway, loop
         self._server: asyncio.Server | None = None
-        self._connections: dict[OperatorConnection, None] = {}  # the longest connected first
+        self._connections: dict[OperatorConnection, None] = {}  # the oldest first
 
     async def start(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Listen; returns the address, with the port that the system chose for 0.
+        """Listen; returns the address, with the port that the system chose for port 0.
 
         Raises:
             OSError: the address cannot be listened on.
@@ -37,62 +36,65 @@
         return str(host), int(port)
 
     def stop(self) -> None:
-        """Listen no more, and end what is open."""
+        """Stop listening, and close all connections."""
         if self._server is not None:
             self._server.close()
-        for caller in list(self._connections):
-            caller.abort()
+        for connection in list(self._connections):
+            connection.abort()
 
-    def connection_opened(self, caller: OperatorConnection) -> None:
-        """A connection is up. Guards the descriptors against callers who connect and say nothing."""
-        self._connections[caller] = None
+    def connection_opened(self, connection: OperatorConnection) -> None:
+        """Register a connection; the oldest is closed where there are too many.
+
+        Connections that send nothing must not use up the process's descriptors.
+        """
+        self._connections[connection] = None
         if len(self._connections) > MAX_CONNECTIONS:
             next(iter(self._connections)).abort()
 
-    def connection_closed(self, caller: OperatorConnection) -> None:
-        """A connection is gone."""
-        self._connections.pop(caller, None)
+    def connection_closed(self, connection: OperatorConnection) -> None:
+        """Forget a connection."""
+        self._connections.pop(connection, None)
 
 
 class OperatorConnection(asyncio.Protocol):
-    """One connection."""
+    """One connection: a line comes in, an answer goes out."""
 
     def __init__(self, server: OperatorServer) -> None:
         self._server = server
         self._transport: asyncio.Transport | None = None
-        self._line = b""
-        self._done = False
+        self._received = b""
+        self._answered = False
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the server; the connection is ended after SILENT_S."""
+        """Register with the server, and start the time-out."""
         self._transport = cast(asyncio.Transport, transport)
         self._timer = asyncio.get_running_loop().call_later(IDLE_TIMEOUT_S, self.abort)
         self._server.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Answer the first line, or what exceeds LONGEST_LINE bytes; the rest is ignored."""
-        if self._done:
+        """Answer the first line, or one longer than `MAX_LINE_BYTES`; ignore the rest."""
+        if self._answered:
             return
-        self._line += data
-        line, end, _ = self._line.partition(b"\n")
-        if end or len(self._line) > MAX_LINE_BYTES:
-            self._answer(line.rstrip(b"\r") if len(line) <= MAX_LINE_BYTES else b"\0")
+        self._received += data
+        line, end, _ = self._received.partition(b"\n")
+        if end or len(self._received) > MAX_LINE_BYTES:
+            self._answer(line.rstrip(b"\r") if len(line) <= MAX_LINE_BYTES else NO_COMMAND)
 
     def eof_received(self) -> bool:
-        """Answer a last line without its end; True keeps the transport open for the answer."""
-        if not self._done and self._line:
-            self._answer(self._line.rstrip(b"\r"))  # a last line may lack its end
-        return self._done  # half closed: the answer still goes out
+        """Answer a last line that lacks its end; True keeps the transport open for the answer."""
+        if not self._answered and self._received:
+            self._answer(self._received.rstrip(b"\r"))
+        return self._answered
 
     def _answer(self, line: bytes) -> None:
-        self._done = True
+        self._answered = True
         assert self._transport is not None
         self._transport.write(respond(line, self._server.gateway))
         self._transport.close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Free the connection's place, and stop its timer."""
+        """Stop the time-out, and tell the server."""
         if self._timer is not None:
             self._timer.cancel()
         self._server.connection_closed(self)
--- a/hillmux/recovery/commands.py
+++ b/hillmux/recovery/commands.py
@@ -1,17 +1,16 @@
-"""`hillmux snapshot`: looking at what a gateway left behind."""
+"""`hillmux snapshot`: commands that verify and describe snapshot files."""
 
 from __future__ import annotations
 
 import datetime
 import sys
-from collections import Counter
 from pathlib import Path
 
 import click
 
-from hillmux.hot_restart import state_codec as state
+from hillmux.hot_restart import state_codec
 from hillmux.recovery.retention import FOREVER, RETENTION_RULES, RetentionRule
-from hillmux.recovery.snapshot_format import Snapshot, SnapshotError, decode
+from hillmux.recovery.snapshot_format import Snapshot, SnapshotError, SnapshotHeader, decode
 
 EXIT_INVALID = 1
 
@@ -25,16 +24,16 @@
 @click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path), metavar="FILE...")
 def verify(files: tuple[Path, ...]) -> None:
     """Tell of each file whether it is whole; exit 1 where one is not."""
-    wrong = 0
+    status = 0
     for path in files:
         try:
-            read(path)
+            read_snapshot(path)
         except SnapshotError as error:
             click.echo(f"{path}: {error}", err=True)
-            wrong = EXIT_INVALID
+            status = EXIT_INVALID
         else:
             click.echo(f"{path}: whole")
-    sys.exit(wrong)
+    sys.exit(status)
 
 
 @snapshot.command(epilog="Example: hillmux snapshot inspect /var/lib/hillmux/g1/snapshot")
@@ -42,7 +41,7 @@
 def inspect(path: Path) -> None:
     """Print whose it is, when it was taken, what it holds, and until when each item may be believed."""
     try:
-        found = read(path)
+        found = read_snapshot(path)
     except SnapshotError as error:
         click.echo(f"{path}: {error}", err=True)
         sys.exit(EXIT_INVALID)
@@ -50,8 +49,12 @@
         click.echo(line)
 
 
-def read(path: Path) -> Snapshot:
-    """A file as a snapshot; SnapshotError also where it can't be read."""
+def read_snapshot(path: Path) -> Snapshot:
+    """The snapshot in a file.
+
+    Raises:
+        SnapshotError: the file cannot be read, or holds no snapshot.
+    """
     try:
         return decode(path.read_bytes())
     except OSError as error:
@@ -59,30 +62,31 @@
 
 
 def describe(found: Snapshot) -> list[str]:
-    """A snapshot as lines for people."""
-    head, sizes = found.header, Counter[str]()
-    for document in found.documents:
-        sizes["hosts"] += len(document["hosts"]) if document.get("t") == state.HOSTS else 0
-        sizes["customers"] += len(document["uses"]) if document.get("t") == state.CUSTOMERS else 0
-    lines = [
-        f"gateway    {head.owner.name}, fleet {head.owner.fleet or '(none named)'}, plans {head.owner.plans}",
-        f"written    {_moment(head.taken_ms)} by {head.incarnation}, its number {head.serial}",
-        f"end        {'exact: nothing was decided after it' if head.exact else 'a process went on after it'}",
-        f"holds      {sizes['hosts']} hosts, {sizes['customers']} customers",
+    """A snapshot as lines of text for operators."""
+    header, owner = found.header, found.header.owner
+    end = "exact: nothing was decided after it" if header.exact else "a process went on after it"
+    return [
+        f"gateway    {owner.name}, fleet {owner.fleet or '(none named)'}, plans {owner.plans}",
+        f"written    {_utc(header.taken_ms)} by {header.incarnation}, its number {header.serial}",
+        f"end        {end}",
+        f"holds      {_count(found, state_codec.HOSTS, 'hosts')} hosts,"
+        f" {_count(found, state_codec.CUSTOMERS, 'uses')} customers",
         "",
         f"{'item':<16}{'believed until':<24}guards against",
+        *(f"{rule.name:<16}{_retained_until(rule, header):<24}{rule.risk}" for rule in RETENTION_RULES),
     ]
-    return lines + [
-        f"{i.name:<16}{_until(i, head.taken_ms, head.exact):<24}{i.risk}" for i in RETENTION_RULES
-    ]
 
 
-def _until(item: RetentionRule, taken_ms: float, exact: bool) -> str:
-    lasts = item.after_clean_exit_ms if exact else item.after_crash_ms
-    if lasts == FOREVER:
+def _count(found: Snapshot, kind: str, field: str) -> int:
+    return sum(len(document[field]) for document in found.documents if document.get("t") == kind)
+
+
+def _retained_until(rule: RetentionRule, header: SnapshotHeader) -> str:
+    retention_ms = rule.after_clean_exit_ms if header.exact else rule.after_crash_ms
+    if retention_ms == FOREVER:
         return "always"
-    return _moment(taken_ms + lasts) if lasts else "not at all"
+    return _utc(header.taken_ms + retention_ms) if retention_ms else "not at all"
 
 
-def _moment(at_ms: float) -> str:
-    return datetime.datetime.fromtimestamp(at_ms / 1000, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S") + "Z"
+def _utc(time_ms: float) -> str:
+    return datetime.datetime.fromtimestamp(time_ms / 1000, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S") + "Z"
--- a/tests/capacity/test_awake_and_figures.py
+++ b/tests/capacity/test_awake_and_figures.py
@@ -8,7 +8,7 @@
 
 from benchmarks.capacity import awake, operator_figures
 from benchmarks.capacity.probes import PROBES
-from hillmux.admin.commands import END_OF_METRICS, VARS, respond
+from hillmux.admin.commands import END_OF_METRICS, Verb, respond
 
 
 def test_a_woken_tenant_has_served_each_of_its_customers() -> None:
@@ -26,7 +26,7 @@
 
 
 def test_an_answer_is_a_line_of_json_with_all_classes() -> None:
-    told = respond(VARS.encode(), operator_figures.Operated(3, 1)).decode().splitlines()
+    told = respond(Verb.VARS.encode(), operator_figures.Operated(3, 1)).decode().splitlines()
     assert told[1:] == [END_OF_METRICS]
     assert len(json.loads(told[0])["passed"]) == 3
 
