--- a/hillmux/__main__.py
+++ b/hillmux/__main__.py
@@ -26,9 +26,9 @@
 def _new_gateway(config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> PlatformGateway:
     """The gateway that a configuration asks for; what it does not ask for is not imported."""
     if config.snapshots is not None:
-        from hillmux.recovery.snapshotting_gateway import KeptNode
+        from hillmux.recovery.snapshotting_gateway import SnapshottingGateway
 
-        return KeptNode(config, loop)
+        return SnapshottingGateway(config, loop)
     if config.operator_address is None:
         return PlatformGateway(config, loop)
     from hillmux.net.managed_gateway import ManagedGateway
--- a/hillmux/net/clients.py
+++ b/hillmux/net/clients.py
@@ -110,10 +110,10 @@
 class SuccessorProcess(Protocol):
     """The process that goes on serving our clients."""
 
-    def take(self, descriptor: int) -> None:
+    def pass_connection(self, descriptor: int) -> None:
         """Take a connection over; the descriptor is the heir's."""
 
-    def took(self) -> bool:
+    def all_passed(self) -> bool:
         """Whether all that it was given has left."""
 
 
@@ -493,7 +493,7 @@
             or transport.get_write_buffer_size()
         ):
             return False
-        heir.take(os.dup(transport.get_extra_info("socket").fileno()))
+        heir.pass_connection(os.dup(transport.get_extra_info("socket").fileno()))
         self._closing = True
         transport.abort()  # closes our descriptor and says nothing to the client: the heir has another
         return True
@@ -652,7 +652,7 @@
         return (
             not self.connections
             and not self._setup_tasks
-            and (self.successor is None or self.successor.took())
+            and (self.successor is None or self.successor.all_passed())
         )
 
     def on_connection_made(self, connection: Connection) -> None:
