--- a/benchmarks/capacity/connections.py
+++ b/benchmarks/capacity/connections.py
@@ -9,7 +9,7 @@
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
 from hillmux.interface import AttemptResult, ListKind
-from hillmux.lab.virtual.loop import Loop
+from hillmux.lab.virtual.loop import VirtualLoop
 
 START_MS = 1.8e12  # the module's clock is the time of day
 FIRST_S = 1.0  # after a start
@@ -28,7 +28,7 @@
     """
 
     def __init__(self, hosts: int, seed: int) -> None:
-        self.loop = Loop(START_MS)
+        self.loop = VirtualLoop(START_MS)
         self.dials = 0
         self._free: dict[str, list[float]] = {}  # by host: since when each kept connection is free
         self._busy = 0
--- a/benchmarks/capacity/counting.py
+++ b/benchmarks/capacity/counting.py
@@ -16,7 +16,14 @@
 from hillmux.decision.gateway import Gateway
 from hillmux.interface import AttemptResult, ListKind
 from hillmux.lab.virtual.counter import CounterModel
-from hillmux.lab.virtual.counting import CLASS, CLIENT_LEFT_MS, START_MS, CountingFleet, Figures, Scenario
+from hillmux.lab.virtual.counting import (
+    CLASS,
+    CLIENT_TIMEOUT_MS,
+    START_TIME_MS,
+    CountingFigures,
+    CountingFleet,
+    CountingScenario,
+)
 
 MEGABYTE = 1e6
 ASKED_PER_S = 2.3  # requests a second of one customer
@@ -38,14 +45,14 @@
 CUSTOMERS_PER_GATEWAY = FULL.tenants / FULL.gateways
 
 
-def _per_request(figures: Figures) -> Values:
+def _per_request(figures: CountingFigures) -> Values:
     requests = max(figures.requests, 1)
     return {
-        "calls_per_request": figures.calls / requests,
+        "calls_per_request": figures.counter_calls / requests,
         "payload_bytes_per_request": figures.payload_bytes / requests,
         "wire_bytes_per_request": figures.wire_bytes / requests,
-        "refused_share": figures.refused / requests,
-        "beyond_share": figures.beyond / max(figures.sent, 1.0),
+        "refused_share": figures.rejected / requests,
+        "beyond_share": figures.units_beyond_quota / max(figures.units_forwarded, 1.0),
     }
 
 
@@ -59,7 +66,7 @@
     """Measures one set of gateways that serve the same customers."""
 
     def measure(width: int, seed: int) -> Values:
-        scenario = Scenario(width, SET_CUSTOMERS, width, asked_per_s, rate, burst_s * rate, seed)
+        scenario = CountingScenario(width, SET_CUSTOMERS, width, asked_per_s, rate, burst_s * rate, seed)
         fleet = CountingFleet(scenario)
         fleet.run(WARM_S)
         fleet.begin_measuring()
@@ -74,15 +81,17 @@
     rate = 2 * asked_per_s
     gc.disable()  # else one collector walks the objects of 710 gateways, of which each would have its own
     before = resident_bytes()
-    scenario = Scenario(gateways, customers, WIDTH, asked_per_s, rate, BURST_S * rate, seed, timed=True)
+    scenario = CountingScenario(
+        gateways, customers, WIDTH, asked_per_s, rate, BURST_S * rate, seed, timed=True
+    )
     fleet = CountingFleet(scenario)
     fleet.run(FLEET_WARM_S)
     fleet.begin_measuring()
     figures = fleet.run(FLEET_MEASURED_S)
     return {
-        "counting.fleet.calls_per_s": figures.calls / FLEET_MEASURED_S,
+        "counting.fleet.calls_per_s": figures.counter_calls / FLEET_MEASURED_S,
         "counting.fleet.wire_bytes_per_s_per_gateway": figures.wire_bytes / FLEET_MEASURED_S / gateways,
-        "counting.fleet.cpu_us_per_request": figures.module_s * 1e6 / figures.requests,
+        "counting.fleet.cpu_us_per_request": figures.decision_s * 1e6 / figures.requests,
         "counting.fleet.memory_mb_per_gateway": (resident_bytes() - before) / MEGABYTE / gateways,
     }
 
@@ -91,16 +100,17 @@
     rate = ASKED_PER_S / 0.9
     counter = CounterModel(per_s=CROWDED_PER_S)
     fleet = CountingFleet(
-        Scenario(CROWDED_GATEWAYS, customers, WIDTH, ASKED_PER_S, rate, BURST_S * rate, seed, counter)
+        CountingScenario(CROWDED_GATEWAYS, customers, WIDTH, ASKED_PER_S, rate, BURST_S * rate, seed, counter)
     )
     fleet.run(CROWDED_WARM_S)
     fleet.begin_measuring()
     figures = fleet.run(CROWDED_MEASURED_S)
     return {
-        "counting.crowded.calls_per_s": figures.calls / CROWDED_MEASURED_S,
-        "counting.crowded.answered_share": figures.answered / max(figures.ended, 1),
-        "counting.crowded.refused_with_room_share": figures.refused_with_half / figures.requests,
-        "counting.crowded.beyond_share": figures.beyond / max(figures.sent, 1.0),
+        "counting.crowded.calls_per_s": figures.counter_calls / CROWDED_MEASURED_S,
+        "counting.crowded.answered_share": figures.counter_calls_answered
+        / max(figures.counter_calls_ended, 1),
+        "counting.crowded.refused_with_room_share": figures.rejected_with_half_burst / figures.requests,
+        "counting.crowded.beyond_share": figures.units_beyond_quota / max(figures.units_forwarded, 1.0),
     }
 
 
@@ -111,7 +121,9 @@
     customers = round(CUSTOMERS_PER_GATEWAY * gateways)
     asked_per_s = FULL.requests_per_gateway * gateways / customers
     rate = 2 * asked_per_s
-    fleet = CountingFleet(Scenario(gateways, customers, WIDTH, asked_per_s, rate, BURST_S * rate, seed))
+    fleet = CountingFleet(
+        CountingScenario(gateways, customers, WIDTH, asked_per_s, rate, BURST_S * rate, seed)
+    )
     fleet.run(RESTART_WARM_S)
     numbers = [RESTARTED_ONE_IN * i for i in range(restarted)]
     for number in numbers:
@@ -123,7 +135,7 @@
     requests = sum(gateway.requests for gateway in fresh)
     return {
         "counting.burst_of_starts.calls_in_first_second_per_gateway": calls / restarted,
-        "counting.burst_of_starts.refused_share_first_10_s": sum(g.refused for g in fresh) / requests,
+        "counting.burst_of_starts.refused_share_first_10_s": sum(g.rejected for g in fresh) / requests,
     }
 
 
@@ -134,18 +146,18 @@
         (CLASS,), (plan,), fleet_size=FULL.gateways, counter_available=True, max_customers=customers
     )
     gateway = Gateway(settings, seed)
-    gateway.handle(START_MS, api.EndpointList(ListKind.FULL, (api.Endpoint("host-0"),)))
+    gateway.handle(START_TIME_MS, api.EndpointList(ListKind.FULL, (api.Endpoint("host-0"),)))
     gc.collect()
     before = resident_bytes()
     for number in range(customers):
-        _ask_once(gateway, number, START_MS + number)
+        _ask_once(gateway, number, START_TIME_MS + number)
     gc.collect()
     return {"counting.customers.memory_mb": (resident_bytes() - before) / MEGABYTE}
 
 
 def _ask_once(gateway: Gateway, number: int, now: float) -> None:
     request = api.Request(
-        str(number), CLASS.name, "plan", f"customer-{number:06}", CLIENT_LEFT_MS, 1.0, WIDTH
+        str(number), CLASS.name, "plan", f"customer-{number:06}", CLIENT_TIMEOUT_MS, 1.0, WIDTH
     )
     actions = gateway.handle(now, request)
     for act in actions:
--- a/benchmarks/capacity/schedules.py
+++ b/benchmarks/capacity/schedules.py
@@ -4,7 +4,7 @@
 
 from benchmarks.capacity.probe import COUNTER, Probe, Values
 from hillmux.lab.virtual.counting_checks import check_leases
-from hillmux.lab.virtual.counting_schedules import MOST_SCHEDULES, play_schedules
+from hillmux.lab.virtual.counting_schedules import MAX_SCHEDULES, play_schedules
 
 
 class ScheduleError(RuntimeError):
@@ -12,20 +12,20 @@
 
 
 def _schedules(count: int, seed: int) -> Values:
-    summary = play_schedules(count, first_seed=seed * MOST_SCHEDULES, inspect=check_leases)
+    summary = play_schedules(count, first_seed=seed * MAX_SCHEDULES, inspect=check_leases)
     if summary.failures:
         raise ScheduleError(f"schedules: {summary.failures}")
     return {
-        "counting.schedules.beyond_units_mean": summary.beyond_units.mean,
-        "counting.schedules.beyond_units_p99": summary.beyond_units.p99,
-        "counting.schedules.beyond_units_most": summary.beyond_units.most,
-        "counting.schedules.beyond_of_burst_p99": summary.beyond_of_burst.p99,
-        "counting.schedules.beyond_of_burst_most": summary.beyond_of_burst.most,
-        "counting.schedules.beyond_of_earned_p99": summary.beyond_of_earned.p99,
-        "counting.schedules.beyond_of_earned_most": summary.beyond_of_earned.most,
-        "counting.schedules.refused_with_room_share": summary.refused_with_room_share,
+        "counting.schedules.beyond_units_mean": summary.units_beyond_quota.mean,
+        "counting.schedules.beyond_units_p99": summary.units_beyond_quota.p99,
+        "counting.schedules.beyond_units_most": summary.units_beyond_quota.maximum,
+        "counting.schedules.beyond_of_burst_p99": summary.beyond_quota_of_burst.p99,
+        "counting.schedules.beyond_of_burst_most": summary.beyond_quota_of_burst.maximum,
+        "counting.schedules.beyond_of_earned_p99": summary.beyond_quota_of_refill.p99,
+        "counting.schedules.beyond_of_earned_most": summary.beyond_quota_of_refill.maximum,
+        "counting.schedules.refused_with_room_share": summary.rejected_with_half_burst_share,
         "counting.schedules.stranded_mean": summary.stranded_mean,
-        "counting.schedules.stranded_most": summary.stranded_most,
+        "counting.schedules.stranded_most": summary.max_stranded,
         "counting.schedules.calls_per_request": summary.calls_per_request,
     }
 
--- a/benchmarks/thousand.py
+++ b/benchmarks/thousand.py
@@ -14,7 +14,7 @@
 
 from hillmux.lab.scenario import Scenario
 from hillmux.lab.virtual.play import play
-from hillmux.lab.virtual.world import Figures
+from hillmux.lab.virtual.world import SimulationFigures
 from hillmux.recovery import full_service
 
 CEILING = 1.9
@@ -57,7 +57,7 @@
     )
 
 
-def back(figures: Figures, middle: int, seconds: float) -> float | None:
+def back(figures: SimulationFigures, middle: int, seconds: float) -> float | None:
     """Seconds from the herd's last start until service is full."""
     windows = []
     for second in range(int(seconds)):
@@ -83,13 +83,19 @@
         same = not args.twice or play(day)[1] == figures
         plan = next(p for p in day.traffic.plans if p.ceiling)
         slack = max(0.1 * plan.ceiling * plan.burst, 4.0)
-        sound = same and figures.lowest_ceiling >= -slack and not figures.fallen and not figures.late
+        sound = (
+            same
+            and figures.lowest_ceiling >= -slack
+            and not figures.hosts_overloaded
+            and not figures.timed_out
+        )
         wrong += not sound
         at = back(figures, round(args.seconds / 2), args.seconds)
-        print(f"seed {seed}: {took:.0f} s of CPU for {args.seconds:g} s; {figures.first} first tries, "
-              f"{figures.tries} tries, worth served {figures.served / figures.worth:.3f}, counter calls "
-              f"{world.counter_calls} ({world.counter_unheard / max(world.counter_calls, 1):.0%} unheard), "
-              f"dials {world.dials}, full service {'not seen' if at is None else f'after {at:.0f} s'}"
+        print(f"seed {seed}: {took:.0f} s of CPU for {args.seconds:g} s; {figures.requests} first tries, "
+              f"{figures.attempts} tries, worth served {figures.served_value / figures.offered_value:.3f}, "
+              f"counter calls {world.counter_calls} "
+              f"({world.counter_calls_failed / max(world.counter_calls, 1):.0%} unheard), "
+              f"dials {world.connections}, full service {'not seen' if at is None else f'after {at:.0f} s'}"
               f"{'' if sound else '; NOT SOUND'}{', twice the same' if args.twice and same else ''}",
               flush=True)  # fmt: skip
     return 1 if wrong else 0
--- a/hillmux/lab/load.py
+++ b/hillmux/lab/load.py
@@ -30,7 +30,7 @@
 from hillmux.lab.record import Recorder
 from hillmux.lab.scenario import Scenario
 from hillmux.lab.streams import Stream
-from hillmux.lab.traffic import Try, tries
+from hillmux.lab.traffic import PlannedRequest, plan_requests
 
 LONGEST_US = 60_000_000
 LOOK_MS = 100.0  # how often the front asks a gateway that it has taken out whether it is ready
@@ -158,7 +158,7 @@
 
     __slots__ = ("rid", "one", "due", "tries", "number", "key")
 
-    def __init__(self, rid: str, one: Try, due: float) -> None:
+    def __init__(self, rid: str, one: PlannedRequest, due: float) -> None:
         self.rid, self.one, self.due, self.tries = rid, one, due, 0
         self.number, self.key = one.gateway, f"k{rid}"
 
@@ -208,7 +208,7 @@
         self.ended_as: Counter[str] = Counter()  # tries, since the last word of progress
         self.done = asyncio.Event()
         self.unheard: set[_Asking] = set()  # given up, their connections still open
-        self._asked = tries(scenario.traffic.model(scenario.length_s), len(self.gates), scenario.seed)
+        self._asked = plan_requests(scenario.traffic.model(scenario.length_s), len(self.gates), scenario.seed)
         self._next, self._serial = 0, 0
         self._stream = Stream(scenario.seed, "clients")
         self._tasks: set[asyncio.Task[None]] = set()
@@ -252,13 +252,13 @@
                 "first",
                 rid=first.rid,
                 due=due,
-                cls=one.cls.name,
+                cls=one.request_class.name,
                 plan=one.customer.plan.name,
                 customer=one.customer.name,
                 units=one.units,
-                true=one.true_units,
-                worth=one.cls.worth * one.customer.plan.worth * one.units,
-                aim=one.cls.aim_ms,
+                true=one.actual_units,
+                worth=one.request_class.worth * one.customer.plan.worth * one.units,
+                aim=one.request_class.aim_ms,
             )
             self._try(first)
         if self._next < len(asked):
@@ -267,9 +267,9 @@
     def _gate(self, first: _First) -> _Gate:
         """The gateway that the front deals a try to: of the customer's set, one that it has not taken out."""
         customer, count = first.one.customer, len(self.gates)
-        place = (first.number - customer.first) % count
-        for step in range(customer.width):
-            gate = self.gates[(customer.first + (place + step) % customer.width) % count]
+        place = (first.number - customer.first_gateway) % count
+        for step in range(customer.replicas):
+            gate = self.gates[(customer.first_gateway + (place + step) % customer.replicas) % count]
             if not gate.out:
                 return gate
         return self.gates[first.number]
@@ -278,7 +278,7 @@
         gate = self._gate(first)
         rid = f"{first.rid[:-1]}{first.tries:x}"
         first.tries += 1
-        cls = first.one.cls
+        cls = first.one.request_class
         left = min(GIVE_UP_SHARE * cls.deadline_ms, cls.deadline_ms - (self.clock.now - first.due))
         asking = _Asking(self, first, rid, gate, left)
         self.note("client", "ask", rid=rid, first=first.rid, gw=gate.name, left=left, effect=cls.effect)
@@ -310,17 +310,18 @@
 
     def _write(self, asking: _Asking, connection: _Connection) -> None:
         one, left = asking.first.one, asking.left - (self.clock.now - asking.at)
-        cls, customer = one.cls, one.customer
+        cls, customer = one.request_class, one.customer
         connection.asking, asking.connection = asking, connection
         method = "GET" if cls.effect == "safe" else "POST"
         more = "" if method == "GET" else f"Idempotency-Key: {asking.first.key}\r\nContent-Length: 0\r\n"
         connection.transport.write(
-            f"{method} /api/{customer.name}?work={one.work_ms:.1f}&true={one.true_units:.3f}"
+            f"{method} /api/{customer.name}?work={one.work_ms:.1f}&true={one.actual_units:.3f}"
             f"&kind={cls.effect}&window={cls.window_ms:.0f}&units={one.units:g}"
             f"&plan={customer.plan.name} HTTP/1.1\r\n"
             f"Host: origin.svc\r\nX-Request-Id: {asking.rid}\r\nX-Class: {cls.name}\r\n"
             f"Plan: {customer.plan.name}\r\nX-Deadline: {max(left, 1):.0f}m\r\n{more}"
-            f"Quota-Info: units={one.units:g},spread={customer.width},first={customer.first}\r\n\r\n".encode()
+            f"Quota-Info: units={one.units:g},spread={customer.replicas},"
+            f"first={customer.first_gateway}\r\n\r\n".encode()
         )
         self.note("client", "wrote", rid=asking.rid, gw=asking.gate.name)
 
@@ -350,20 +351,22 @@
         traffic, one = self.scenario.traffic, first.one
         spent = self.clock.now - first.due
         wait = traffic.backoff_ms * self._stream.uniform(0.5, 1.5)
-        if result == "refused" and wait_ms > 0 and one.luck < traffic.honour:
+        if result == "refused" and wait_ms > 0 and one.client_draw < traffic.honour:
             wait = max(wait, wait_ms)
         if (
             result in ("served", "late")
             or first.tries > traffic.retries
-            or spent + wait >= one.cls.deadline_ms
+            or spent + wait >= one.request_class.deadline_ms
         ):
             self.open -= 1
             if not self.open and self._next >= len(self._asked):
                 self.done.set()
             return
-        if one.luck < 0.3:  # some go through another gateway of their set
-            place = (first.number - one.customer.first) % len(self.gates)
-            first.number = (one.customer.first + (place + 1) % one.customer.width) % len(self.gates)
+        if one.client_draw < 0.3:  # some go through another gateway of their set
+            place = (first.number - one.customer.first_gateway) % len(self.gates)
+            first.number = (one.customer.first_gateway + (place + 1) % one.customer.replicas) % len(
+                self.gates
+            )
         self.clock.after(wait, partial(self._try, first))
 
 
--- a/hillmux/lab/measures.py
+++ b/hillmux/lab/measures.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from hillmux.lab.checks import Event, Terms
-from hillmux.lab.store import Store
+from hillmux.lab.store import TokenBucket
 from hillmux.recovery import full_service as full
 
 
@@ -49,7 +49,7 @@
     served: dict[int, float] = defaultdict(float)
     took: dict[int, list[float]] = defaultdict(list)
     firsts: dict[str, tuple[float, float, float]] = {}  # due, worth inside the quota, aim
-    quotas: dict[str, Store] = {}
+    quotas: dict[str, TokenBucket] = {}
     dials: Counter[tuple[str, int]] = Counter()
     calls: Counter[int] = Counter()
     results: Counter[str] = Counter()
@@ -60,9 +60,9 @@
             case "first":
                 figures.first += 1
                 rate, burst = terms.quotas[event["plan"]]
-                quota = quotas.setdefault(event["customer"], Store(rate, burst, event["due"]))
-                inside = quota.fill(event["due"]) >= event["units"]
-                quota.left -= event["true"] if inside else 0.0
+                quota = quotas.setdefault(event["customer"], TokenBucket(rate, burst, event["due"]))
+                inside = quota.refill(event["due"]) >= event["units"]
+                quota.available -= event["true"] if inside else 0.0
                 firsts[event["rid"]] = event["due"], event["worth"] if inside else 0.0, event["aim"]
                 asked[int((event["due"] - t0) / 1000)] += event["worth"] if inside else 0.0
             case "ask":
--- a/hillmux/lab/standins/alone.py
+++ b/hillmux/lab/standins/alone.py
@@ -31,7 +31,7 @@
             loop,
             name,
             "a",
-            HostModel(waiting=WAITING),
+            HostModel(max_queued=WAITING),
             keys,
             [Link("gateway", name)],
             _unnoted,
--- a/hillmux/lab/standins/counter.py
+++ b/hillmux/lab/standins/counter.py
@@ -9,7 +9,7 @@
 from hillmux.lab.links import Door, Link, Wire
 from hillmux.lab.record import Note
 from hillmux.lab.standins.http import Asked, Line, Owner, message
-from hillmux.lab.virtual.counter import CounterModel, CounterService
+from hillmux.lab.virtual.counter import CounterModel, SimulatedCounter
 
 MOST_NAME = 64
 Totals = list[dict[str, tuple[float, float]]]
@@ -27,8 +27,8 @@
         note: Note,
     ) -> None:
         self._clock, self._note, self._model = clock, note, model
-        self.service = CounterService(clock, model)
-        self.second: CounterService | None = None  # what the gateways in `at_second` see
+        self.service = SimulatedCounter(clock, model)
+        self.second: SimulatedCounter | None = None  # what the gateways in `at_second` see
         self.at_second: set[str] = set()
         self._kept: Totals = []
         self._lines: set[Line] = set()
@@ -70,7 +70,7 @@
         if not gateways:
             self.second, self.at_second = None, set()
             return
-        self.second = CounterService(self._clock, self._model)
+        self.second = SimulatedCounter(self._clock, self._model)
         self.second.start(self.service.copy())
         self.at_second = gateways
 
--- a/hillmux/lab/standins/host.py
+++ b/hillmux/lab/standins/host.py
@@ -15,7 +15,7 @@
 from hillmux.lab.record import Note
 from hillmux.lab.standins.http import Asked, Line, Owner, message
 from hillmux.lab.streams import Stream
-from hillmux.lab.virtual.hosts import Host, HostModel, Job
+from hillmux.lab.virtual.hosts import HostModel, Job, SimulatedHost
 
 MOST_KEYS = 200_000
 NOT_RUN = b"X-Not-Run: 1\r\n"
@@ -66,7 +66,7 @@
         work_ms: float = 1.0,
     ) -> None:
         self.name, self.zone = name, zone
-        self.host = Host(clock, name, zone, model)
+        self.host = SimulatedHost(clock, name, zone, model)
         self._clock, self._keys, self._note, self._stream = clock, keys, note, stream
         self._most_connections, self._work_ms = most_connections, work_ms
         self._lines: set[HostLine] = set()
@@ -78,8 +78,8 @@
         """A connection of a gateway has come up."""
         line = HostLine(wire, self)
         self._lines.add(line)
-        self.host.dialled()
-        self._note(self.name, "dial", gw=line.gateway, cold=self.host.warmth() < 1)
+        self.host.connection_opened()
+        self._note(self.name, "dial", gw=line.gateway, cold=self.host.capacity_share() < 1)
         return line
 
     def gone(self, line: Line) -> None:
@@ -87,7 +87,7 @@
         assert isinstance(line, HostLine)
         self._lines.discard(line)
         for job in line.jobs.values():
-            job.over = True  # nobody waits for it; what runs goes on running
+            job.done = True  # nobody waits for it; what runs goes on running
 
     def open(self) -> None:
         """Listen at every door."""
@@ -125,7 +125,7 @@
             return
         rid, key = asked.headers.get("x-request-id", ""), asked.headers.get("idempotency-key", "")
         query = asked.query
-        fell = self.host.fallen
+        fell = self.host.overloaded
         self._note(
             self.name,
             "got",
@@ -137,7 +137,7 @@
             units=float(query.get("units", 1)),
             customer=asked.path.rpartition("/")[2],
             plan=query.get("plan", ""),
-            cold=self.host.warmth() < 1,
+            cold=self.host.capacity_share() < 1,
         )
         if self.hung:
             return
@@ -152,8 +152,8 @@
         line.jobs[asked] = job
         if key and not self._keys.first(key, self._clock.now, float(query.get("window", 0))):
             self._note(self.name, "dropped", rid=rid, key=key)
-        self.host.came(job)
-        if self.host.fallen and not fell:
+        self.host.attempt_arrived(job)
+        if self.host.overloaded and not fell:
             self._note(self.name, "fell")
 
     def _end(self, asked: Asked, rid: str, result: str) -> None:
--- a/hillmux/lab/store.py
+++ b/hillmux/lab/store.py
@@ -3,16 +3,16 @@
 from __future__ import annotations
 
 
-class Store:
+class TokenBucket:
     """A store of units that starts full and fills at a rate."""
 
-    __slots__ = ("rate", "most", "left", "at")
+    __slots__ = ("rate", "burst", "available", "at")
 
-    def __init__(self, rate: float, most: float, now: float) -> None:
-        self.rate, self.most, self.left, self.at = rate, most, most, now
+    def __init__(self, rate: float, burst: float, now: float) -> None:
+        self.rate, self.burst, self.available, self.at = rate, burst, burst, now
 
-    def fill(self, now: float) -> float:
+    def refill(self, now: float) -> float:
         """What is in it now."""
-        self.left = min(self.most, self.left + (now - self.at) * self.rate / 1000)
+        self.available = min(self.burst, self.available + (now - self.at) * self.rate / 1000)
         self.at = now
-        return self.left
+        return self.available
--- a/hillmux/lab/traffic.py
+++ b/hillmux/lab/traffic.py
@@ -69,26 +69,26 @@
 
     name: str
     plan: PlanTraffic
-    first: int
-    width: int
-    use: float  # units a second that it asks for
+    first_gateway: int
+    replicas: int
+    units_per_s: float  # units a second that it asks for
 
 
 @dataclass(slots=True)
-class Try:
+class PlannedRequest:
     """One first try of a client."""
 
     at_ms: float
     customer: Customer
-    cls: ClassTraffic
+    request_class: ClassTraffic
     units: float
-    true_units: float
+    actual_units: float
     work_ms: float
     gateway: int
-    luck: float  # a uniform draw of the client's own, for what it decides later
+    client_draw: float  # a uniform draw of the client's own, for what it decides later
 
 
-def customers(model: TrafficModel, gateways: int, seed: int) -> list[Customer]:
+def plan_customers(model: TrafficModel, gateways: int, seed: int) -> list[Customer]:
     """Partners enough to ask for `per_s` requests inside their quotas."""
     draw = generator(seed, "customers")
     mean_units = (1 + model.most_units) / 2
@@ -111,15 +111,15 @@
     return found
 
 
-def tries(model: TrafficModel, gateways: int, seed: int) -> list[Try]:
+def plan_requests(model: TrafficModel, gateways: int, seed: int) -> list[PlannedRequest]:
     """All first tries, in the order of their times."""
-    found: list[Try] = []
+    found: list[PlannedRequest] = []
     shares = np.array([c.share for c in model.classes])
-    for customer in customers(model, gateways, seed):
+    for customer in plan_customers(model, gateways, seed):
         draw = generator(seed, f"customer.{customer.name}")
         units_mean = (1 + model.most_units) / 2
         more = (model.burst - 1) * (model.burst_s[1] - model.burst_s[0])  # seconds' worth of requests
-        rate = customer.use / units_mean
+        rate = customer.units_per_s / units_mean
         usual = draw.random(int(draw.poisson(rate * model.length_s))) * model.length_s
         extra = draw.uniform(*model.burst_s, size=int(draw.poisson(rate * max(more, 0.0))))
         times = np.sort(np.concatenate((usual, extra)))
@@ -132,24 +132,26 @@
         work = np.exp(sigma * draw.standard_normal(count) - sigma**2 / 2)
         luck = draw.random(count)
         spells = int(model.length_s / model.shift_s) + 1
-        weights = np.exp(model.skew * draw.standard_normal((spells, customer.width)))
+        weights = np.exp(model.skew * draw.standard_normal((spells, customer.replicas)))
         sums = np.cumsum(weights / weights.sum(axis=1, keepdims=True), axis=1)
         picks = draw.random(count)
-        busy = draw.random(count) < model.busy if model.busy and customer.width == gateways else None
+        busy = draw.random(count) < model.busy if model.busy and customer.replicas == gateways else None
         for i in range(count):
             cls = model.classes[int(classes[i])]
-            at = min(int(np.searchsorted(sums[int(times[i] / model.shift_s)], picks[i])), customer.width - 1)
+            at = min(
+                int(np.searchsorted(sums[int(times[i] / model.shift_s)], picks[i])), customer.replicas - 1
+            )
             if busy is not None and busy[i]:
-                at = -customer.first % gateways
+                at = -customer.first_gateway % gateways
             found.append(
-                Try(
+                PlannedRequest(
                     1000 * float(times[i]),
                     customer,
                     cls,
                     float(units[i]),
                     min(float(true[i]), 4.0 * model.most_units),
                     cls.work_ms * float(work[i]),
-                    (customer.first + at) % gateways,
+                    (customer.first_gateway + at) % gateways,
                     float(luck[i]),
                 )
             )
--- a/hillmux/lab/virtual/counter.py
+++ b/hillmux/lab/virtual/counter.py
@@ -21,10 +21,10 @@
 
     per_s: float = 500.0
     parts: int = 2
-    line_ms: float = 60.0
+    max_queue_ms: float = 60.0
 
 
-class CounterService:
+class SimulatedCounter:
     """Works on calls in their order, also on those that nobody waits for any more."""
 
     def __init__(self, loop: Clock, model: CounterModel) -> None:
@@ -33,7 +33,7 @@
         self._free_at = [0.0] * model.parts
         self._totals: list[dict[str, tuple[float, float]]] = [{} for _ in range(model.parts)]
         self.up = True
-        self.served = self.turned_away = 0
+        self.served = self.rejected = 0
 
     def call(self, name: str, amount: float, ttl_ms: float, answer: Answer) -> None:
         """One call has arrived."""
@@ -41,8 +41,8 @@
             return  # silence
         part = zlib.crc32(name.encode()) % self.model.parts
         wait = self._free_at[part] - self.loop.now
-        if wait > self.model.line_ms:
-            self.turned_away += 1
+        if wait > self.model.max_queue_ms:
+            self.rejected += 1
             answer(AttemptResult.QUEUE_FULL, 0.0)
             return
         self._free_at[part] = self.loop.now + max(wait, 0.0) + self.service_ms
--- a/hillmux/lab/virtual/counting.py
+++ b/hillmux/lab/virtual/counting.py
@@ -18,18 +18,22 @@
 from hillmux.counter.store import total_text
 from hillmux.decision.gateway import Gateway
 from hillmux.interface import AttemptResult, ListKind
-from hillmux.lab.store import Store
+from hillmux.lab.store import TokenBucket
 from hillmux.lab.streams import Stream, generator
-from hillmux.lab.virtual.counter import CounterModel, CounterService
-from hillmux.lab.virtual.loop import Loop
+from hillmux.lab.virtual.counter import CounterModel, SimulatedCounter
+from hillmux.lab.virtual.loop import VirtualLoop
 from hillmux.net.counter import request_bytes
 
-START_MS: Final = 1.8e12  # the modules' clock is the time of day: windows have numbers as long as in service
+START_TIME_MS: Final = (
+    1.8e12  # the modules' clock is the time of day: windows have numbers as long as in service
+)
 UNLIMITED: Final = CounterModel(per_s=1e9, parts=1)
-ARRIVALS_AT_ONCE: Final = 4096  # arrivals are drawn by so many
+ARRIVAL_BATCH: Final = 4096  # arrivals are drawn by so many
 CLASS: Final = api.RequestClass("read", latency_objective_ms=1000, deadline_ms=2000)
-CLIENT_LEFT_MS: Final = 2000.0  # what a request says of its time left
-SILENT_MS: Final = 1000.0  # `hillmux.net.counter.SILENT_S`: then its connections are closed, and dials fail
+CLIENT_TIMEOUT_MS: Final = 2000.0  # what a request says of its time left
+DISCONNECT_AFTER_MS: Final = (
+    1000.0  # `hillmux.net.counter.SILENT_S`: then its connections are closed, and dials fail
+)
 
 # On the wire a segment carries an IPv4 header (20 bytes) and a TCP header with timestamps (32 bytes). A call
 # is one segment each way; the reply acknowledges the request. The reply is acknowledged by the next request
@@ -39,7 +43,7 @@
 SEGMENTS_PER_CALL: Final = 2.5
 
 
-TURNED_AWAY_BYTES: Final = len(
+REJECTED_REPLY_BYTES: Final = len(
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 22\r\n\r\nno room for a new name"
 )
 
@@ -51,45 +55,45 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Scenario:
+class CountingScenario:
     """A fleet, its customers, its counter; times in milliseconds, rates a second."""
 
     gateways: int
     customers: int
-    width: int  # gateways that see a customer, in a row and counted round; the whole fleet at most
-    asked_per_s: float  # requests a second of one customer, of one unit each
+    replicas: int  # gateways that see a customer, in a row and counted round; the whole fleet at most
+    requests_per_s: float  # requests a second of one customer, of one unit each
     rate: float  # of each customer's plan
     burst: float
     seed: int
     counter: CounterModel = UNLIMITED
-    way_ms: tuple[float, float] = (2.0, 20.0)  # one way to the counter: even between these
-    count_wait_ms: float = 90.0
-    host_ms: float = 20.0
+    counter_delay_ms: tuple[float, float] = (2.0, 20.0)  # one way to the counter: even between these
+    counter_timeout_ms: float = 90.0
+    host_latency_ms: float = 20.0
     hosts: int = 5
-    most_customers: int = 8192
+    max_customers: int = 8192
     timed: bool = False  # sums the processor time of the modules
 
 
 @dataclass(slots=True)
-class Figures:
+class CountingFigures:
     """What was seen since the last `CountingFleet.begin_measuring`."""
 
     since_ms: float
     requests: int = 0
     unserved: int = 0  # no gateway of the customer's set was up
-    sent: float = 0.0  # units
-    beyond: float = 0.0  # units that the true store did not hold
-    refused: int = 0
-    refused_with_half: int = 0  # the true store held half a burst or more
-    refused_with_units: int = 0  # the true store held the request's units
+    units_forwarded: float = 0.0  # units
+    units_beyond_quota: float = 0.0  # units that the true store did not hold
+    rejected: int = 0
+    rejected_with_half_burst: int = 0  # the true store held half a burst or more
+    rejected_with_units: int = 0  # the true store held the request's units
     stranded: float = 0.0  # share of the burst in the true store, summed over refusals
-    causes: Tally[str] = field(default_factory=Tally)
-    calls: int = 0  # to the counter
-    ended: int = 0  # of them: those that came to an end, and
-    answered: int = 0  # those that did with a total, in time
+    reject_reasons: Tally[str] = field(default_factory=Tally)
+    counter_calls: int = 0  # to the counter
+    counter_calls_ended: int = 0  # of them: those that came to an end, and
+    counter_calls_answered: int = 0  # those that did with a total, in time
     request_bytes: int = 0
     reply_bytes: int = 0
-    module_s: float = 0.0  # processor time, where the scenario is timed
+    decision_s: float = 0.0  # processor time, where the scenario is timed
 
     @property
     def payload_bytes(self) -> int:
@@ -99,56 +103,61 @@
     @property
     def wire_bytes(self) -> float:
         """The same with TCP and IP headers."""
-        return self.payload_bytes + self.calls * SEGMENTS_PER_CALL * SEGMENT_BYTES
+        return self.payload_bytes + self.counter_calls * SEGMENTS_PER_CALL * SEGMENT_BYTES
 
 
 class Customer:
     """A customer: its set of gateways, its true store."""
 
-    __slots__ = ("name", "first", "store", "beyond", "sent", "kept_to")
+    __slots__ = ("name", "first_gateway", "quota", "units_beyond_quota", "units_forwarded", "only_gateway")
 
-    def __init__(self, name: str, first: int, store: Store) -> None:
-        self.name, self.first, self.store = name, first, store
-        self.beyond = self.sent = 0.0  # units, since the start
-        self.kept_to: int | None = None  # all of its traffic comes to this gateway
+    def __init__(self, name: str, first_gateway: int, quota: TokenBucket) -> None:
+        self.name, self.first_gateway, self.quota = name, first_gateway, quota
+        self.units_beyond_quota = self.units_forwarded = 0.0  # units, since the start
+        self.only_gateway: int | None = None  # all of its traffic comes to this gateway
 
 
-class HollowGateway:
+class CountingGateway:
     """One gateway's module, from a start to its end, and what is between it and the counter."""
 
     __slots__ = (
         "number",
-        "life",
-        "module",
+        "incarnation",
+        "gateway",
         "alive",
-        "clock_off_ms",
-        "cut_off_at",
-        "open",
+        "clock_offset_ms",
+        "disconnected_at",
+        "open_requests",
         "requests",
-        "refused",
+        "rejected",
         "calls",
     )
 
-    def __init__(self, number: int, life: int, module: Gateway, clock_off_ms: float) -> None:
-        self.number, self.life, self.module, self.clock_off_ms = number, life, module, clock_off_ms
+    def __init__(self, number: int, incarnation: int, gateway: Gateway, clock_offset_ms: float) -> None:
+        self.number, self.incarnation, self.gateway, self.clock_offset_ms = (
+            number,
+            incarnation,
+            gateway,
+            clock_offset_ms,
+        )
         self.alive = True
-        self.cut_off_at: float | None = None  # since when the counter is out of its reach
-        self.open: dict[str, Customer] = {}  # by request
-        self.requests = self.refused = self.calls = 0  # since its start
+        self.disconnected_at: float | None = None  # since when the counter is out of its reach
+        self.open_requests: dict[str, Customer] = {}  # by request
+        self.requests = self.rejected = self.calls = 0  # since its start
 
 
-class CountCall:
+class CounterCall:
     """One call to the counter, which is answered to its gateway once."""
 
-    __slots__ = ("gateway", "act", "made_ms", "done")
+    __slots__ = ("gateway", "action", "started_at_ms", "done")
 
-    def __init__(self, gateway: HollowGateway, act: api.IncrementCounter, made_ms: float) -> None:
-        self.gateway, self.act, self.made_ms = gateway, act, made_ms
+    def __init__(self, gateway: CountingGateway, action: api.IncrementCounter, started_at_ms: float) -> None:
+        self.gateway, self.action, self.started_at_ms = gateway, action, started_at_ms
         self.done = False
 
 
-Meddler = Callable[[CountCall], bool]  # takes a call's way over, or leaves it (False)
-RefusalWatch = Callable[[HollowGateway, Customer, str], None]  # is told of each refusal and its cause
+CallInterceptor = Callable[[CounterCall], bool]  # takes a call's way over, or leaves it (False)
+RejectionObserver = Callable[[CountingGateway, Customer, str], None]  # is told of each refusal and its cause
 
 
 class CountingFleet:
@@ -160,17 +169,17 @@
 
     def __init__(
         self,
-        scenario: Scenario,
-        inspect: Callable[[HollowGateway], None] | None = None,
+        scenario: CountingScenario,
+        inspect: Callable[[CountingGateway], None] | None = None,
         check: Callable[[CountingFleet], None] | None = None,
     ) -> None:
         self.scenario, self.inspect, self.check = scenario, inspect, check
-        self.loop = Loop(START_MS)
-        self.counter = CounterService(self.loop, scenario.counter)
-        self.figures = Figures(START_MS)
-        self.width = min(scenario.width, scenario.gateways)
-        self.meddler: Meddler | None = None  # faults of calls
-        self.refusal_watch: RefusalWatch | None = None
+        self.loop = VirtualLoop(START_TIME_MS)
+        self.counter = SimulatedCounter(self.loop, scenario.counter)
+        self.figures = CountingFigures(START_TIME_MS)
+        self.replicas = min(scenario.replicas, scenario.gateways)
+        self.call_interceptor: CallInterceptor | None = None  # faults of calls
+        self.rejection_observer: RejectionObserver | None = None
         self._late_calls = scenario.counter is not UNLIMITED
         self._plan = api.Plan("plan", rate=scenario.rate, burst=scenario.burst)
         self._servers = tuple(api.Endpoint(f"host-{i}") for i in range(scenario.hosts))
@@ -185,31 +194,31 @@
         self._arrivals: list[tuple[float, int, int]] = []
         self._next_arrival()
 
-    def _store(self) -> Store:
-        return Store(self.scenario.rate, self.scenario.burst, START_MS)
+    def _store(self) -> TokenBucket:
+        return TokenBucket(self.scenario.rate, self.scenario.burst, START_TIME_MS)
 
     # --- Playing ---
 
-    def run(self, for_s: float) -> Figures:
+    def run(self, for_s: float) -> CountingFigures:
         """Go on for a time."""
         self.loop.run(self.loop.now + 1000 * for_s)
         return self.figures
 
     def begin_measuring(self) -> None:
         """Figures from here on."""
-        self.figures = Figures(self.loop.now)
+        self.figures = CountingFigures(self.loop.now)
 
     def measured_s(self) -> float:
         """Virtual time since the figures began."""
         return (self.loop.now - self.figures.since_ms) / 1000
 
-    def expect_late_calls(self) -> None:
+    def enable_counter_timeouts(self) -> None:
         """Give up calls after `count_wait_ms`: for scenarios with faults. To be called before the start."""
         self._late_calls = True
 
     # --- Gateways ---
 
-    def _started(self, number: int, clock_off_ms: float) -> HollowGateway:
+    def _started(self, number: int, clock_off_ms: float) -> CountingGateway:
         scenario = self.scenario
         self._lives += 1
         settings = api.Settings(
@@ -218,13 +227,13 @@
             gateway_index=number,
             fleet_size=scenario.gateways,
             counter_available=True,
-            counter_timeout_ms=scenario.count_wait_ms,
-            max_customers=scenario.most_customers,
+            counter_timeout_ms=scenario.counter_timeout_ms,
+            max_customers=scenario.max_customers,
             max_retry_after_ms=2000,
         )
         seed = int(generator(scenario.seed, f"gateway.{self._lives}").integers(1 << 61))
-        gateway = HollowGateway(number, self._lives, Gateway(settings, seed), clock_off_ms)
-        self.give(gateway, api.EndpointList(ListKind.FULL, self._servers))
+        gateway = CountingGateway(number, self._lives, Gateway(settings, seed), clock_off_ms)
+        self.handle(gateway, api.EndpointList(ListKind.FULL, self._servers))
         return gateway
 
     def kill(self, number: int) -> None:
@@ -235,20 +244,20 @@
         """It is back and knows nothing; its machine's clock and its way to the counter are as before."""
         old = self.gateways[number]
         old.alive = False
-        self.gateways[number] = self._started(number, old.clock_off_ms)
-        self.gateways[number].cut_off_at = old.cut_off_at
+        self.gateways[number] = self._started(number, old.clock_offset_ms)
+        self.gateways[number].disconnected_at = old.disconnected_at
 
-    def give(self, gateway: HollowGateway, event: api.Event) -> None:
+    def handle(self, gateway: CountingGateway, event: api.Event) -> None:
         """One event for a gateway's module; does what it answers."""
         if not gateway.alive:
             return
-        now = self.loop.now + gateway.clock_off_ms
+        now = self.loop.now + gateway.clock_offset_ms
         if self.scenario.timed:
             began = thread_time()
-            actions = gateway.module.handle(now, event)
-            self.figures.module_s += thread_time() - began
+            actions = gateway.gateway.handle(now, event)
+            self.figures.decision_s += thread_time() - began
         else:
-            actions = gateway.module.handle(now, event)
+            actions = gateway.gateway.handle(now, event)
         for act in actions:
             kind = type(act)
             if kind is api.SendAttempt:
@@ -258,7 +267,7 @@
             elif kind is api.Reject:
                 self._refused(gateway, act)  # type: ignore[arg-type]
             elif kind is api.SetTimer:
-                self.loop.after(act.delay_ms, self.give, gateway, api.TimerFired(act.name))  # type: ignore[union-attr]
+                self.loop.after(act.delay_ms, self.handle, gateway, api.TimerFired(act.name))  # type: ignore[union-attr]
         if self.inspect is not None:
             self.inspect(gateway)
         if self.check is not None:
@@ -269,10 +278,10 @@
     def _draw_arrivals(self) -> None:
         """The next arrivals, the earliest last: all customers' together are one Poisson stream."""
         scenario, draw = self.scenario, self._generator
-        gaps = draw.exponential(1000 / (scenario.asked_per_s * scenario.customers), ARRIVALS_AT_ONCE)
+        gaps = draw.exponential(1000 / (scenario.requests_per_s * scenario.customers), ARRIVAL_BATCH)
         times = (self.loop.now + gaps.cumsum()).tolist()
-        customers = draw.integers(scenario.customers, size=ARRIVALS_AT_ONCE).tolist()
-        places = draw.integers(self.width, size=ARRIVALS_AT_ONCE).tolist()
+        customers = draw.integers(scenario.customers, size=ARRIVAL_BATCH).tolist()
+        places = draw.integers(self.replicas, size=ARRIVAL_BATCH).tolist()
         self._arrivals = list(zip(times, customers, places, strict=True))[::-1]
 
     def _next_arrival(self) -> None:
@@ -294,86 +303,97 @@
             return
         self._serial += 1
         rid = str(self._serial)
-        gateway.open[rid] = customer
+        gateway.open_requests[rid] = customer
         gateway.requests += 1
-        self.give(
+        self.handle(
             gateway,
             api.Request(
-                rid, CLASS.name, "plan", customer.name, CLIENT_LEFT_MS, 1.0, self.width, customer.first
+                rid,
+                CLASS.name,
+                "plan",
+                customer.name,
+                CLIENT_TIMEOUT_MS,
+                1.0,
+                self.replicas,
+                customer.first_gateway,
             ),
         )
 
-    def _reached(self, customer: Customer, place: int) -> HollowGateway | None:
-        if customer.kept_to is not None and self.gateways[customer.kept_to].alive:
-            return self.gateways[customer.kept_to]
-        for step in range(self.width):
-            number = (customer.first + (place + step) % self.width) % len(self.gateways)
+    def _reached(self, customer: Customer, place: int) -> CountingGateway | None:
+        if customer.only_gateway is not None and self.gateways[customer.only_gateway].alive:
+            return self.gateways[customer.only_gateway]
+        for step in range(self.replicas):
+            number = (customer.first_gateway + (place + step) % self.replicas) % len(self.gateways)
             if self.gateways[number].alive:
                 return self.gateways[number]
         return None
 
-    def _send(self, gateway: HollowGateway, act: api.SendAttempt) -> None:
-        customer, figures = gateway.open[act.request_id], self.figures
-        store = customer.store
-        figures.sent += 1
-        customer.sent += 1
-        if store.fill(self.loop.now) >= 1:
-            store.left -= 1
+    def _send(self, gateway: CountingGateway, act: api.SendAttempt) -> None:
+        customer, figures = gateway.open_requests[act.request_id], self.figures
+        store = customer.quota
+        figures.units_forwarded += 1
+        customer.units_forwarded += 1
+        if store.refill(self.loop.now) >= 1:
+            store.available -= 1
         else:
-            figures.beyond += 1
-            customer.beyond += 1
-        self.loop.after(self.scenario.host_ms, self._served, gateway, act)
+            figures.units_beyond_quota += 1
+            customer.units_beyond_quota += 1
+        self.loop.after(self.scenario.host_latency_ms, self._served, gateway, act)
 
-    def _served(self, gateway: HollowGateway, act: api.SendAttempt) -> None:
-        gateway.open.pop(act.request_id, None)
-        self.give(
+    def _served(self, gateway: CountingGateway, act: api.SendAttempt) -> None:
+        gateway.open_requests.pop(act.request_id, None)
+        self.handle(
             gateway,
-            api.AttemptEnded(act.request_id, 0, act.host, AttemptResult.OK, self.scenario.host_ms, True),
+            api.AttemptEnded(
+                act.request_id, 0, act.host, AttemptResult.OK, self.scenario.host_latency_ms, True
+            ),
         )
 
-    def _refused(self, gateway: HollowGateway, act: api.Reject) -> None:
-        customer, figures = gateway.open.pop(act.request_id), self.figures
-        if self.refusal_watch is not None:
-            self.refusal_watch(gateway, customer, act.reason)
-        store = customer.store
-        left = store.fill(self.loop.now)
-        figures.refused += 1
-        gateway.refused += 1
-        figures.causes[act.reason] += 1
-        figures.refused_with_half += left >= store.most / 2
-        figures.refused_with_units += left >= 1
-        figures.stranded += left / store.most
+    def _refused(self, gateway: CountingGateway, act: api.Reject) -> None:
+        customer, figures = gateway.open_requests.pop(act.request_id), self.figures
+        if self.rejection_observer is not None:
+            self.rejection_observer(gateway, customer, act.reason)
+        store = customer.quota
+        left = store.refill(self.loop.now)
+        figures.rejected += 1
+        gateway.rejected += 1
+        figures.reject_reasons[act.reason] += 1
+        figures.rejected_with_half_burst += left >= store.burst / 2
+        figures.rejected_with_units += left >= 1
+        figures.stranded += left / store.burst
 
     # --- Calls to the counter ---
 
-    def _count(self, gateway: HollowGateway, act: api.IncrementCounter) -> None:
-        self.figures.calls += 1
+    def _count(self, gateway: CountingGateway, act: api.IncrementCounter) -> None:
+        self.figures.counter_calls += 1
         gateway.calls += 1
         self.figures.request_bytes += len(request_bytes(act))
-        call = CountCall(gateway, act, self.loop.now)
-        if gateway.cut_off_at is not None:
-            silent = self.loop.now < gateway.cut_off_at + SILENT_MS
+        call = CounterCall(gateway, act, self.loop.now)
+        if gateway.disconnected_at is not None:
+            silent = self.loop.now < gateway.disconnected_at + DISCONNECT_AFTER_MS
             result = AttemptResult.TIMED_OUT if silent else AttemptResult.CONNECT_FAILED
-            self.loop.after(self.scenario.count_wait_ms, self.end, call, result, 0.0)
+            self.loop.after(self.scenario.counter_timeout_ms, self.end_call, call, result, 0.0)
             return
         if self._late_calls:
-            self.loop.after(self.scenario.count_wait_ms, self.end, call, AttemptResult.TIMED_OUT, 0.0)
-        if self.meddler is None or not self.meddler(call):
-            self.loop.after(self.way_ms(), self.arrive_at_counter, call)
+            self.loop.after(
+                self.scenario.counter_timeout_ms, self.end_call, call, AttemptResult.TIMED_OUT, 0.0
+            )
+        if self.call_interceptor is None or not self.call_interceptor(call):
+            self.loop.after(self.draw_counter_delay_ms(), self.deliver_call, call)
 
-    def way_ms(self) -> float:
+    def draw_counter_delay_ms(self) -> float:
         """One way between a gateway and the counter."""
-        return self._ways.uniform(*self.scenario.way_ms)
+        return self._ways.uniform(*self.scenario.counter_delay_ms)
 
-    def arrive_at_counter(self, call: CountCall) -> None:
+    def deliver_call(self, call: CounterCall) -> None:
         """A call has reached the counter, which will answer it."""
-        act = call.act
+        act = call.action
 
         def answered(result: AttemptResult, total: float) -> None:
-            self.figures.reply_bytes += reply_bytes(total) if result == "ok" else TURNED_AWAY_BYTES
+            self.figures.reply_bytes += reply_bytes(total) if result == "ok" else REJECTED_REPLY_BYTES
             self.loop.after(
-                self.way_ms(),
-                self.end,
+                self.draw_counter_delay_ms(),
+                self.end_call,
                 call,
                 AttemptResult.OK if result == "ok" else AttemptResult.QUEUE_FULL,
                 total,
@@ -381,15 +401,15 @@
 
         self.counter.call(act.name, act.amount, act.retention_ms, answered)
 
-    def end(self, call: CountCall, result: AttemptResult, total: float) -> None:
+    def end_call(self, call: CounterCall, result: AttemptResult, total: float) -> None:
         """What a call came to at its gateway; the first word counts."""
         if call.done:
             return
-        if result == AttemptResult.OK and call.gateway.cut_off_at is not None:
+        if result == AttemptResult.OK and call.gateway.disconnected_at is not None:
             return  # the answer does not come through
         call.done = True
-        if call.made_ms >= self.figures.since_ms:
-            self.figures.ended += 1
-            self.figures.answered += result == AttemptResult.OK
-        took = self.loop.now - call.made_ms
-        self.give(call.gateway, api.CounterReply(call.act.name, result, total, took))
+        if call.started_at_ms >= self.figures.since_ms:
+            self.figures.counter_calls_ended += 1
+            self.figures.counter_calls_answered += result == AttemptResult.OK
+        took = self.loop.now - call.started_at_ms
+        self.handle(call.gateway, api.CounterReply(call.action.name, result, total, took))
--- a/hillmux/lab/virtual/counting_checks.py
+++ b/hillmux/lab/virtual/counting_checks.py
@@ -9,7 +9,7 @@
 import math
 from typing import Final
 
-from hillmux.lab.virtual.counting import HollowGateway
+from hillmux.lab.virtual.counting import CountingGateway
 from hillmux.quotas import batches, lease
 from hillmux.quotas.state import QuotaState
 
@@ -22,14 +22,14 @@
     """What does not hold at a gateway; the text names it and the customer."""
 
 
-def check_leases(gateway: HollowGateway) -> None:
+def check_leases(gateway: CountingGateway) -> None:
     """Check every customer's state at a gateway.
 
     Raises:
         BrokenInvariantError: an amount that is no finite number; a lease, or use that was not reported,
             beyond its bound.
     """
-    quotas = gateway.module.quotas
+    quotas = gateway.gateway.quotas
     answered = quotas.throttle.answer_rate == 1.0
     for state in quotas.registry.states.values():
         _check_finite(gateway, state)
@@ -38,20 +38,20 @@
             _check_unreported(gateway, state, quotas.now)
 
 
-def _check_finite(gateway: HollowGateway, state: QuotaState) -> None:
+def _check_finite(gateway: CountingGateway, state: QuotaState) -> None:
     for name in AMOUNTS:
         if not math.isfinite(getattr(state, name)):
             raise _broken(gateway, state, f"{name}: {getattr(state, name)!r}")
 
 
-def _check_lease(gateway: HollowGateway, state: QuotaState) -> None:
+def _check_lease(gateway: CountingGateway, state: QuotaState) -> None:
     held = lease.available(state)
     most = REQUEST_UNITS + state.plan.burst / batches.divisor(state.replicas)
     if not 0 <= held <= most + ROUNDING_UNITS:
         raise _broken(gateway, state, f"lease of {held:g} units, at most {most:g}")
 
 
-def _check_unreported(gateway: HollowGateway, state: QuotaState, now: float) -> None:
+def _check_unreported(gateway: CountingGateway, state: QuotaState, now: float) -> None:
     unreported = state.used - state.reported
     share = state.share_rate * max(now - state.called_at, 0.0)
     most = share + state.plan.burst / batches.divisor(state.replicas) + REQUEST_UNITS
@@ -59,5 +59,5 @@
         raise _broken(gateway, state, f"{unreported:g} units unreported, at most {most:g}")
 
 
-def _broken(gateway: HollowGateway, state: QuotaState, what: str) -> BrokenInvariantError:
+def _broken(gateway: CountingGateway, state: QuotaState, what: str) -> BrokenInvariantError:
     return BrokenInvariantError(f"gateway {gateway.number}, customer {state.key[0]}: {what}")
--- a/hillmux/lab/virtual/counting_schedules.py
+++ b/hillmux/lab/virtual/counting_schedules.py
@@ -14,41 +14,41 @@
 
 from hillmux.lab.streams import generator
 from hillmux.lab.virtual.counter import CounterModel
-from hillmux.lab.virtual.counting import UNLIMITED, CountingFleet, HollowGateway, Scenario
+from hillmux.lab.virtual.counting import UNLIMITED, CountingFleet, CountingGateway, CountingScenario
 from hillmux.lab.virtual.counting_faults import (
-    BadCalls,
-    BadEnd,
+    CallFailure,
     ClockJump,
-    CounterEmptied,
-    CounterOldCopy,
-    CutOff,
+    CounterReset,
+    CounterRolledBack,
+    CounterUnreachable,
+    FailingCalls,
     Fault,
     FaultyFleet,
     Kill,
-    TrafficMoves,
+    TrafficMoved,
 )
 from hillmux.lab.virtual.counting_leases import StrandedLeases
 
 SCHEDULES: Final = 1000
-MOST_SCHEDULES: Final = 10_000
-LEAST_GATEWAYS, MOST_GATEWAYS = 3, 24
-LEAST_CUSTOMERS, MOST_CUSTOMERS = 2, 5
-LEAST_S, MOST_S = 20.0, 40.0
-MOST_FAULTS: Final = 6
-USES: Final = (0.5, 0.9, 1.5, 3.5)  # what customers ask, in their rates
-LEAST_RATE, MOST_RATE = 1.0, 3.0
-LEAST_BURST_S, MOST_BURST_S = 1.0, 5.0  # in seconds of the rate
+MAX_SCHEDULES: Final = 10_000
+MIN_GATEWAYS, MAX_GATEWAYS = 3, 24
+MIN_CUSTOMERS, MAX_CUSTOMERS = 2, 5
+MIN_LENGTH_S, MAX_LENGTH_S = 20.0, 40.0
+MAX_FAULTS: Final = 6
+LOADS: Final = (0.5, 0.9, 1.5, 3.5)  # what customers ask, in their rates
+MIN_RATE, MAX_RATE = 1.0, 3.0
+MIN_BURST_S, MAX_BURST_S = 1.0, 5.0  # in seconds of the rate
 LIMITED_SHARE: Final = 0.25  # of schedules with a counter that takes only so many calls a second:
-LEAST_PER_S, MOST_PER_S = 20.0, 300.0
-LONG_CUT_OFF_MS: Final = 60_000.0  # to beyond the schedule's end
-CLOCK_OFF_MS: Final = 5_000.0
+MIN_CALLS_PER_S, MAX_CALLS_PER_S = 20.0, 300.0
+LONG_DISCONNECTION_MS: Final = 60_000.0  # to beyond the schedule's end
+CLOCK_OFFSET_MS: Final = 5_000.0
 
 
 @dataclass(slots=True, frozen=True)
 class Schedule:
     """A scenario, its faults and its length."""
 
-    scenario: Scenario
+    scenario: CountingScenario
     faults: tuple[Fault, ...]
     length_s: float
 
@@ -56,25 +56,27 @@
 def draw_schedule(seed: int) -> Schedule:
     """The schedule of a seed."""
     draw = generator(seed, "schedule")
-    gateways = int(draw.integers(LEAST_GATEWAYS, MOST_GATEWAYS + 1))
-    rate = float(draw.uniform(LEAST_RATE, MOST_RATE))
+    gateways = int(draw.integers(MIN_GATEWAYS, MAX_GATEWAYS + 1))
+    rate = float(draw.uniform(MIN_RATE, MAX_RATE))
     limited = draw.random() < LIMITED_SHARE
-    scenario = Scenario(
+    scenario = CountingScenario(
         gateways=gateways,
-        customers=int(draw.integers(LEAST_CUSTOMERS, MOST_CUSTOMERS + 1)),
-        width=int(draw.integers(LEAST_GATEWAYS, gateways + 1)),
-        asked_per_s=rate * float(draw.choice(USES)),
+        customers=int(draw.integers(MIN_CUSTOMERS, MAX_CUSTOMERS + 1)),
+        replicas=int(draw.integers(MIN_GATEWAYS, gateways + 1)),
+        requests_per_s=rate * float(draw.choice(LOADS)),
         rate=rate,
-        burst=rate * float(draw.uniform(LEAST_BURST_S, MOST_BURST_S)),
+        burst=rate * float(draw.uniform(MIN_BURST_S, MAX_BURST_S)),
         seed=seed,
-        counter=CounterModel(per_s=float(draw.uniform(LEAST_PER_S, MOST_PER_S))) if limited else UNLIMITED,
+        counter=CounterModel(per_s=float(draw.uniform(MIN_CALLS_PER_S, MAX_CALLS_PER_S)))
+        if limited
+        else UNLIMITED,
     )
-    length_s = float(draw.uniform(LEAST_S, MOST_S))
-    count = int(draw.integers(MOST_FAULTS + 1))
+    length_s = float(draw.uniform(MIN_LENGTH_S, MAX_LENGTH_S))
+    count = int(draw.integers(MAX_FAULTS + 1))
     return Schedule(scenario, tuple(_draw_fault(draw, scenario, length_s) for _ in range(count)), length_s)
 
 
-def _draw_fault(draw: np.random.Generator, scenario: Scenario, length_s: float) -> Fault:
+def _draw_fault(draw: np.random.Generator, scenario: CountingScenario, length_s: float) -> Fault:
     at_ms = float(draw.uniform(0.0, 900.0 * length_s))
     gateway = int(draw.integers(scenario.gateways))
     kind = int(draw.integers(8))
@@ -82,142 +84,146 @@
         case 0:
             return Kill(at_ms, gateway, float(draw.uniform(0.0, 3000.0)))
         case 1:
-            length_ms = LONG_CUT_OFF_MS if draw.random() < 0.3 else float(draw.uniform(100.0, 10_000.0))
-            return CutOff(at_ms, gateway, length_ms)
+            length_ms = LONG_DISCONNECTION_MS if draw.random() < 0.3 else float(draw.uniform(100.0, 10_000.0))
+            return CounterUnreachable(at_ms, gateway, length_ms)
         case 2:
-            end = list(BadEnd)[int(draw.integers(len(BadEnd)))]
-            return BadCalls(at_ms, float(draw.uniform(500.0, 10_000.0)), float(draw.uniform(0.05, 1.0)), end)
+            end = list(CallFailure)[int(draw.integers(len(CallFailure)))]
+            return FailingCalls(
+                at_ms, float(draw.uniform(500.0, 10_000.0)), float(draw.uniform(0.05, 1.0)), end
+            )
         case 3:
-            return CounterEmptied(at_ms)
+            return CounterReset(at_ms)
         case 4:
-            return CounterOldCopy(at_ms)
+            return CounterRolledBack(at_ms)
         case 5:
             return ClockJump(at_ms, gateway, float(draw.uniform(100.0, 20_000.0)))
         case 6:
-            return ClockJump(0.0, gateway, CLOCK_OFF_MS if draw.random() < 0.5 else -CLOCK_OFF_MS)
+            return ClockJump(0.0, gateway, CLOCK_OFFSET_MS if draw.random() < 0.5 else -CLOCK_OFFSET_MS)
         case _:
             customer = int(draw.integers(scenario.customers))
-            place = int(draw.integers(scenario.width))
-            return TrafficMoves(at_ms, customer, (customer + place) % scenario.gateways)
+            place = int(draw.integers(scenario.replicas))
+            return TrafficMoved(at_ms, customer, (customer + place) % scenario.gateways)
 
 
 @dataclass(slots=True, frozen=True)
-class Played:
+class ScheduleResult:
     """What one schedule came to; units by customer."""
 
     seed: int
     requests: int
-    refused_with_room: int  # the true store held half a burst or more
-    beyond: tuple[float, ...]  # units beyond the quota
+    rejected_with_half_burst: int  # the true store held half a burst or more
+    units_beyond_quota: tuple[float, ...]  # units beyond the quota
     burst: float
-    earned: float  # rate x time
-    calls: int = 0
-    refused_by_quota: int = 0
+    refilled_units: float  # rate x time
+    counter_calls: int = 0
+    rejected_by_quota: int = 0
     stranded: float = 0.0  # bursts in leases of others, summed over refusals by quota
-    stranded_most: float = 0.0  # the same at one refusal
+    max_stranded: float = 0.0  # the same at one refusal
     failure: str = ""  # what the inspection, or the program, raised
 
     @property
-    def most_of_burst(self) -> float:
+    def max_share_of_burst(self) -> float:
         """Units beyond the quota of the worst customer, as a share of the burst."""
-        return max(self.beyond) / self.burst
+        return max(self.units_beyond_quota) / self.burst
 
     @property
-    def most_of_earned(self) -> float:
+    def max_share_of_refill(self) -> float:
         """The same as a share of rate x time."""
-        return max(self.beyond) / self.earned
+        return max(self.units_beyond_quota) / self.refilled_units
 
 
 @dataclass(slots=True, frozen=True)
-class Spread:
+class Distribution:
     """A distribution over schedules, or over customers of schedules."""
 
     mean: float
     p99: float
-    most: float
+    maximum: float
 
     @classmethod
-    def of(cls, values: Iterable[float]) -> Spread:
+    def of(cls, values: Iterable[float]) -> Distribution:
         """Of some values, one or more."""
         found = np.fromiter(values, float)
         return cls(float(found.mean()), float(np.quantile(found, 0.99)), float(found.max()))
 
 
 @dataclass(slots=True, frozen=True)
-class Summary:
+class ScheduleSummary:
     """What many schedules came to."""
 
-    played: tuple[Played, ...]
+    results: tuple[ScheduleResult, ...]
 
     @property
     def failures(self) -> dict[int, str]:
         """What was raised, by the seed that plays it again."""
-        return {one.seed: one.failure for one in self.played if one.failure}
+        return {one.seed: one.failure for one in self.results if one.failure}
 
     @property
-    def beyond_units(self) -> Spread:
+    def units_beyond_quota(self) -> Distribution:
         """Units beyond the quota, over customers."""
-        return Spread.of(units for one in self.played for units in one.beyond)
+        return Distribution.of(units for one in self.results for units in one.units_beyond_quota)
 
     @property
-    def beyond_of_burst(self) -> Spread:
+    def beyond_quota_of_burst(self) -> Distribution:
         """Units beyond the quota of a schedule's worst customer, as a share of its burst."""
-        return Spread.of(one.most_of_burst for one in self.played)
+        return Distribution.of(one.max_share_of_burst for one in self.results)
 
     @property
-    def beyond_of_earned(self) -> Spread:
+    def beyond_quota_of_refill(self) -> Distribution:
         """The same as a share of rate x time."""
-        return Spread.of(one.most_of_earned for one in self.played)
+        return Distribution.of(one.max_share_of_refill for one in self.results)
 
     @property
-    def refused_with_room_share(self) -> float:
+    def rejected_with_half_burst_share(self) -> float:
         """Requests refused while the true store held half a burst or more, as a share of all."""
-        requests = sum(one.requests for one in self.played)
-        return sum(one.refused_with_room for one in self.played) / max(requests, 1)
+        requests = sum(one.requests for one in self.results)
+        return sum(one.rejected_with_half_burst for one in self.results) / max(requests, 1)
 
     @property
     def calls_per_request(self) -> float:
         """Calls to the counter."""
-        return sum(one.calls for one in self.played) / max(sum(one.requests for one in self.played), 1)
+        return sum(one.counter_calls for one in self.results) / max(
+            sum(one.requests for one in self.results), 1
+        )
 
     @property
     def stranded_mean(self) -> float:
         """Bursts in leases of other gateways, the mean over refusals by quota."""
-        refusals = sum(one.refused_by_quota for one in self.played)
-        return sum(one.stranded for one in self.played) / max(refusals, 1)
+        refusals = sum(one.rejected_by_quota for one in self.results)
+        return sum(one.stranded for one in self.results) / max(refusals, 1)
 
     @property
-    def stranded_most(self) -> float:
+    def max_stranded(self) -> float:
         """The same at the worst refusal."""
-        return max(one.stranded_most for one in self.played)
+        return max(one.max_stranded for one in self.results)
 
 
 def play_schedule(
     seed: int,
-    inspect: Callable[[HollowGateway], None] | None = None,
+    inspect: Callable[[CountingGateway], None] | None = None,
     check: Callable[[CountingFleet], None] | None = None,
-) -> Played:
+) -> ScheduleResult:
     """Play the schedule of a seed; it ends early where `inspect`, `check` or the program raises."""
     schedule = draw_schedule(seed)
     scenario, failure = schedule.scenario, ""
     fleet = FaultyFleet(scenario, schedule.faults, inspect, check)
     stranded = StrandedLeases(fleet)
-    fleet.refusal_watch = stranded.refused
+    fleet.rejection_observer = stranded.record_rejection
     try:
         fleet.run(schedule.length_s)
     except Exception as error:  # whatever it is, its seed is to be known
         failure = f"{type(error).__name__}: {error}"
-    return Played(
+    return ScheduleResult(
         seed=seed,
         requests=fleet.figures.requests,
-        refused_with_room=fleet.figures.refused_with_half,
-        beyond=tuple(customer.beyond for customer in fleet.customers),
+        rejected_with_half_burst=fleet.figures.rejected_with_half_burst,
+        units_beyond_quota=tuple(customer.units_beyond_quota for customer in fleet.customers),
         burst=scenario.burst,
-        earned=scenario.rate * schedule.length_s,
-        calls=fleet.figures.calls,
-        refused_by_quota=stranded.refusals,
-        stranded=stranded.total,
-        stranded_most=stranded.most,
+        refilled_units=scenario.rate * schedule.length_s,
+        counter_calls=fleet.figures.counter_calls,
+        rejected_by_quota=stranded.rejections,
+        stranded=stranded.total_share,
+        max_stranded=stranded.max_share,
         failure=failure,
     )
 
@@ -225,14 +231,14 @@
 def play_schedules(
     count: int = SCHEDULES,
     first_seed: int = 0,
-    inspect: Callable[[HollowGateway], None] | None = None,
+    inspect: Callable[[CountingGateway], None] | None = None,
     check: Callable[[CountingFleet], None] | None = None,
-) -> Summary:
+) -> ScheduleSummary:
     """Play the schedules of so many seeds in a row.
 
     Raises:
         ValueError: none, or more than `MOST_SCHEDULES`.
     """
-    if not 1 <= count <= MOST_SCHEDULES:
-        raise ValueError(f"count: found {count}, allowed 1 to {MOST_SCHEDULES}")
-    return Summary(tuple(play_schedule(first_seed + i, inspect, check) for i in range(count)))
+    if not 1 <= count <= MAX_SCHEDULES:
+        raise ValueError(f"count: found {count}, allowed 1 to {MAX_SCHEDULES}")
+    return ScheduleSummary(tuple(play_schedule(first_seed + i, inspect, check) for i in range(count)))
--- a/hillmux/lab/virtual/gateway.py
+++ b/hillmux/lab/virtual/gateway.py
@@ -11,7 +11,7 @@
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
 from hillmux.interface import AttemptResult
-from hillmux.lab.traffic import Try
+from hillmux.lab.traffic import PlannedRequest
 from hillmux.lab.virtual.environment import Environment
 from hillmux.lab.virtual.hosts import Job
 
@@ -24,75 +24,75 @@
 Answer = Callable[[str, float], object]  # served, refused, failed or reset; when to come back
 
 
-class _Attempt:
-    __slots__ = ("number", "server", "sent_at", "open", "job")
+class OpenAttempt:
+    __slots__ = ("number", "host", "sent_at", "open", "job")
 
-    def __init__(self, number: int, server: str, sent_at: float) -> None:
-        self.number, self.server, self.sent_at = number, server, sent_at
+    def __init__(self, number: int, host: str, sent_at: float) -> None:
+        self.number, self.host, self.sent_at = number, host, sent_at
         self.open = True
         self.job: Job | None = None  # once it is at the host
 
 
-class _Open:
-    __slots__ = ("id", "asked", "answer", "attempts", "charged")
+class OpenRequest:
+    __slots__ = ("id", "planned", "answer", "attempts", "charged")
 
-    def __init__(self, rid: str, asked: Try, answer: Answer) -> None:
-        self.id, self.asked = rid, asked
+    def __init__(self, rid: str, planned: PlannedRequest, answer: Answer) -> None:
+        self.id, self.planned = rid, planned
         self.answer: Answer | None = answer
-        self.attempts: list[_Attempt] = []
+        self.attempts: list[OpenAttempt] = []
         self.charged = False  # it has taken its units
 
 
-class Process:
+class SimulatedGateway:
     """A gateway's process, from a start to its end."""
 
     def __init__(self, world: Environment, number: int, seed: int) -> None:
         self.world, self.loop, self.number = world, world.loop, number
         self.zone = world.zone_of(number)
-        self.module = Gateway(world.settings(number), seed)
+        self.gateway = Gateway(world.settings(number), seed)
         self.alive = True
-        self._open: dict[str, _Open] = {}
+        self._open: dict[str, OpenRequest] = {}
         # By host: since when each kept connection is idle, and to which life of the host it leads.
         self._idle: dict[str, list[tuple[float, int]]] = {}
         self._serial = 0
-        self._prefix = f"g{number}.{world.starts}"
+        self._prefix = f"g{number}.{world.gateway_starts}"
 
-    def give(self, event: api.Event) -> None:
+    def handle(self, event: api.Event) -> None:
         """An event for the module."""
         if not self.alive:
             return
-        for act in self.module.handle(self.loop.now, event):
+        for act in self.gateway.handle(self.loop.now, event):
             match act:
                 case api.SendAttempt():
                     self._send(act)
                 case api.Reject():
-                    self.world.causes[act.reason] += 1
+                    self.world.reject_reasons[act.reason] += 1
                     self._answer(act.request_id, "refused", act.retry_after_ms)
                 case api.Fail():
                     self._answer(act.request_id, "failed", 0.0)
                 case api.CancelAttempt():
                     self._cancel(act)
                 case api.SetTimer():
-                    self.loop.after(act.delay_ms, self.give, api.TimerFired(act.name))
+                    self.loop.after(act.delay_ms, self.handle, api.TimerFired(act.name))
                 case api.IncrementCounter():
                     self._count(act)
                 case _:
                     pass
 
-    def request(self, make: Callable[[str], api.Request], one: Try, answer: Answer) -> str:
+    def request(self, make: Callable[[str], api.Request], one: PlannedRequest, answer: Answer) -> str:
         """A client's request, which is answered once; its id here."""
         self._serial += 1
         rid = f"{self._prefix}.{self._serial}"
-        self._open[rid] = _Open(rid, one, answer)
-        self.give(make(rid))
+        self._open[rid] = OpenRequest(rid, one, answer)
+        self.handle(make(rid))
         return rid
 
-    def left(self, rid: str) -> None:
+    def client_disconnected(self, rid: str) -> None:
         """The client has given up."""
         one = self._open.get(rid)
         if one is not None and one.answer is not None:
             one.answer = None
-            self.give(api.ClientDisconnected(rid))
+            self.handle(api.ClientDisconnected(rid))
             if all(not a.open for a in one.attempts):
                 self._open.pop(rid, None)
 
@@ -101,7 +101,7 @@
         self.alive = False
         for one in self._open.values():
             if one.answer is not None:
-                self.loop.after(self.world.client_ms, one.answer, "reset", 0.0)
+                self.loop.after(self.world.client_delay_ms, one.answer, "reset", 0.0)
                 one.answer = None
 
     # --- Hosts ---
@@ -110,14 +110,14 @@
         one = self._open.get(act.request_id)
         if one is None:
             return
-        attempt = _Attempt(len(one.attempts), act.host, self.loop.now)
+        attempt = OpenAttempt(len(one.attempts), act.host, self.loop.now)
         one.attempts.append(attempt)
         world = self.world
         host = world.hosts.get(act.host)
-        way = world.way_ms(self.zone, host.zone if host is not None else self.zone)
+        way = world.network_delay_ms(self.zone, host.zone if host is not None else self.zone)
         self.loop.after(act.timeout_ms, self._ended, one, attempt, AttemptResult.TIMED_OUT)
         idle = self._idle.setdefault(act.host, [])
-        fresh = self.loop.now - world.idle_ms / 2
+        fresh = self.loop.now - world.idle_timeout_ms / 2
         while idle and idle[0][0] < fresh:
             idle.pop(0)
         if idle:
@@ -127,31 +127,31 @@
             elif host.reachable:
                 self.loop.after(way, self._arrive, one, attempt)
             return
-        world.dials += 1
+        world.connections += 1
         if host is None or not host.alive:
             self.loop.after(2 * way, self._ended, one, attempt, AttemptResult.CONNECT_FAILED)
         elif not host.reachable:
-            self.loop.after(world.dial_ms, self._ended, one, attempt, AttemptResult.CONNECT_FAILED)
+            self.loop.after(world.connect_timeout_ms, self._ended, one, attempt, AttemptResult.CONNECT_FAILED)
         else:
-            host.dialled()
+            host.connection_opened()
             if world.note is not None:
-                world.note(host.name, "dial", gw=f"g{self.number}", cold=host.warmth() < 1)
+                world.note(host.name, "dial", gw=f"g{self.number}", cold=host.capacity_share() < 1)
             self.loop.after(3 * way, self._arrive, one, attempt)
 
-    def _arrive(self, one: _Open, attempt: _Attempt) -> None:
-        host = self.world.hosts.get(attempt.server)
+    def _arrive(self, one: OpenRequest, attempt: OpenAttempt) -> None:
+        host = self.world.hosts.get(attempt.host)
         if not attempt.open or host is None or not host.alive or not host.reachable:
             return
         self.world.attempts += 1
         if not one.charged:
             one.charged = True
-            self.world.spent(one.asked)
+            self.world.request_forwarded(one.planned)
         attempt.job = Job(
-            one.id, one.asked.work_ms, lambda result: self._result(one, attempt, host.zone, result)
+            one.id, one.planned.work_ms, lambda result: self._result(one, attempt, host.zone, result)
         )
         note = self.world.note
         if note is not None:
-            asked, cls = one.asked, one.asked.cls
+            asked, cls = one.planned, one.planned.request_class
             note(
                 host.name,
                 "got",
@@ -163,41 +163,43 @@
                 units=asked.units,
                 customer=asked.customer.name,
                 plan=asked.customer.plan.name,
-                cold=host.warmth() < 1,
+                cold=host.capacity_share() < 1,
             )
-        stood = not host.fallen
-        host.came(attempt.job)
-        if note is not None and stood and host.fallen:
+        stood = not host.overloaded
+        host.attempt_arrived(attempt.job)
+        if note is not None and stood and host.overloaded:
             note(host.name, "fell")
 
-    def _result(self, one: _Open, attempt: _Attempt, zone: str, result: str) -> None:
+    def _result(self, one: OpenRequest, attempt: OpenAttempt, zone: str, result: str) -> None:
         if self.world.note is not None:
-            self.world.note(attempt.server, "end", rid=one.id, result=result, gw=f"g{self.number}")
-        self.loop.after(self.world.way_ms(self.zone, zone), self._ended, one, attempt, RESULTS[result])
+            self.world.note(attempt.host, "end", rid=one.id, result=result, gw=f"g{self.number}")
+        self.loop.after(
+            self.world.network_delay_ms(self.zone, zone), self._ended, one, attempt, RESULTS[result]
+        )
 
-    def _ended(self, one: _Open, attempt: _Attempt, result: AttemptResult) -> None:
+    def _ended(self, one: OpenRequest, attempt: OpenAttempt, result: AttemptResult) -> None:
         if not attempt.open or not self.alive:
             return
         attempt.open = False
         if attempt.job is not None and result in (AttemptResult.TIMED_OUT, AttemptResult.CANCELLED):
-            attempt.job.over = True
+            attempt.job.done = True
         if result in (AttemptResult.OK, AttemptResult.QUEUE_FULL):
-            life = self.world.hosts[attempt.server].incarnation
-            self._idle.setdefault(attempt.server, []).append((self.loop.now, life))
+            life = self.world.hosts[attempt.host].incarnation
+            self._idle.setdefault(attempt.host, []).append((self.loop.now, life))
         if result == AttemptResult.OK:
             self._answer(one.id, "served", 0.0)
         final = one.answer is None
         if final and all(not a.open for a in one.attempts):
             self._open.pop(one.id, None)
-        self.give(
+        self.handle(
             api.AttemptEnded(
                 one.id,
                 attempt.number,
-                attempt.server,
+                attempt.host,
                 result,
                 self.loop.now - attempt.sent_at,
                 final,
-                actual_units=one.asked.true_units if result == AttemptResult.OK else 0.0,
+                actual_units=one.planned.actual_units if result == AttemptResult.OK else 0.0,
             )
         )
 
@@ -211,7 +213,7 @@
         if one is None or one.answer is None:
             return
         answer, one.answer = one.answer, None
-        self.loop.after(self.world.client_ms, answer, result, retry_after_ms)
+        self.loop.after(self.world.client_delay_ms, answer, result, retry_after_ms)
         if all(not a.open for a in one.attempts):
             del self._open[rid]
 
@@ -225,8 +227,8 @@
         def end(result: AttemptResult, total: float) -> None:
             if not done[0]:
                 done[0] = True
-                world.counter_unheard += result != AttemptResult.OK
-                self.give(api.CounterReply(act.name, result, total, self.loop.now - made))
+                world.counter_calls_failed += result != AttemptResult.OK
+                self.handle(api.CounterReply(act.name, result, total, self.loop.now - made))
 
         def answered(result: AttemptResult, total: float) -> None:
             if world.note is not None:
@@ -240,13 +242,13 @@
                     total=total,
                 )
             self.loop.after(
-                world.counter_way_ms,
+                world.counter_delay_ms,
                 end,
                 AttemptResult.OK if result == "ok" else AttemptResult.QUEUE_FULL,
                 total,
             )
 
-        self.loop.after(self.module.settings.counter_timeout_ms, end, AttemptResult.TIMED_OUT, 0.0)
+        self.loop.after(self.gateway.settings.counter_timeout_ms, end, AttemptResult.TIMED_OUT, 0.0)
         self.loop.after(
-            world.counter_way_ms, world.counter.call, act.name, act.amount, act.retention_ms, answered
+            world.counter_delay_ms, world.counter.call, act.name, act.amount, act.retention_ms, answered
         )
--- a/hillmux/lab/virtual/loop.py
+++ b/hillmux/lab/virtual/loop.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class Loop:
+class VirtualLoop:
     """Calls what is due, in milliseconds of its own clock; ties go to what was asked for first."""
 
     def __init__(self, start_ms: float = 0.0) -> None:
--- a/hillmux/lab/virtual/play.py
+++ b/hillmux/lab/virtual/play.py
@@ -13,7 +13,7 @@
 from hillmux.lab.scenario import Scenario, Strike, schedule, terms
 from hillmux.lab.virtual.counter import CounterModel
 from hillmux.lab.virtual.hosts import READY, HostModel
-from hillmux.lab.virtual.world import START_MS, DayModel, Figures, World
+from hillmux.lab.virtual.world import START_MS, Simulation, SimulationFigures, SimulationModel
 
 MODELLED = frozenset((
     "kill", "term", "start", "crash", "restart", "drain", "remove", "ready", "slow", "well",
@@ -28,19 +28,20 @@
     return sorted({f.what for f in scenario.faults} - MODELLED)
 
 
-def world(scenario: Scenario) -> World:
+def world(scenario: Scenario) -> Simulation:
     """A scenario's day, at its start."""
     fleet, traffic = scenario.fleet, scenario.traffic
-    day = DayModel(
+    day = SimulationModel(
         fleet.gateways, fleet.hosts, traffic.model(scenario.length_s), fleet.zones,
         HostModel(fleet.cores, 1.0, 60, fleet.cold_from, fleet.cold_ms, fleet.fall_multiple, fleet.fall_ms),
         CounterModel(fleet.counter_per_s, fleet.counter_parts, 2 * fleet.counter_wait_ms),
-        count_wait_ms=3 * fleet.counter_wait_ms, retries=traffic.retries, backoff_ms=traffic.backoff_ms,
-        honour=traffic.honour, notice_ms=fleet.notice_ms, list_ms=fleet.list_late_ms)  # fmt: skip
-    return World(day, scenario.seed)
+        counter_timeout_ms=3 * fleet.counter_wait_ms, retries=traffic.retries, backoff_ms=traffic.backoff_ms,
+        retry_after_obeyed_share=traffic.honour, failover_delay_ms=fleet.notice_ms,
+        discovery_delay_ms=fleet.list_late_ms)  # fmt: skip
+    return Simulation(day, scenario.seed)
 
 
-def play(scenario: Scenario, events: list[Event] | None = None) -> tuple[World, Figures]:
+def play(scenario: Scenario, events: list[Event] | None = None) -> tuple[Simulation, SimulationFigures]:
     """Play it to its end, its events into a list; two plays of a seed are the same to the last byte."""
     played = world(scenario)
     if events is not None:
@@ -76,15 +77,15 @@
     )
 
 
-def _strike(played: World, strike: Strike) -> None:
+def _strike(played: Simulation, strike: Strike) -> None:
     what, target = strike.fault.what, strike.target
     match what:
         case "kill" | "term":  # a drain that goes well ends what is open; here it is reset
             if played.gateways[int(target[1:])].alive:
-                played.kill(int(target[1:]))
+                played.kill_gateway(int(target[1:]))
         case "start":
             if not played.gateways[int(target[1:])].alive:
-                played.start(int(target[1:]))
+                played.start_gateway(int(target[1:]))
         case "crash":
             played.hosts[target].stop()
         case "remove":
@@ -97,6 +98,6 @@
             played.hosts[target].state = READY
             played.list_host(target)
         case "slow" | "well":
-            played.hosts[target].slow = strike.fault.value if what == "slow" else 1.0
+            played.hosts[target].slowdown = strike.fault.value if what == "slow" else 1.0
         case "counter_stop":
             played.counter.stop()
--- a/hillmux/lab/virtual/world.py
+++ b/hillmux/lab/virtual/world.py
@@ -15,19 +15,19 @@
 from hillmux import interface as api
 from hillmux.interface import HostStatus, Idempotency, KeyScope, ListKind
 from hillmux.lab.record import Note
-from hillmux.lab.store import Store
+from hillmux.lab.store import TokenBucket
 from hillmux.lab.streams import Stream, generator
-from hillmux.lab.traffic import Customer, PlanTraffic, TrafficModel, Try, tries
-from hillmux.lab.virtual.counter import CounterModel, CounterService
-from hillmux.lab.virtual.gateway import Process
-from hillmux.lab.virtual.hosts import DRAINING, Host, HostModel
-from hillmux.lab.virtual.loop import Loop
+from hillmux.lab.traffic import Customer, PlannedRequest, PlanTraffic, TrafficModel, plan_requests
+from hillmux.lab.virtual.counter import CounterModel, SimulatedCounter
+from hillmux.lab.virtual.gateway import SimulatedGateway
+from hillmux.lab.virtual.hosts import DRAINING, HostModel, SimulatedHost
+from hillmux.lab.virtual.loop import VirtualLoop
 
 START_MS = 1e9  # the modules' clock at the start of a day
 
 
 @dataclass(slots=True, frozen=True)
-class DayModel:
+class SimulationModel:
     """What a day is made of."""
 
     gateways: int
@@ -36,39 +36,39 @@
     zones: tuple[str, ...] = ("a", "b")
     host: HostModel = field(default_factory=HostModel)
     counter: CounterModel = field(default_factory=CounterModel)
-    count_wait_ms: float = 90.0
+    counter_timeout_ms: float = 90.0
     retries: int = 3
     backoff_ms: float = 300.0
-    honour: float = 0.6  # part of the clients that obey Retry-After
-    try_share: float = 0.75  # of the class's deadline, after which a try is given up
-    notice_ms: float = 2000.0  # how long the front goes on sending to a dead gateway
-    list_ms: tuple[float, float] = (800.0, 2000.0)  # how late a change of the list comes
+    retry_after_obeyed_share: float = 0.6  # part of the clients that obey Retry-After
+    attempt_timeout_share: float = 0.75  # of the class's deadline, after which a try is given up
+    failover_delay_ms: float = 2000.0  # how long the front goes on sending to a dead gateway
+    discovery_delay_ms: tuple[float, float] = (800.0, 2000.0)  # how late a change of the list comes
     max_retry_after_ms: float = 2000.0
 
 
 @dataclass(slots=True)
-class Figures:
+class SimulationFigures:
     """What came of a day; windows are of one second."""
 
-    tries: int = 0
-    first: int = 0
-    ended: int = 0  # first tries that were served, or given up after their last try
-    refused: int = 0
-    refused_with_room: int = 0  # at least half of the quota was unused
-    worth: float = 0.0  # asked for inside the quotas
-    served: float = 0.0
-    beyond: float = 0.0  # units sent on beyond the quotas
-    sent: float = 0.0
-    over_cost: float = 0.0  # worth that what was sent on beyond the quotas cost
+    attempts: int = 0
+    requests: int = 0
+    finished: int = 0  # first tries that were served, or given up after their last try
+    rejected: int = 0
+    rejected_with_quota_left: int = 0  # at least half of the quota was unused
+    offered_value: float = 0.0  # asked for inside the quotas
+    served_value: float = 0.0
+    units_beyond_quota: float = 0.0  # units sent on beyond the quotas
+    units_forwarded: float = 0.0
+    beyond_quota_cost: float = 0.0  # worth that what was sent on beyond the quotas cost
     reset: int = 0
-    late: int = 0  # tries that had no answer when their clients gave up
+    timed_out: int = 0  # tries that had no answer when their clients gave up
     lowest_ceiling: float = math.inf  # the least that was in a ceiling's store, in units
-    fallen: int = 0
+    hosts_overloaded: int = 0
     windows: dict[int, list[float]] = field(default_factory=dict)  # asked, served
 
-    def g(self) -> float:
+    def goodput(self) -> float:
         """Worth served over worth asked for, less what went beyond the quotas."""
-        return (self.served - self.over_cost) / max(self.worth, 1e-9)
+        return (self.served_value - self.beyond_quota_cost) / max(self.offered_value, 1e-9)
 
 
 class _Ask:
@@ -76,33 +76,33 @@
 
     __slots__ = ("one", "left_tries", "inside", "done", "begun", "rid")
 
-    def __init__(self, one: Try, retries: int, begun: float) -> None:
+    def __init__(self, one: PlannedRequest, retries: int, begun: float) -> None:
         self.one, self.left_tries, self.begun = one, retries, begun
         self.inside = self.done = False
         self.rid = ""  # where it is recorded
 
 
-class World:
+class Simulation:
     """One day."""
 
-    client_ms = 0.6
-    counter_way_ms = 1.0
-    dial_ms = 250.0
-    idle_ms = 30_000.0
+    client_delay_ms = 0.6
+    counter_delay_ms = 1.0
+    connect_timeout_ms = 250.0
+    idle_timeout_ms = 30_000.0
 
-    def __init__(self, day: DayModel, seed: int) -> None:
-        self.day, self.seed = day, seed
-        self.loop = Loop(START_MS)
+    def __init__(self, model: SimulationModel, seed: int) -> None:
+        self.model, self.seed = model, seed
+        self.loop = VirtualLoop(START_MS)
         self.stream = Stream(seed, "network")
-        self.counter = CounterService(self.loop, day.counter)
-        self.hosts: dict[str, Host] = {}
-        self.dials = self.attempts = self.counter_calls = self.counter_unheard = 0
-        self.figures = Figures()
-        self.causes: Counter[str] = Counter()  # why requests were refused
+        self.counter = SimulatedCounter(self.loop, model.counter)
+        self.hosts: dict[str, SimulatedHost] = {}
+        self.connections = self.attempts = self.counter_calls = self.counter_calls_failed = 0
+        self.figures = SimulationFigures()
+        self.reject_reasons: Counter[str] = Counter()  # why requests were refused
         # What the agent beside each gateway has been sent, and when the last of what is on its way arrives.
-        self._agents: list[dict[str, api.Endpoint]] = [{} for _ in range(day.gateways)]
-        self._sent_until = [START_MS] * day.gateways
-        self.starts = 0
+        self._agents: list[dict[str, api.Endpoint]] = [{} for _ in range(model.gateways)]
+        self._sent_until = [START_MS] * model.gateways
+        self.gateway_starts = 0
         self.note: Note | None = None  # where events go, in the form of `lab.record`; None: nowhere
         self._classes = tuple(
             api.RequestClass(
@@ -115,7 +115,7 @@
                 KeyScope.GLOBAL,
                 c.window_ms,
             )
-            for c in day.traffic.classes
+            for c in model.traffic.classes
         )
         self._plans = tuple(
             api.Plan(
@@ -127,21 +127,21 @@
                 p.over_cost,
                 p.ceiling * p.rate,
                 p.ceiling * p.burst,
-                max(0.1 * p.ceiling * p.burst, day.traffic.most_units),
+                max(0.1 * p.ceiling * p.burst, model.traffic.most_units),
             )
-            for p in day.traffic.plans
+            for p in model.traffic.plans
         )
-        speeds = generator(seed, "hosts").lognormal(0.0, 0.12, size=day.hosts)
-        for i in range(day.hosts):
+        speeds = generator(seed, "hosts").lognormal(0.0, 0.12, size=model.hosts)
+        for i in range(model.hosts):
             first = self._host(f"h{i}", float(speeds[i]))
             for agent in self._agents:
                 agent[first.name] = self._line(first, HostStatus.UP)
-        self.gateways = [self._start(i) for i in range(day.gateways)]
+        self.gateways = [self._start(i) for i in range(model.gateways)]
         self._down_until: dict[int, float] = {}
-        self._offers: dict[str, Store] = {}
-        self._quotas: dict[str, Store] = {}
-        self._ceilings: dict[str, Store] = {}
-        self._asked = tries(day.traffic, day.gateways, seed)
+        self._offers: dict[str, TokenBucket] = {}
+        self._quotas: dict[str, TokenBucket] = {}
+        self._ceilings: dict[str, TokenBucket] = {}
+        self._asked = plan_requests(model.traffic, model.gateways, seed)
         self._next = 0
         if self._asked:
             self.loop.at(START_MS + self._asked[0].at_ms, self._arrivals)
@@ -150,13 +150,13 @@
 
     def zone_of(self, number: int) -> str:
         """The zone of a gateway."""
-        return self.day.zones[number % len(self.day.zones)]
+        return self.model.zones[number % len(self.model.zones)]
 
-    def way_ms(self, a: str, b: str) -> float:
+    def network_delay_ms(self, a: str, b: str) -> float:
         """One way between two machines."""
         return (0.25 if a == b else 1.0) * self.stream.uniform(1.0, 1.3)
 
-    def add_host(self, name: str, speed: float = 1.0, started: bool = False) -> Host:
+    def add_host(self, name: str, speed: float = 1.0, started: bool = False) -> SimulatedHost:
         """One more host; `started`: just now, so it is cold. The lists tell of it late."""
         host = self._host(name, speed)
         if started:
@@ -164,20 +164,20 @@
         self._tell(self._line(host, HostStatus.UP))
         return host
 
-    def _host(self, name: str, speed: float) -> Host:
-        model = self.day.host
-        host = Host(
+    def _host(self, name: str, speed: float) -> SimulatedHost:
+        model = self.model.host
+        host = SimulatedHost(
             self.loop,
             name,
-            self.day.zones[len(self.hosts) % len(self.day.zones)],
+            self.model.zones[len(self.hosts) % len(self.model.zones)],
             HostModel(
                 model.cores,
                 model.speed * speed,
-                model.waiting,
-                model.cold_from,
-                model.cold_ms,
-                model.fall_multiple,
-                model.fall_ms,
+                model.max_queued,
+                model.slow_start_min_share,
+                model.slow_start_ms,
+                model.overload_multiple,
+                model.overload_after_ms,
                 model.handshake_ms,
             ),
         )
@@ -185,7 +185,7 @@
         return host
 
     @staticmethod
-    def _line(host: Host, status: HostStatus) -> api.Endpoint:
+    def _line(host: SimulatedHost, status: HostStatus) -> api.Endpoint:
         return api.Endpoint(host.name, host.zone, 0, status, 1.0, host.started_ms)
 
     def drain_host(self, name: str) -> None:
@@ -210,14 +210,16 @@
             self.note(name, "up", started=True)
         self._tell(self._line(host, HostStatus.UP))
 
-    def cut_host(self, name: str, cut: bool) -> None:
+    def set_host_reachable(self, name: str, cut: bool) -> None:
         """Cut it off, or end that: connections stay open and silent, and new ones never come up."""
         self.hosts[name].reachable = not cut
 
     def _tell(self, server: api.Endpoint) -> None:
         """News for every agent, late by its own time; an agent hears all news in their order."""
         for number, until in enumerate(self._sent_until):
-            self._sent_until[number] = max(until, self.loop.now + self.stream.uniform(*self.day.list_ms))
+            self._sent_until[number] = max(
+                until, self.loop.now + self.stream.uniform(*self.model.discovery_delay_ms)
+            )
             self.loop.at(self._sent_until[number], self._told, number, server)
 
     def _told(self, number: int, server: api.Endpoint) -> None:
@@ -228,11 +230,11 @@
         if self.note is not None:
             state = {"up": "ready", "removed": "gone"}.get(server.status, server.status)
             self.note(f"g{number}", "told", host=server.name, state=state, started=server.started_at_ms)
-        self.gateways[number].give(api.EndpointList(ListKind.CHANGES, (server,)))
+        self.gateways[number].handle(api.EndpointList(ListKind.CHANGES, (server,)))
 
     def settings(self, number: int) -> api.Settings:
         """What a gateway is told when it starts."""
-        day = self.day
+        day = self.model
         return api.Settings(
             classes=self._classes,
             plans=self._plans,
@@ -245,31 +247,31 @@
             max_retry_after_ms=day.max_retry_after_ms,
             counter_available=True,
             max_request_units=day.traffic.most_units,
-            counter_timeout_ms=day.count_wait_ms,
+            counter_timeout_ms=day.counter_timeout_ms,
             actual_units_reported=True,
             clock_resolution_ms=4.0,
             drain_grace_ms=1000.0,
-            slow_start_min_share=min(day.host.cold_from, 0.16),
-            slow_start_ms=1.2 * day.host.cold_ms,
-            overload_multiple=day.host.fall_multiple,
-            overload_after_ms=day.host.fall_ms,
+            slow_start_min_share=min(day.host.slow_start_min_share, 0.16),
+            slow_start_ms=1.2 * day.host.slow_start_ms,
+            overload_multiple=day.host.overload_multiple,
+            overload_after_ms=day.host.overload_after_ms,
         )
 
-    def _start(self, number: int) -> Process:
-        self.starts += 1
-        seed = int(generator(self.seed, f"gateway.{number}.{self.starts}").integers(1 << 61))
-        process = Process(self, number, seed)
-        process.give(api.EndpointList(ListKind.CACHED, tuple(self._agents[number].values())))
+    def _start(self, number: int) -> SimulatedGateway:
+        self.gateway_starts += 1
+        seed = int(generator(self.seed, f"gateway.{number}.{self.gateway_starts}").integers(1 << 61))
+        process = SimulatedGateway(self, number, seed)
+        process.handle(api.EndpointList(ListKind.CACHED, tuple(self._agents[number].values())))
         return process
 
-    def kill(self, number: int) -> None:
+    def kill_gateway(self, number: int) -> None:
         """A gateway dies at once; the front notices late."""
         if self.note is not None:
             self.note(f"g{number}", "kill")
         self.gateways[number].die()
-        self._down_until[number] = self.loop.now + self.day.notice_ms
+        self._down_until[number] = self.loop.now + self.model.failover_delay_ms
 
-    def start(self, number: int) -> None:
+    def start_gateway(self, number: int) -> None:
         """It is back, and knows nothing."""
         if self.note is not None:
             self.note(f"g{number}", "start")
@@ -288,82 +290,85 @@
         if self._next < len(asked):
             self.loop.at(START_MS + asked[self._next].at_ms, self._arrivals)
 
-    def _worth(self, one: Try) -> float:
-        return one.cls.worth * one.customer.plan.worth * one.units
+    def _worth(self, one: PlannedRequest) -> float:
+        return one.request_class.worth * one.customer.plan.worth * one.units
 
-    def _quota(self, customer: Customer) -> Store:
+    def _quota(self, customer: Customer) -> TokenBucket:
         store = self._quotas.get(customer.name)
         if store is None:
             plan: PlanTraffic = customer.plan
-            store = self._quotas[customer.name] = Store(plan.rate, plan.burst, START_MS)
-            self._ceilings[customer.name] = Store(
+            store = self._quotas[customer.name] = TokenBucket(plan.rate, plan.burst, START_MS)
+            self._ceilings[customer.name] = TokenBucket(
                 plan.ceiling * plan.rate, plan.ceiling * plan.burst, START_MS
             )
         return store
 
-    def _first(self, one: Try) -> None:
-        ask = _Ask(one, self.day.retries, self.loop.now)
+    def _first(self, one: PlannedRequest) -> None:
+        ask = _Ask(one, self.model.retries, self.loop.now)
         figures = self.figures
-        figures.first += 1
+        figures.requests += 1
         offered = self._offered(one)
         window = figures.windows.setdefault(int((self.loop.now - START_MS) / 1000), [0.0, 0.0])
         if offered:
-            figures.worth += self._worth(one)
+            figures.offered_value += self._worth(one)
             window[0] += self._worth(one)
         ask.inside = offered
         if self.note is not None:
-            ask.rid = f"t{figures.first}"
+            ask.rid = f"t{figures.requests}"
             self.note(
                 "client",
                 "first",
                 rid=ask.rid,
                 due=self.loop.now,
-                cls=one.cls.name,
+                cls=one.request_class.name,
                 plan=one.customer.plan.name,
                 customer=one.customer.name,
                 units=one.units,
-                true=one.true_units,
+                true=one.actual_units,
                 worth=self._worth(one),
-                aim=one.cls.aim_ms,
+                aim=one.request_class.aim_ms,
             )
         self._try(ask, one.gateway)
 
-    def _offered(self, one: Try) -> bool:
+    def _offered(self, one: PlannedRequest) -> bool:
         """Whether a try is inside the quota if all before it that were inside had been served."""
         customer = one.customer
         store = self._offers.get(customer.name)
         if store is None:
-            store = self._offers[customer.name] = Store(customer.plan.rate, customer.plan.burst, START_MS)
-        if store.fill(self.loop.now) >= one.units:
-            store.left -= one.true_units
+            store = self._offers[customer.name] = TokenBucket(
+                customer.plan.rate, customer.plan.burst, START_MS
+            )
+        if store.refill(self.loop.now) >= one.units:
+            store.available -= one.actual_units
             return True
         return False
 
     def _try(self, ask: _Ask, number: int) -> None:
         customer = ask.one.customer
-        self.figures.tries += 1
+        self.figures.attempts += 1
         process = self.gateways[number]
         if not process.alive:
             until = self._down_until.get(number)
             if until is not None and self.loop.now >= until:  # the front knows: another of the set
-                for step in range(1, customer.width):
+                for step in range(1, customer.replicas):
                     other = self._beside(customer, number, step)
                     if self.gateways[other].alive:
                         self._try_at(ask, other)
                         return
-            self.loop.after(2 * self.client_ms, self._ended, ask, number, "reset", 0.0)
+            self.loop.after(2 * self.client_delay_ms, self._ended, ask, number, "reset", 0.0)
             return
         self._try_at(ask, number)
 
     def _beside(self, customer: Customer, number: int, step: int) -> int:
         """Another gateway of a customer's set, counted round."""
-        place = (number - customer.first) % self.day.gateways
-        return (customer.first + (place + step) % customer.width) % self.day.gateways
+        place = (number - customer.first_gateway) % self.model.gateways
+        return (customer.first_gateway + (place + step) % customer.replicas) % self.model.gateways
 
     def _try_at(self, ask: _Ask, number: int) -> None:
         one, customer = ask.one, ask.one.customer
         left = min(
-            self.day.try_share * one.cls.deadline_ms, one.cls.deadline_ms - (self.loop.now - ask.begun)
+            self.model.attempt_timeout_share * one.request_class.deadline_ms,
+            one.request_class.deadline_ms - (self.loop.now - ask.begun),
         )
         done = [False]
 
@@ -389,41 +394,43 @@
         rid = process.request(
             lambda rid: api.Request(
                 rid,
-                one.cls.name,
+                one.request_class.name,
                 customer.plan.name,
                 customer.name,
                 left,
                 one.units,
-                customer.width,
-                customer.first,
+                customer.replicas,
+                customer.first_gateway,
             ),
             one,
             answer,
         )
         if self.note is not None:
-            self.note("client", "ask", rid=rid, first=ask.rid, gw=f"g{number}", effect=one.cls.effect)
+            self.note(
+                "client", "ask", rid=rid, first=ask.rid, gw=f"g{number}", effect=one.request_class.effect
+            )
             self.note("client", "wrote", rid=rid, gw=f"g{number}")
         self.loop.after(left, self._give_up, process, rid, answer)
 
-    def _give_up(self, process: Process, rid: str, answer: Any) -> None:
-        process.left(rid)
+    def _give_up(self, process: SimulatedGateway, rid: str, answer: Any) -> None:
+        process.client_disconnected(rid)
         answer("late", 0.0)
 
-    def spent(self, one: Try) -> None:
+    def request_forwarded(self, one: PlannedRequest) -> None:
         """A try was sent on: it takes its units from the true stores."""
         store, plan = self._quota(one.customer), one.customer.plan
         figures = self.figures
-        figures.sent += one.units
-        if store.fill(self.loop.now) >= one.units:
-            store.left -= one.true_units
+        figures.units_forwarded += one.units
+        if store.refill(self.loop.now) >= one.units:
+            store.available -= one.actual_units
         else:
-            figures.beyond += one.units
-            figures.over_cost += plan.over_cost * self._worth(one)
+            figures.units_beyond_quota += one.units
+            figures.beyond_quota_cost += plan.over_cost * self._worth(one)
         ceiling = self._ceilings[one.customer.name]
         if ceiling.rate > 0:
-            ceiling.fill(self.loop.now)
-            ceiling.left -= one.units
-            figures.lowest_ceiling = min(figures.lowest_ceiling, ceiling.left)
+            ceiling.refill(self.loop.now)
+            ceiling.available -= one.units
+            figures.lowest_ceiling = min(figures.lowest_ceiling, ceiling.available)
 
     def _ended(self, ask: _Ask, number: int, result: str, retry_after_ms: float) -> None:
         one, figures = ask.one, self.figures
@@ -431,27 +438,31 @@
             return
         if result == "served":
             self._over(ask)
-            if ask.inside and self.loop.now - ask.begun <= one.cls.aim_ms:
+            if ask.inside and self.loop.now - ask.begun <= one.request_class.aim_ms:
                 worth = self._worth(one)
-                figures.served += worth
+                figures.served_value += worth
                 figures.windows.setdefault(int((ask.begun - START_MS) / 1000), [0.0, 0.0])[1] += worth
             return
         if result == "refused":
-            figures.refused += 1
+            figures.rejected += 1
             store = self._quota(one.customer)
-            figures.refused_with_room += store.fill(self.loop.now) >= store.most / 2
+            figures.rejected_with_quota_left += store.refill(self.loop.now) >= store.burst / 2
         figures.reset += result == "reset"
-        figures.late += result == "late"
+        figures.timed_out += result == "late"
         spent = self.loop.now - ask.begun
-        if ask.left_tries <= 0 or result == "late" or spent >= one.cls.deadline_ms:
+        if ask.left_tries <= 0 or result == "late" or spent >= one.request_class.deadline_ms:
             self._over(ask)
             return
         ask.left_tries -= 1
-        wait = self.day.backoff_ms
-        if result == "refused" and retry_after_ms > 0 and one.luck < self.day.honour:
-            wait = max(wait, min(retry_after_ms, self.day.max_retry_after_ms))
-        other = self._beside(one.customer, number, 1 if one.luck < 0.3 else 0)
-        if spent + wait < one.cls.deadline_ms:
+        wait = self.model.backoff_ms
+        if (
+            result == "refused"
+            and retry_after_ms > 0
+            and one.client_draw < self.model.retry_after_obeyed_share
+        ):
+            wait = max(wait, min(retry_after_ms, self.model.max_retry_after_ms))
+        other = self._beside(one.customer, number, 1 if one.client_draw < 0.3 else 0)
+        if spent + wait < one.request_class.deadline_ms:
             self.loop.after(wait, self._try, ask, other)
         else:
             self._over(ask)
@@ -459,13 +470,13 @@
     def _over(self, ask: _Ask) -> None:
         """A first try and its retries have come to an end."""
         ask.done = True
-        self.figures.ended += 1
+        self.figures.finished += 1
 
     # --- The day ---
 
-    def run(self, until_s: float | None = None) -> Figures:
+    def run(self, until_s: float | None = None) -> SimulationFigures:
         """Play to a time, or to the end."""
-        until = until_s if until_s is not None else self.day.traffic.length_s + 12.0
+        until = until_s if until_s is not None else self.model.traffic.length_s + 12.0
         self.loop.run(START_MS + 1000 * until)
-        self.figures.fallen = sum(h.fallen for h in self.hosts.values())
+        self.figures.hosts_overloaded = sum(h.overloaded for h in self.hosts.values())
         return self.figures
--- a/hillmux/lab/world.py
+++ b/hillmux/lab/world.py
@@ -213,11 +213,11 @@
         elif what == "hang":
             host.hung = True
         elif what == "slow":
-            host.host.slow = value
+            host.host.slowdown = value
         elif what == "failing":
             host.failing = value
         else:
-            host.hung, host.failing, host.host.slow = False, 0.0, 1.0
+            host.hung, host.failing, host.host.slowdown = False, 0.0, 1.0
 
 
 async def _main() -> None:
--- a/tests/lab/test_play.py
+++ b/tests/lab/test_play.py
@@ -24,10 +24,14 @@
     faults = tuple(f for f in day.faults if f.at_s <= 15)
     day = day.model_copy(update={"faults": faults})
     world, figures = play.play(day)
-    assert figures.ended == figures.first > 3000 and figures.late == 0 and figures.fallen == 0
+    assert (
+        figures.finished == figures.requests > 3000
+        and figures.timed_out == 0
+        and figures.hosts_overloaded == 0
+    )
     capped = next(p for p in day.traffic.plans if p.ceiling)
     assert figures.lowest_ceiling >= -max(0.1 * capped.ceiling * capped.burst, 4.0)
-    assert figures.g() > 0.5
+    assert figures.goodput() > 0.5
 
 
 def test_two_plays_of_a_seed_are_the_same_and_those_of_two_are_not() -> None:
--- a/tests/limits/test_lease_schedules.py
+++ b/tests/limits/test_lease_schedules.py
@@ -7,21 +7,23 @@
 
 import pytest
 
-from hillmux.lab.virtual.counting import CountingFleet, Scenario
+from hillmux.lab.virtual.counting import CountingFleet, CountingScenario
 from hillmux.lab.virtual.counting_checks import BrokenInvariantError, check_leases
 from hillmux.lab.virtual.counting_faults import Kill
 from hillmux.lab.virtual.counting_leases import StrandedLeases, leased_elsewhere
-from hillmux.lab.virtual.counting_schedules import Played, Schedule, draw_schedule, play_schedule
+from hillmux.lab.virtual.counting_schedules import Schedule, ScheduleResult, draw_schedule, play_schedule
 from hillmux.quotas import batches, lease, window
 
 SEEDS = range(40)
 KEPT_SEEDS = (20345,)  # that failed once: a lease drawn away from the limit, and checked by the bound near it
 REQUEST_UNITS = 1.0
-FLEET = Scenario(gateways=8, customers=12, width=8, asked_per_s=6.9, rate=4.6, burst=27.6, seed=1)
+FLEET = CountingScenario(
+    gateways=8, customers=12, replicas=8, requests_per_s=6.9, rate=4.6, burst=27.6, seed=1
+)
 
 
 @functools.cache
-def played(seed: int) -> Played:
+def played(seed: int) -> ScheduleResult:
     return play_schedule(seed, inspect=check_leases)
 
 
@@ -35,7 +37,7 @@
     to 1.64 times: 281, 617, 789, 825, 853, 947 and 949, all in floods of 3.5 rates under such faults.
     """
     scenario = schedule.scenario
-    width = min(scenario.width, scenario.gateways)
+    width = min(scenario.replicas, scenario.gateways)
     lives = width + sum(isinstance(fault, Kill) for fault in schedule.faults)
     windows = schedule.length_s * scenario.rate / (window.BURSTS_PER_WINDOW * scenario.burst)
     return lives * (math.floor(windows) + 2) * (REQUEST_UNITS + scenario.burst / batches.divisor(width))
@@ -48,7 +50,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_the_fleet_sends_no_more_beyond_the_quota_than_its_gateways_may_blind(seed: int) -> None:
-    assert max(played(seed).beyond) <= blind_units(draw_schedule(seed))
+    assert max(played(seed).units_beyond_quota) <= blind_units(draw_schedule(seed))
 
 
 @pytest.mark.parametrize("seed", SEEDS[:4])
@@ -69,7 +71,7 @@
     fleet.run(5.0)
     gateway = fleet.gateways[0]
     check_leases(gateway)
-    states = gateway.module.quotas.registry.states.values()
+    states = gateway.gateway.quotas.registry.states.values()
     state = next(state for state in states if state.lease_confirmed and not state.call_open)
     setattr(state, field, value)
     with pytest.raises(BrokenInvariantError, match=told):
@@ -84,17 +86,17 @@
 
     Customers are seen evenly here, so next to nothing is drawn ahead. More would stand in line by that.
     """
-    scenario = Scenario(
-        gateways=8, customers=12, width=8, asked_per_s=4.6 * use, rate=4.6, burst=27.6, seed=1
+    scenario = CountingScenario(
+        gateways=8, customers=12, replicas=8, requests_per_s=4.6 * use, rate=4.6, burst=27.6, seed=1
     )
     fleet = CountingFleet(scenario)
     fleet.run(20.0)
     watch = StrandedLeases(fleet)
-    fleet.refusal_watch = watch.refused
+    fleet.rejection_observer = watch.record_rejection
     fleet.run(30.0)
     in_line = scenario.rate * lease.HOLD_MS / 1000 + (scenario.gateways - 1) * REQUEST_UNITS
-    assert watch.most <= in_line / scenario.burst
-    assert watch.total <= mean * max(watch.refusals, 1)
+    assert watch.max_share <= in_line / scenario.burst
+    assert watch.total_share <= mean * max(watch.rejections, 1)
 
 
 def test_leases_elsewhere_by_hand() -> None:
@@ -104,7 +106,7 @@
         fleet.request(customer, place)
         fleet.run(0.3)
     key = (customer.name, "plan")
-    first, second = (fleet.gateways[i].module.quotas.registry.states[key] for i in (0, 1))
+    first, second = (fleet.gateways[i].gateway.quotas.registry.states[key] for i in (0, 1))
     assert not first.call_open and not second.call_open
     before = leased_elsewhere(fleet, fleet.gateways[1], customer)
     first.reported += 2.5
