--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -122,7 +122,7 @@
         'self.up = server.status != "removed"',
         "drains",
         day(*DRAIN),
-        (("hillmux/net/hosts.py", "host.drains = name in draining", "host.drains = False"),),
+        (("hillmux/net/upstream_pool.py", "host.draining = name in draining", "host.draining = False"),),
     ),
     Planted(
         "a cold host is taken for warm",
@@ -159,7 +159,7 @@
     Planted(
         "a gateway that is told to end does so at once",
         "hillmux/net/shutdown.py",
-        "        self._loop.call_later(ACCEPT_S, self._stop_accepting)",
+        "        self._loop.call_later(ACCEPT_GRACE_S, self._stop_accepting)",
         "        self.done.set()",
         "answered",
         day(*ROLL, booking={**BOOK, "work_ms": 200}),
--- a/tests/capacity/test_counting.py
+++ b/tests/capacity/test_counting.py
@@ -19,7 +19,7 @@
     CountingScenario,
     reply_bytes,
 )
-from hillmux.net.counter import request_bytes
+from hillmux.net.counter_channel import request_bytes
 
 HALF = CountingScenario(
     gateways=4, customers=6, replicas=4, requests_per_s=2.3, rate=4.6, burst=21.16, seed=1
