--- a/benchmarks/thousand.py
+++ b/benchmarks/thousand.py
@@ -13,8 +13,8 @@
 import time
 
 from hillmux.lab.scenario import Scenario
+from hillmux.lab.virtual.model import SimulationFigures
 from hillmux.lab.virtual.play import play
-from hillmux.lab.virtual.world import SimulationFigures
 from hillmux.recovery import full_service
 
 CEILING = 1.9
--- /dev/null
+++ b/hillmux/lab/virtual/discovery.py
@@ -0,0 +1,51 @@
+"""Discovery in virtual time: an agent beside each gateway gets list changes late and in order."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from hillmux import interface as api
+from hillmux.interface import HostStatus
+from hillmux.lab.streams import Stream
+from hillmux.lab.virtual.loop import VirtualLoop
+from hillmux.lab.virtual.model import START_MS
+
+
+class SimulatedDiscovery:
+    """Endpoint lists of the agents, one for each gateway."""
+
+    def __init__(
+        self,
+        loop: VirtualLoop,
+        stream: Stream,
+        gateways: int,
+        delay_ms: tuple[float, float],
+        on_change: Callable[[int, api.Endpoint], None],
+    ) -> None:
+        """`on_change` is called with a gateway's number when its agent gets a change."""
+        self._loop, self._stream, self._delay_ms, self._on_change = loop, stream, delay_ms, on_change
+        self._lists: list[dict[str, api.Endpoint]] = [{} for _ in range(gateways)]
+        self._last_delivery_at = [START_MS] * gateways  # of changes that are on their way
+
+    def add(self, endpoint: api.Endpoint) -> None:
+        """List a host that was there before the start."""
+        for endpoints in self._lists:
+            endpoints[endpoint.name] = endpoint
+
+    def endpoints(self, number: int) -> tuple[api.Endpoint, ...]:
+        """The list that a gateway's agent has now."""
+        return tuple(self._lists[number].values())
+
+    def publish(self, endpoint: api.Endpoint) -> None:
+        """Send a change to every agent, each with a delay of its own; none overtakes an earlier change."""
+        for number, last_at in enumerate(self._last_delivery_at):
+            delivery_at = max(last_at, self._loop.now + self._stream.uniform(*self._delay_ms))
+            self._last_delivery_at[number] = delivery_at
+            self._loop.at(delivery_at, self._deliver, number, endpoint)
+
+    def _deliver(self, number: int, endpoint: api.Endpoint) -> None:
+        if endpoint.status == HostStatus.REMOVED:
+            self._lists[number].pop(endpoint.name, None)
+        else:
+            self._lists[number][endpoint.name] = endpoint
+        self._on_change(number, endpoint)
--- a/hillmux/lab/virtual/environment.py
+++ b/hillmux/lab/virtual/environment.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections import Counter
+from enum import StrEnum
 from typing import Protocol
 
 from hillmux import interface as api
@@ -13,6 +14,16 @@
 from hillmux.lab.virtual.loop import VirtualLoop
 
 
+class ClientResult(StrEnum):
+    """How a client's attempt ended; values are those of the lab's records."""
+
+    SERVED = "served"
+    REJECTED = "refused"
+    FAILED = "failed"
+    RESET = "reset"
+    TIMED_OUT = "late"
+
+
 class Environment(Protocol):
     """The surroundings of a gateway in virtual time; all spans in ms."""
 
--- a/hillmux/lab/virtual/gateway.py
+++ b/hillmux/lab/virtual/gateway.py
@@ -12,7 +12,7 @@
 from hillmux.decision.gateway import Gateway
 from hillmux.interface import AttemptResult
 from hillmux.lab.traffic import PlannedRequest
-from hillmux.lab.virtual.environment import Environment
+from hillmux.lab.virtual.environment import ClientResult, Environment
 from hillmux.lab.virtual.hosts import Job
 
 RESULTS = {
@@ -21,7 +21,7 @@
     "draining": AttemptResult.QUEUE_FULL,
     "reset": AttemptResult.RESET,
 }
-Answer = Callable[[str, float], object]  # served, refused, failed or reset; when to come back
+Answer = Callable[[ClientResult, float], object]  # and Retry-After, in ms
 
 
 class OpenAttempt:
@@ -67,9 +67,9 @@
                     self._send(act)
                 case api.Reject():
                     self.world.reject_reasons[act.reason] += 1
-                    self._answer(act.request_id, "refused", act.retry_after_ms)
+                    self._answer(act.request_id, ClientResult.REJECTED, act.retry_after_ms)
                 case api.Fail():
-                    self._answer(act.request_id, "failed", 0.0)
+                    self._answer(act.request_id, ClientResult.FAILED, 0.0)
                 case api.CancelAttempt():
                     self._cancel(act)
                 case api.SetTimer():
@@ -101,7 +101,7 @@
         self.alive = False
         for one in self._open.values():
             if one.answer is not None:
-                self.loop.after(self.world.client_delay_ms, one.answer, "reset", 0.0)
+                self.loop.after(self.world.client_delay_ms, one.answer, ClientResult.RESET, 0.0)
                 one.answer = None
 
     # --- Hosts ---
@@ -187,7 +187,7 @@
             life = self.world.hosts[attempt.host].incarnation
             self._idle.setdefault(attempt.host, []).append((self.loop.now, life))
         if result == AttemptResult.OK:
-            self._answer(one.id, "served", 0.0)
+            self._answer(one.id, ClientResult.SERVED, 0.0)
         final = one.answer is None
         if final and all(not a.open for a in one.attempts):
             self._open.pop(one.id, None)
@@ -208,7 +208,7 @@
         if one is not None and act.attempt < len(one.attempts):
             self._ended(one, one.attempts[act.attempt], AttemptResult.CANCELLED)
 
-    def _answer(self, rid: str, result: str, retry_after_ms: float) -> None:
+    def _answer(self, rid: str, result: ClientResult, retry_after_ms: float) -> None:
         one = self._open.get(rid)
         if one is None or one.answer is None:
             return
--- a/hillmux/lab/virtual/play.py
+++ b/hillmux/lab/virtual/play.py
@@ -13,7 +13,8 @@
 from hillmux.lab.scenario import Scenario, Strike, schedule, terms
 from hillmux.lab.virtual.counter import CounterModel
 from hillmux.lab.virtual.hosts import READY, HostModel
-from hillmux.lab.virtual.world import START_MS, Simulation, SimulationFigures, SimulationModel
+from hillmux.lab.virtual.model import START_MS, SimulationFigures, SimulationModel
+from hillmux.lab.virtual.simulation import Simulation
 
 MODELLED = frozenset((
     "kill", "term", "start", "crash", "restart", "drain", "remove", "ready", "slow", "well",
--- a/tests/lab/test_two_hundred.py
+++ b/tests/lab/test_two_hundred.py
@@ -8,7 +8,8 @@
 from hillmux import interface as api
 from hillmux.lab.traffic import ClassTraffic, PlanTraffic, TrafficModel
 from hillmux.lab.virtual.counter import CounterModel
-from hillmux.lab.virtual.world import Simulation, SimulationModel
+from hillmux.lab.virtual.model import SimulationModel
+from hillmux.lab.virtual.simulation import Simulation
 
 READ = ClassTraffic("read", 0.7, 300.0, 5000.0, 20_000.0, 3.0)
 BOOK = ClassTraffic("book", 0.3, 200.0, 4000.0, 12_000.0, 2.0, "keyed", 8000.0)
--- a/tests/lab/test_virtual.py
+++ b/tests/lab/test_virtual.py
@@ -8,7 +8,8 @@
 from hillmux.lab.virtual.counter import CounterModel
 from hillmux.lab.virtual.hosts import HostModel, Job, SimulatedHost
 from hillmux.lab.virtual.loop import VirtualLoop
-from hillmux.lab.virtual.world import Simulation, SimulationModel
+from hillmux.lab.virtual.model import SimulationModel
+from hillmux.lab.virtual.simulation import Simulation
 
 READ = ClassTraffic("read", 0.7, 300.0, 5000.0, 20_000.0, 3.0)
 BOOK = ClassTraffic("book", 0.3, 200.0, 4000.0, 12_000.0, 2.0, "keyed", 8000.0)
@@ -130,7 +131,7 @@
     world.run(2.0)
     if trouble == "cut":
         for i in range(10):
-            world.set_host_reachable(f"h{i}", True)
+            world.disconnect_host(f"h{i}", True)
     elif trouble == "killed":
         for number in range(17):
             world.kill_gateway(number)
