--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -27,7 +27,7 @@
 from hillmux.demo.run import Gateway
 from hillmux.hosted.config import load as load_config
 from hillmux.hosted.service import Service
-from hillmux.lab.standins.alone import booking_nodes
+from hillmux.lab.standins.alone import start_host_stand_ins
 from hillmux.net.forward_request import ForwardRequest
 from hillmux.tenants import Router
 from hillmux.tenants.model import Pool, Route, Tenant
@@ -186,7 +186,7 @@
 
 async def sizes(report: Report, folder: Path, requests: int, rounds: int) -> None:
     """Start, memory, and CPU a request."""
-    nodes = booking_nodes(100, work_ms=0.2)
+    nodes = start_host_stand_ins(100, work_ms=0.2)
     ports = [node.port for node in nodes]
     few, _ = await started(write(folder / "few.toml", 100, ports))
     base = memory_kb(few.process.pid)
@@ -394,7 +394,7 @@
 
 async def nodes_main(count: int) -> None:
     """The hosts' process: their ports as one line, then service until it is ended."""
-    nodes = booking_nodes(count, work_ms=5.0)
+    nodes = start_host_stand_ins(count, work_ms=5.0)
     print(json.dumps([node.port for node in nodes]), flush=True)
     await asyncio.sleep(600)
 
--- a/hillmux/demo/run.py
+++ b/hillmux/demo/run.py
@@ -14,8 +14,8 @@
 from rich.table import Table
 
 from hillmux.demo.load import Load
-from hillmux.lab.standins.alone import booking_nodes
-from hillmux.lab.standins.host import BookingNode
+from hillmux.lab.standins.alone import start_host_stand_ins
+from hillmux.lab.standins.host import HostStandIn
 
 TENANTS = ("adjara", "imereti", "svaneti")
 RATE, FLOOD = 30.0, 20.0  # requests a second of a tenant, and how many times that a flood is
@@ -80,7 +80,7 @@
     return path
 
 
-def write_hosts(folder: Path, tenant: str, nodes: list[BookingNode]) -> None:
+def write_hosts(folder: Path, tenant: str, nodes: list[HostStandIn]) -> None:
     """A tenant's file of hosts."""
     lines = [
         f'[[hosts]]\nid = "{tenant}-{i}"\naddress = "127.0.0.1:{node.port}"\n' for i, node in enumerate(nodes)
@@ -144,7 +144,7 @@
     console = Console(width=100 if plain else None)
     with tempfile.TemporaryDirectory(prefix="hillmux-demo-") as name:
         folder = Path(name)
-        nodes = {tenant: booking_nodes(3, WORK_MS, seed) for seed, tenant in enumerate(TENANTS)}
+        nodes = {tenant: start_host_stand_ins(3, WORK_MS, seed) for seed, tenant in enumerate(TENANTS)}
         for tenant, its in nodes.items():
             write_hosts(folder, tenant, its)
         gateway = Gateway(write_config(folder, 0, TENANTS))
--- a/hillmux/lab/load.py
+++ b/hillmux/lab/load.py
@@ -32,23 +32,27 @@
 from hillmux.lab.streams import Stream
 from hillmux.lab.traffic import Try, tries
 
-LONGEST_US = 60_000_000
-LOOK_MS = 100.0  # how often the front asks a gateway that it has taken out whether it is ready
-FRESH_MS = 1500.0  # a connection unused for longer is not used again: its other side may be closing it
-GIVE_UP_SHARE = 0.75  # of the class's deadline that one try may take
-SETTLE_S = 1.0
-LOST_MS = 10_000.0  # an answer that does not come for so long after the last try is lost
-LONGEST_BODY = 64  # of an answer, kept to be looked at
+MAX_LATENESS_US = 60_000_000
+READY_CHECK_INTERVAL_MS = (
+    100.0  # how often the front asks a gateway that it has taken out whether it is ready
+)
+MAX_IDLE_MS = 1500.0  # a connection unused for longer is not used again: its other side may be closing it
+ATTEMPT_DEADLINE_SHARE = 0.75  # of the class's deadline that one try may take
+SECOND_ANSWER_WAIT_S = 1.0
+LATE_ANSWER_TIMEOUT_MS = 10_000.0  # an answer that does not come for so long after the last try is lost
+MAX_KEPT_BODY_BYTES = 64  # of an answer, kept to be looked at
 GC_ALLOCATIONS = 100_000
+RESULT_BY_STATUS = {200: "served", 429: "refused", 503: "refused"}  # any other: failed
 
 
-class _Connection(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A client's connection to a gateway: a request at a time."""
 
-    def __init__(self, gate: _Gate) -> None:
-        self.gate, self.asking = gate, None  # type: tuple[_Gate, _Asking | None]
+    def __init__(self, gateway: FrontGateway) -> None:
+        self.gateway = gateway
+        self.attempt: ClientAttempt | None = None  # whose answer is due
         self.transport: Any = None
-        self.used = 0.0
+        self.last_used_ms = 0.0
         self.answers = 0
         self._parser = httptools.HttpResponseParser(self)
         self._retry_after = 0.0
@@ -68,76 +72,76 @@
             self._retry_after = 1000 * float(value)
 
     def on_body(self, body: bytes) -> None:
-        self._body += body[:LONGEST_BODY]
+        self._body += body[:MAX_KEPT_BODY_BYTES]
 
     def on_message_complete(self) -> None:
-        asking, self.asking = self.asking, None
+        attempt, self.attempt = self.attempt, None
         status, wait, self._retry_after = self._parser.get_status_code(), self._retry_after, 0.0
         self._parser = httptools.HttpResponseParser(self)
         body, self._body = bytes(self._body), bytearray()
-        self.used = self.gate.clients.clock.now
+        self.last_used_ms = self.gateway.generator.clock.now
         self.answers += 1
-        if asking is None:
-            self.gate.clients.note("client", "second", gw=self.gate.name, status=status)
-        elif asking.over:  # its client had given up: it was late, and not lost
-            self.gate.clients.came(asking, status)
+        if attempt is None:
+            self.gateway.generator.note("client", "second", gw=self.gateway.name, status=status)
+        elif attempt.done:  # its client had given up: it was late, and not lost
+            self.gateway.generator.late_answer_received(attempt, status)
             self.transport.close()
         else:
-            self.gate.free.append(self)
-            if status == 200 and body != asking.rid.encode():  # hosts answer with the id that they were sent
-                self.gate.clients.note("client", "foreign", rid=asking.rid, gw=self.gate.name)
-            asking.ended({200: "served", 429: "refused", 503: "refused"}.get(status, "failed"), status, wait)
+            self.gateway.idle.append(self)
+            if status == 200 and body != attempt.rid.encode():  # hosts answer with the id that they were sent
+                self.gateway.generator.note("client", "foreign", rid=attempt.rid, gw=self.gateway.name)
+            attempt.finish(RESULT_BY_STATUS.get(status, "failed"), status, wait)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        asking, self.asking = self.asking, None
-        if asking is None or asking.over:
-            if asking is not None:
-                self.gate.clients.unheard.discard(asking)
+        attempt, self.attempt = self.attempt, None
+        if attempt is None or attempt.done:
+            if attempt is not None:
+                self.gateway.generator.unanswered.discard(attempt)
             return
-        if self.answers and not asking.again:
+        if self.answers and not attempt.resent:
             # A gateway may close a connection between requests: what crosses that is sent once more.
-            asking.again = True
-            self.gate.clients.again(asking)
+            attempt.resent = True
+            self.gateway.generator.resend(attempt)
         else:
-            asking.ended("reset", 0, 0.0)
+            attempt.finish("reset", 0, 0.0)
 
 
-class _Gate:
+class FrontGateway:
     """One gateway as the front sees it."""
 
-    def __init__(self, clients: Clients, name: str, port: int) -> None:
-        self.clients, self.name, self.port = clients, name, port
-        self.free: deque[_Connection] = deque()
-        self.failed_at = 0.0  # since when dials fail; 0: they don't
-        self.out = False
-
-    def take(self) -> _Connection | None:
-        """A connection that is free and fresh."""
-        fresh = self.clients.clock.now - FRESH_MS
-        while self.free:
-            connection = self.free.pop()
-            if connection.used > fresh and not connection.transport.is_closing():
+    def __init__(self, generator: LoadGenerator, name: str, port: int) -> None:
+        self.generator, self.name, self.port = generator, name, port
+        self.idle: deque[ClientConnection] = deque()
+        self.failing_since = 0.0  # since when dials fail; 0: they don't
+        self.removed = False
+
+    def take_connection(self) -> ClientConnection | None:
+        """An idle connection that was used recently."""
+        fresh = self.generator.clock.now - MAX_IDLE_MS
+        while self.idle:
+            connection = self.idle.pop()
+            if connection.last_used_ms > fresh and not connection.transport.is_closing():
                 return connection
             connection.transport.close()
         return None
 
-    def failed(self) -> None:
+    def dial_failed(self) -> None:
         """A dial failed: after the front's time it takes this gateway out, until it is ready again."""
-        clients = self.clients
-        if self.out:
+        clients = self.generator
+        if self.removed:
             return
-        if not self.failed_at:
-            self.failed_at = clients.clock.now
-        elif clients.clock.now - self.failed_at >= clients.scenario.fleet.notice_ms:
-            self.out = True
+        if not self.failing_since:
+            self.failing_since = clients.clock.now
+        elif clients.clock.now - self.failing_since >= clients.scenario.fleet.notice_ms:
+            self.removed = True
             clients.note("front", "out", gw=self.name)
-            clients.clock.after(LOOK_MS, self._look)
+            clients.clock.after(READY_CHECK_INTERVAL_MS, self._start_ready_check)
 
-    def _look(self) -> None:
-        clients = self.clients
-        clients.start(self._ready())
+    def _start_ready_check(self) -> None:
+        clients = self.generator
+        clients.run_in_background(self._check_ready())
 
-    async def _ready(self) -> None:
+    async def _check_ready(self) -> None:
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             writer.write(b"GET /ready HTTP/1.1\r\nHost: front\r\nConnection: close\r\n\r\n")
@@ -147,74 +151,97 @@
         except (OSError, TimeoutError):
             ready = False
         if ready:
-            self.out, self.failed_at = False, 0.0
-            self.clients.note("front", "in", gw=self.name)
+            self.removed, self.failing_since = False, 0.0
+            self.generator.note("front", "in", gw=self.name)
         else:
-            self.clients.clock.after(LOOK_MS, self._look)
+            self.generator.clock.after(READY_CHECK_INTERVAL_MS, self._start_ready_check)
 
 
-class _First:
-    """A first try, and its retries."""
+class ClientRequest:
+    """A client's request: its first attempt and its retries."""
 
-    __slots__ = ("rid", "one", "due", "tries", "number", "key")
+    __slots__ = ("rid", "planned", "due_ms", "attempts", "gateway_number", "idempotency_key")
 
-    def __init__(self, rid: str, one: Try, due: float) -> None:
-        self.rid, self.one, self.due, self.tries = rid, one, due, 0
-        self.number, self.key = one.gateway, f"k{rid}"
+    def __init__(self, rid: str, planned: Try, due_ms: float) -> None:
+        self.rid, self.planned, self.due_ms, self.attempts = rid, planned, due_ms, 0
+        self.gateway_number, self.idempotency_key = planned.gateway, f"k{rid}"
 
 
-class _Asking:
-    """One try."""
+class ClientAttempt:
+    """One attempt of a client."""
 
-    __slots__ = ("first", "rid", "gate", "clients", "at", "left", "connection", "over", "again")
+    __slots__ = (
+        "request",
+        "rid",
+        "gateway",
+        "generator",
+        "started_ms",
+        "time_left_ms",
+        "connection",
+        "done",
+        "resent",
+    )
 
-    def __init__(self, clients: Clients, first: _First, rid: str, gate: _Gate, left: float) -> None:
-        self.clients, self.first, self.rid, self.gate, self.left = clients, first, rid, gate, left
-        self.at, self.over, self.again = clients.clock.now, False, False
-        self.connection: _Connection | None = None
+    def __init__(
+        self,
+        generator: LoadGenerator,
+        request: ClientRequest,
+        rid: str,
+        gateway: FrontGateway,
+        time_left_ms: float,
+    ) -> None:
+        self.generator, self.request, self.rid, self.gateway, self.time_left_ms = (
+            generator,
+            request,
+            rid,
+            gateway,
+            time_left_ms,
+        )
+        self.started_ms, self.done, self.resent = generator.clock.now, False, False
+        self.connection: ClientConnection | None = None
 
-    def ended(self, result: str, status: int, wait_ms: float) -> None:
-        """Its one end."""
-        if self.over:
+    def finish(self, result: str, status: int, wait_ms: float) -> None:
+        """Record the attempt's one result."""
+        if self.done:
             return
-        self.over = True
+        self.done = True
         if status:
-            self.gate.failed_at = 0.0
-        self.clients.note(
+            self.gateway.failing_since = 0.0
+        self.generator.note(
             "client",
             "answer",
             rid=self.rid,
-            first=self.first.rid,
-            gw=self.gate.name,
+            first=self.request.rid,
+            gw=self.gateway.name,
             result=result,
             status=status,
-            took=self.clients.clock.now - self.at,
-            total=self.clients.clock.now - self.first.due,
+            took=self.generator.clock.now - self.started_ms,
+            total=self.generator.clock.now - self.request.due_ms,
             wait=wait_ms,
         )
-        self.clients.ended(self.first, result, wait_ms)
+        self.generator.attempt_ended(self.request, result, wait_ms)
 
 
-class Clients:
-    """All partners' clients."""
+class LoadGenerator:
+    """All partners' clients: an open-loop load."""
 
     def __init__(
         self, scenario: Scenario, note: Recorder, loop: asyncio.AbstractEventLoop, ports: dict[str, int]
     ) -> None:
         self.scenario, self.note, self.loop, self.clock = scenario, note, loop, RealClock(loop)
-        self.gates = [_Gate(self, name, port) for name, port in ports.items()]
-        self.late = HdrHistogram(1, LONGEST_US, 3)
-        self.open = 0
-        self.ended_as: Counter[str] = Counter()  # tries, since the last word of progress
+        self.gateways = [FrontGateway(self, name, port) for name, port in ports.items()]
+        self.lateness = HdrHistogram(1, MAX_LATENESS_US, 3)
+        self.open_requests = 0
+        self.results: Counter[str] = Counter()  # tries, since the last word of progress
         self.done = asyncio.Event()
-        self.unheard: set[_Asking] = set()  # given up, their connections still open
-        self._asked = tries(scenario.traffic.model(scenario.length_s), len(self.gates), scenario.seed)
-        self._next, self._serial = 0, 0
+        self.unanswered: set[ClientAttempt] = set()  # given up, their connections still open
+        self._planned = tries(scenario.traffic.model(scenario.length_s), len(self.gateways), scenario.seed)
+        self._next_planned, self._serial = 0, 0
         self._stream = Stream(scenario.seed, "clients")
         self._tasks: set[asyncio.Task[None]] = set()
-        self._run = f"{os.getpid() & 0xFFFF:04x}"
+        self._run_id = f"{os.getpid() & 0xFFFF:04x}"
 
-    def start(self, work: Any) -> None:
+    def run_in_background(self, work: Any) -> None:
         """Run in the background, and keep hold of it."""
         task = self.loop.create_task(work)
         self._tasks.add(task)
@@ -223,34 +250,34 @@
     def play(self, t0: float) -> None:
         """Begin; first tries come when they are due whatever became of those before."""
         self._t0 = t0
-        if not self._asked:
+        if not self._planned:
             self.done.set()
             return
-        self.clock.at(t0 + self._asked[0].at_ms, self._arrivals)
+        self.clock.at(t0 + self._planned[0].at_ms, self._start_due_requests)
 
     def progress(self) -> None:
         """Say once a second what tries came to."""
         if not self.done.is_set():
-            out = sum(gate.out for gate in self.gates)
-            said = {"at_s": (self.clock.now - self._t0) / 1000, "open": self.open, "out": out}
-            tell(progress=said | dict(self.ended_as))
-            self.ended_as.clear()
+            out = sum(gateway.removed for gateway in self.gateways)
+            said = {"at_s": (self.clock.now - self._t0) / 1000, "open": self.open_requests, "out": out}
+            tell(progress=said | dict(self.results))
+            self.results.clear()
             self.clock.after(1000, self.progress)
 
-    def _arrivals(self) -> None:
-        asked, now = self._asked, self.clock.now
-        while self._next < len(asked) and self._t0 + asked[self._next].at_ms <= now:
-            one = asked[self._next]
-            self._next += 1
+    def _start_due_requests(self) -> None:
+        asked, now = self._planned, self.clock.now
+        while self._next_planned < len(asked) and self._t0 + asked[self._next_planned].at_ms <= now:
+            one = asked[self._next_planned]
+            self._next_planned += 1
             due = self._t0 + one.at_ms
-            self.late.record_value(max(int(1000 * (now - due)), 1))
-            self.open += 1
+            self.lateness.record_value(max(int(1000 * (now - due)), 1))
+            self.open_requests += 1
             self._serial += 1
-            first = _First(f"{self._run}{self._serial:011x}0", one, due)
+            request = ClientRequest(f"{self._run_id}{self._serial:011x}0", one, due)
             self.note(
                 "client",
                 "first",
-                rid=first.rid,
+                rid=request.rid,
                 due=due,
                 cls=one.cls.name,
                 plan=one.customer.plan.name,
@@ -260,117 +287,125 @@
                 worth=one.cls.worth * one.customer.plan.worth * one.units,
                 aim=one.cls.aim_ms,
             )
-            self._try(first)
-        if self._next < len(asked):
-            self.clock.at(self._t0 + asked[self._next].at_ms, self._arrivals)
+            self._start_attempt(request)
+        if self._next_planned < len(asked):
+            self.clock.at(self._t0 + asked[self._next_planned].at_ms, self._start_due_requests)
 
-    def _gate(self, first: _First) -> _Gate:
+    def _choose_gateway(self, request: ClientRequest) -> FrontGateway:
         """The gateway that the front deals a try to: of the customer's set, one that it has not taken out."""
-        customer, count = first.one.customer, len(self.gates)
-        place = (first.number - customer.first) % count
+        customer, count = request.planned.customer, len(self.gateways)
+        place = (request.gateway_number - customer.first) % count
         for step in range(customer.width):
-            gate = self.gates[(customer.first + (place + step) % customer.width) % count]
-            if not gate.out:
-                return gate
-        return self.gates[first.number]
-
-    def _try(self, first: _First) -> None:
-        gate = self._gate(first)
-        rid = f"{first.rid[:-1]}{first.tries:x}"
-        first.tries += 1
-        cls = first.one.cls
-        left = min(GIVE_UP_SHARE * cls.deadline_ms, cls.deadline_ms - (self.clock.now - first.due))
-        asking = _Asking(self, first, rid, gate, left)
-        self.note("client", "ask", rid=rid, first=first.rid, gw=gate.name, left=left, effect=cls.effect)
-        self.clock.after(left + ANSWER_SLACK_MS, self._give_up, asking)
-        connection = gate.take()
+            gateway = self.gateways[(customer.first + (place + step) % customer.width) % count]
+            if not gateway.removed:
+                return gateway
+        return self.gateways[request.gateway_number]
+
+    def _start_attempt(self, request: ClientRequest) -> None:
+        gateway = self._choose_gateway(request)
+        rid = f"{request.rid[:-1]}{request.attempts:x}"
+        request.attempts += 1
+        cls = request.planned.cls
+        left = min(
+            ATTEMPT_DEADLINE_SHARE * cls.deadline_ms, cls.deadline_ms - (self.clock.now - request.due_ms)
+        )
+        attempt = ClientAttempt(self, request, rid, gateway, left)
+        self.note("client", "ask", rid=rid, first=request.rid, gw=gateway.name, left=left, effect=cls.effect)
+        self.clock.after(left + ANSWER_SLACK_MS, self._give_up, attempt)
+        connection = gateway.take_connection()
         if connection is not None:
-            self._write(asking, connection)
+            self._write(attempt, connection)
         else:
-            self.start(self._dial(asking))
+            self.run_in_background(self._dial(attempt))
 
-    def again(self, asking: _Asking) -> None:
+    def resend(self, attempt: ClientAttempt) -> None:
         """Send a request once more, on a new connection."""
-        self.start(self._dial(asking))
+        self.run_in_background(self._dial(attempt))
 
-    async def _dial(self, asking: _Asking) -> None:
-        gate = asking.gate
-        connection = _Connection(gate)
+    async def _dial(self, attempt: ClientAttempt) -> None:
+        gateway = attempt.gateway
+        connection = ClientConnection(gateway)
         try:
-            await self.loop.create_connection(lambda: connection, "127.0.0.1", gate.port)
+            await self.loop.create_connection(lambda: connection, "127.0.0.1", gateway.port)
         except OSError:
-            gate.failed()
-            asking.ended("refused_dial", 0, 0.0)
+            gateway.dial_failed()
+            attempt.finish("refused_dial", 0, 0.0)
             return
-        if asking.over:
-            connection.used = self.clock.now
-            gate.free.append(connection)
+        if attempt.done:
+            connection.last_used_ms = self.clock.now
+            gateway.idle.append(connection)
             return
-        self._write(asking, connection)
+        self._write(attempt, connection)
 
-    def _write(self, asking: _Asking, connection: _Connection) -> None:
-        one, left = asking.first.one, asking.left - (self.clock.now - asking.at)
+    def _write(self, attempt: ClientAttempt, connection: ClientConnection) -> None:
+        one, left = attempt.request.planned, attempt.time_left_ms - (self.clock.now - attempt.started_ms)
         cls, customer = one.cls, one.customer
-        connection.asking, asking.connection = asking, connection
+        connection.attempt, attempt.connection = attempt, connection
         method = "GET" if cls.effect == "safe" else "POST"
-        more = "" if method == "GET" else f"Idempotency-Key: {asking.first.key}\r\nContent-Length: 0\r\n"
+        more = (
+            ""
+            if method == "GET"
+            else f"Idempotency-Key: {attempt.request.idempotency_key}\r\nContent-Length: 0\r\n"
+        )
         connection.transport.write(
             f"{method} /api/{customer.name}?work={one.work_ms:.1f}&true={one.true_units:.3f}"
             f"&kind={cls.effect}&window={cls.window_ms:.0f}&units={one.units:g}"
             f"&plan={customer.plan.name} HTTP/1.1\r\n"
-            f"Host: origin.svc\r\nX-Request-Id: {asking.rid}\r\nX-Class: {cls.name}\r\n"
+            f"Host: origin.svc\r\nX-Request-Id: {attempt.rid}\r\nX-Class: {cls.name}\r\n"
             f"Plan: {customer.plan.name}\r\nX-Deadline: {max(left, 1):.0f}m\r\n{more}"
             f"Quota-Info: units={one.units:g},spread={customer.width},first={customer.first}\r\n\r\n".encode()
         )
-        self.note("client", "wrote", rid=asking.rid, gw=asking.gate.name)
+        self.note("client", "wrote", rid=attempt.rid, gw=attempt.gateway.name)
 
-    def _give_up(self, asking: _Asking) -> None:
-        if not asking.over:
-            connection = asking.connection
-            asking.ended("late", 0, 0.0)
-            if connection is not None and connection.asking is asking:
+    def _give_up(self, attempt: ClientAttempt) -> None:
+        if not attempt.done:
+            connection = attempt.connection
+            attempt.finish("late", 0, 0.0)
+            if connection is not None and connection.attempt is attempt:
                 # Whether its answer is late or lost is another matter, and shows only if we go on listening.
-                self.unheard.add(asking)
+                self.unanswered.add(attempt)
 
-    def came(self, asking: _Asking, status: int) -> None:
+    def late_answer_received(self, attempt: ClientAttempt, status: int) -> None:
         """The answer to what its client had given up."""
-        self.unheard.discard(asking)
-        self.note("client", "came", rid=asking.rid, gw=asking.gate.name, status=status)
+        self.unanswered.discard(attempt)
+        self.note("client", "came", rid=attempt.rid, gw=attempt.gateway.name, status=status)
 
-    async def settle(self) -> None:
+    async def wait_for_late_answers(self) -> None:
         """Wait for a second answer, and for those that were given up."""
-        await asyncio.sleep(SETTLE_S)
-        end = self.clock.now + LOST_MS
-        while self.unheard and self.clock.now < end:
+        await asyncio.sleep(SECOND_ANSWER_WAIT_S)
+        end = self.clock.now + LATE_ANSWER_TIMEOUT_MS
+        while self.unanswered and self.clock.now < end:
             await asyncio.sleep(0.05)
 
-    def ended(self, first: _First, result: str, wait_ms: float) -> None:
+    def attempt_ended(self, request: ClientRequest, result: str, wait_ms: float) -> None:
         """A try is over: the client is content, gives up, or asks again."""
-        self.ended_as[result] += 1
-        traffic, one = self.scenario.traffic, first.one
-        spent = self.clock.now - first.due
+        self.results[result] += 1
+        traffic, one = self.scenario.traffic, request.planned
+        spent = self.clock.now - request.due_ms
         wait = traffic.backoff_ms * self._stream.uniform(0.5, 1.5)
         if result == "refused" and wait_ms > 0 and one.luck < traffic.honour:
             wait = max(wait, wait_ms)
         if (
             result in ("served", "late")
-            or first.tries > traffic.retries
+            or request.attempts > traffic.retries
             or spent + wait >= one.cls.deadline_ms
         ):
-            self.open -= 1
-            if not self.open and self._next >= len(self._asked):
+            self.open_requests -= 1
+            if not self.open_requests and self._next_planned >= len(self._planned):
                 self.done.set()
             return
         if one.luck < 0.3:  # some go through another gateway of their set
-            place = (first.number - one.customer.first) % len(self.gates)
-            first.number = (one.customer.first + (place + 1) % one.customer.width) % len(self.gates)
-        self.clock.after(wait, partial(self._try, first))
+            place = (request.gateway_number - one.customer.first) % len(self.gateways)
+            request.gateway_number = (one.customer.first + (place + 1) % one.customer.width) % len(
+                self.gateways
+            )
+        self.clock.after(wait, partial(self._start_attempt, request))
 
 
 async def _main() -> None:
     loop = asyncio.get_running_loop()
-    reader, first, note = await begun("load")
-    clients = Clients(Scenario.model_validate(first["scenario"]), note, loop, first["ports"])
+    reader, first_line, note = await begun("load")
+    clients = LoadGenerator(Scenario.model_validate(first_line["scenario"]), note, loop, first_line["ports"])
     tell(ready=True)
     gc.collect()
     gc.freeze()
@@ -383,9 +418,9 @@
         gone = loop.create_task(reader.readline())  # the lab has died
         await asyncio.wait((over, gone), return_when=asyncio.FIRST_COMPLETED)
         if not gone.done():
-            await clients.settle()
+            await clients.wait_for_late_answers()
             gone.cancel()
-            late = clients.late
+            late = clients.lateness
             tell(
                 over=late.get_total_count(),
                 late_ms=[late.get_value_at_percentile(p) / 1000 for p in (50, 99, 100)],
--- a/hillmux/lab/processes.py
+++ b/hillmux/lab/processes.py
@@ -17,12 +17,12 @@
 import orjson
 
 from hillmux.lab.record import Recorder
-from hillmux.lab.scenario import MOST_UNITS, Scenario, slack, zone_of
+from hillmux.lab.scenario import MOST_UNITS, Class, Plan, Scenario, slack, zone_of
 from hillmux.lab.streams import generator
 from hillmux.lab.trees import package_in
 
-READY_S = 20.0
-LAST_LINES = 40
+READY_TIMEOUT_S = 20.0
+MAX_KEPT_LINES = 40
 SIGNALS = {
     "kill": signal.SIGKILL,
     "term": signal.SIGTERM,
@@ -34,8 +34,8 @@
 
 
 PR_SET_PDEATHSIG = 1
-NICE = 5
-LOGGED = ("snapshots", "phase")  # lines of a gateway's log that go into the record
+NICENESS = 5
+RECORDED_LOG_SUBJECTS = ("snapshots", "phase")  # lines of a gateway's log that go into the record
 
 
 def die_with_parent() -> None:
@@ -43,11 +43,11 @@
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-def _begin() -> None:
+def _prepare_child() -> None:
     """Run in a gateway's child: the stand-ins and the load go before it where cores are short, so that a herd
     that starts is not seen as clients that come late."""
     die_with_parent()
-    os.nice(NICE)
+    os.nice(NICENESS)
 
 
 class NotReadyError(RuntimeError):
@@ -55,11 +55,11 @@
 
 
 @dataclass(slots=True, eq=False)
-class Started:
+class RunningProcess:
     """One process of a gateway, from its start to its end."""
 
     process: asyncio.subprocess.Process
-    struck: bool = False  # it was told to end: that it does is no refusal to start
+    end_requested: bool = False  # it was told to end: that it does is no refusal to start
     killed: bool = False  # SIGKILL went out: whatever it still shows, it takes nothing more
 
     def alive(self) -> bool:
@@ -80,88 +80,67 @@
     ) -> None:
         self.name, self.number = f"g{number}", number
         # Its port, held while it is dead, too: a client's connection would be given it by the system else.
-        self._held = socket.socket()
-        self._held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._held.bind(("127.0.0.1", 0))
-        self.port = int(self._held.getsockname()[1])
-        self._scenario, self._note, self._tree, self._told = scenario, note, tree, told
+        self._port_reservation = socket.socket()
+        self._port_reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self._port_reservation.bind(("127.0.0.1", 0))
+        self.port = int(self._port_reservation.getsockname()[1])
+        self._scenario, self._note, self._tree, self._addresses = scenario, note, tree, told
         self._folder = folder / self.name
         self._folder.mkdir()
-        self._starts = self._moves = 0
-        self.current: Started | None = None
+        self._starts = self._discovery_moves = 0
+        self.current: RunningProcess | None = None
         self._starting = asyncio.Lock()  # held from a start's turn until its process is there
-        self._due = 0  # starts asked for whose process is not there yet
-        self._waiting: list[str] = []  # signals for the next process
+        self._pending_starts = 0  # starts asked for whose process is not there yet
+        self._queued_signals: list[str] = []  # signals for the next process
         self._readers: set[asyncio.Task[None]] = set()
         self.lines: list[str] = []
 
     def _config(self) -> dict[str, Any]:
-        scenario, fleet = self._scenario, self._scenario.fleet
-        seed = int(generator(scenario.seed, f"gateway.{self.number}.{self._starts}").integers(1 << 61))
-        traffic = scenario.traffic
+        """The configuration file of the next process, in the platform's field names."""
+        seed = int(generator(self._scenario.seed, f"gateway.{self.number}.{self._starts}").integers(1 << 61))
         return {
             "name": self.name,
             "listen": f"127.0.0.1:{self.port}",
-            "discovery": f"127.0.0.1:{self._told['discovery'][self._moves % 2]}",
-            "counter": f"127.0.0.1:{self._told['counter']}",
+            "discovery": f"127.0.0.1:{self._addresses['discovery'][self._discovery_moves % 2]}",
+            "counter": f"127.0.0.1:{self._addresses['counter']}",
             "seed": f"{seed:x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": self._told["known"],
-            **self._told["peers"],
+            "known": self._addresses["known"],
+            **self._addresses["peers"],
             **self._snapshots(),
-            "settings": {
-                "grades": [
-                    {
-                        "name": c.name,
-                        "objective_ms": c.aim_ms,
-                        "deadline_ms": c.deadline_ms,
-                        "worth": c.worth,
-                        "effect": c.effect,
-                        "key_scope": "all",
-                        "window_ms": c.window_ms,
-                    }
-                    for c in traffic.classes
-                ],
-                "packages": [
-                    {
-                        "name": p.name,
-                        "refill": p.rate,
-                        "burst": p.burst,
-                        "worth_factor": p.worth,
-                        "over_worth": p.over_worth,
-                        "over_cost": p.over_cost,
-                        "ceiling_rate": p.ceiling * p.rate,
-                        "hard_burst": p.ceiling * p.burst,
-                        "tolerance": slack(p.ceiling * p.burst),
-                    }
-                    for p in traffic.plans
-                ],
-                "fleet_size": fleet.gateways,
-                "me": self.number,
-                "zone": zone_of(self.number, fleet.zones),
-                "tick_ms": 4.0,
-                "bounds": {
-                    "try_limit": 4,
-                    "cancel": True,
-                    "retry_after": True,
-                    "max_retry_after_ms": 2000.0,
-                    "dial_timeout_ms": 250.0,
-                    "conn_idle_ms": 15000.0,
-                    "peers": fleet.peers,
-                },
-                "rules": {
-                    "stop_sending_within_ms": fleet.drain_grace_ms,
-                    "cold_from": fleet.cold_from,
-                    "cold_ms": fleet.cold_ms,
-                    "fall_multiple": fleet.fall_multiple,
-                    "tip_after_ms": fleet.fall_ms,
-                },
-                "family_info": {
-                    "may_count": True,
-                    "count_wait_ms": fleet.counter_wait_ms,
-                    "trued_up": True,
-                    "most_units": MOST_UNITS,
-                },
+            "settings": self._settings(),
+        }
+
+    def _settings(self) -> dict[str, Any]:
+        fleet, traffic = self._scenario.fleet, self._scenario.traffic
+        return {
+            "grades": [_class_settings(request_class) for request_class in traffic.classes],
+            "packages": [_plan_settings(plan) for plan in traffic.plans],
+            "fleet_size": fleet.gateways,
+            "me": self.number,
+            "zone": zone_of(self.number, fleet.zones),
+            "tick_ms": 4.0,
+            "bounds": {
+                "try_limit": 4,
+                "cancel": True,
+                "retry_after": True,
+                "max_retry_after_ms": 2000.0,
+                "dial_timeout_ms": 250.0,
+                "conn_idle_ms": 15000.0,
+                "peers": fleet.peers,
+            },
+            "rules": {
+                "stop_sending_within_ms": fleet.drain_grace_ms,
+                "cold_from": fleet.cold_from,
+                "cold_ms": fleet.cold_ms,
+                "fall_multiple": fleet.fall_multiple,
+                "tip_after_ms": fleet.fall_ms,
+            },
+            "family_info": {
+                "may_count": True,
+                "count_wait_ms": fleet.counter_wait_ms,
+                "trued_up": True,
+                "most_units": MOST_UNITS,
             },
         }
 
@@ -169,10 +148,16 @@
         every = self._scenario.fleet.snapshots_ms
         if not every:
             return {}
-        return {"snapshots": {"folder": str(self.kept), "every_ms": every, "fleet": self._scenario.name}}
+        return {
+            "snapshots": {
+                "folder": str(self.snapshot_directory),
+                "every_ms": every,
+                "fleet": self._scenario.name,
+            }
+        }
 
     @property
-    def kept(self) -> Path:
+    def snapshot_directory(self) -> Path:
         """Where its snapshots are, on the disk that lasts."""
         return self._folder / "kept"
 
@@ -181,9 +166,9 @@
         path.write_bytes(orjson.dumps(self._config()))
         return path
 
-    def moved(self) -> None:
+    def discovery_moved(self) -> None:
         """Its discovery has gone to the other address: the file says so from now on."""
-        self._moves += 1
+        self._discovery_moves += 1
         self._write_config()
 
     def alive(self) -> bool:
@@ -200,11 +185,11 @@
             return 0
         return pages * os.sysconf("SC_PAGE_SIZE") // 1024
 
-    def ask_start(self, how: str = "", twin: Path | None = None) -> Awaitable[None]:
+    def request_start(self, how: str = "", twin: Path | None = None) -> Awaitable[None]:
         """Ask for a start. What is returned must be awaited: it waits until the gateway is ready, and raises
         NotReadyError where it ended before and nothing had told it to.
         """
-        self._due += 1
+        self._pending_starts += 1
         return self._start(how, twin)
 
     async def _start(self, how: str, twin: Path | None) -> None:
@@ -212,32 +197,32 @@
             try:
                 if self.current is not None:
                     await self.current.process.wait()
-                self._lay_out(how, twin)
+                self._prepare_directories(how, twin)
                 started = await self._spawn()
             finally:
-                self._due -= 1
+                self._pending_starts -= 1
         listening = asyncio.get_running_loop().create_future()
-        reading = asyncio.create_task(self._read(started.process, listening))
+        reading = asyncio.create_task(self._read_log(started.process, listening))
         self._readers.add(reading)
         reading.add_done_callback(self._readers.discard)
         try:
-            await asyncio.wait_for(listening, READY_S)
+            await asyncio.wait_for(listening, READY_TIMEOUT_S)
             self._note(self.name, "listens")
-            await self._ready(started)
+            await self._wait_until_ready(started)
         except (TimeoutError, NotReadyError):
-            if not started.struck:
+            if not started.end_requested:
                 raise NotReadyError(f"{self.name} did not start: {' / '.join(self.lines[-3:])}") from None
 
-    def _lay_out(self, how: str, twin: Path | None) -> None:
+    def _prepare_directories(self, how: str, twin: Path | None) -> None:
         """The folders as a start is to find them."""
-        own, file = self._folder / "tmp", self.kept / "snapshot"
+        own, file = self._folder / "tmp", self.snapshot_directory / "snapshot"
         if not how:
             shutil.rmtree(own, ignore_errors=True)
-            shutil.rmtree(self.kept, ignore_errors=True)
+            shutil.rmtree(self.snapshot_directory, ignore_errors=True)
         own.mkdir(exist_ok=True)
         if how == "twin" and twin is not None:
-            shutil.rmtree(self.kept, ignore_errors=True)
-            shutil.copytree(twin, self.kept)
+            shutil.rmtree(self.snapshot_directory, ignore_errors=True)
+            shutil.copytree(twin, self.snapshot_directory)
         elif how in ("torn", "flipped") and file.exists():
             data = bytearray(file.read_bytes())
             if how == "torn":
@@ -246,7 +231,7 @@
                 data[len(data) // 2] ^= 1
             file.write_bytes(data)
 
-    async def _spawn(self) -> Started:
+    async def _spawn(self) -> RunningProcess:
         own = self._folder / "tmp"
         path = self._write_config()
         self._starts += 1
@@ -259,25 +244,25 @@
             stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
-            preexec_fn=_begin,
+            preexec_fn=_prepare_child,
             env={**os.environ, "PYTHONPATH": str(self._tree), "ROUTER_CONFIG": str(path), "TMPDIR": str(own)},
         )
-        self.current = Started(process)
-        waiting, self._waiting = self._waiting, []
+        self.current = RunningProcess(process)
+        waiting, self._queued_signals = self._queued_signals, []
         for what in waiting:
             self._send(self.current, what)
         return self.current
 
-    async def _read(self, process: asyncio.subprocess.Process, listening: asyncio.Future[int]) -> None:
+    async def _read_log(self, process: asyncio.subprocess.Process, listening: asyncio.Future[int]) -> None:
         assert process.stderr is not None
         with (self._folder / "log").open("ab") as log:
             while line := await process.stderr.readline():
                 log.write(line)
                 text = line.decode(errors="replace").strip()
-                for kind in LOGGED:
+                for kind in RECORDED_LOG_SUBJECTS:
                     if f"INFO {kind}: " in text or f"WARNING {kind}: " in text:
                         self._note(self.name, kind, text=text.partition(f"{kind}: ")[2])
-                self.lines = [*self.lines[1 - LAST_LINES :], text]
+                self.lines = [*self.lines[1 - MAX_KEPT_LINES :], text]
                 if "listening on" in text and not listening.done():
                     listening.set_result(int(text.rsplit(":", 1)[1]))
         code = await process.wait()
@@ -285,7 +270,7 @@
         if not listening.done():
             listening.set_exception(NotReadyError())
 
-    async def _ready(self, started: Started) -> None:
+    async def _wait_until_ready(self, started: RunningProcess) -> None:
         while True:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -305,14 +290,14 @@
         """A signal, by its name in a scenario; to nobody where no process is there and none is on its way."""
         if self.current is not None and self.current.alive():
             self._send(self.current, what)
-        elif self._due:
-            self._waiting.append(what)
+        elif self._pending_starts:
+            self._queued_signals.append(what)
 
-    def _send(self, started: Started, what: str) -> None:
+    def _send(self, started: RunningProcess, what: str) -> None:
         if not started.alive():
             return
         self._note(self.name, what)
-        started.struck = started.struck or what in ("kill", "term")
+        started.end_requested = started.end_requested or what in ("kill", "term")
         started.killed = started.killed or what == "kill"
         started.process.send_signal(SIGNALS[what])
 
@@ -322,4 +307,30 @@
             self.current.process.kill()
             await self.current.process.wait()
         await asyncio.gather(*self._readers)
-        self._held.close()
+        self._port_reservation.close()
+
+
+def _class_settings(request_class: Class) -> dict[str, Any]:
+    return {
+        "name": request_class.name,
+        "objective_ms": request_class.aim_ms,
+        "deadline_ms": request_class.deadline_ms,
+        "worth": request_class.worth,
+        "effect": request_class.effect,
+        "key_scope": "all",
+        "window_ms": request_class.window_ms,
+    }
+
+
+def _plan_settings(plan: Plan) -> dict[str, Any]:
+    return {
+        "name": plan.name,
+        "refill": plan.rate,
+        "burst": plan.burst,
+        "worth_factor": plan.worth,
+        "over_worth": plan.over_worth,
+        "over_cost": plan.over_cost,
+        "ceiling_rate": plan.ceiling * plan.rate,
+        "hard_burst": plan.ceiling * plan.burst,
+        "tolerance": slack(plan.ceiling * plan.burst),
+    }
--- a/hillmux/lab/run.py
+++ b/hillmux/lab/run.py
@@ -21,11 +21,11 @@
 from hillmux.lab.scenario import GATEWAY_FAULTS, Scenario, Strike, free_mb, schedule, terms, too_much
 from hillmux.lab.virtual import play as virtual
 
-LEAD_S = 0.5  # between the last gateway's readiness and the first try
-OVER_S = 30.0  # how long after its length a run may take to end
-LATE_MS = 5.0  # p99 of the load's own lateness up to which times are judged
-SAMPLE_S = 1.0  # between looks at the gateways' memory
-AT_ONCE = 8  # gateways that are started at once before the run
+LEAD_TIME_S = 0.5  # between the last gateway's readiness and the first try
+OVERRUN_TIMEOUT_S = 30.0  # how long after its length a run may take to end
+MAX_LOAD_LATENESS_MS = 5.0  # p99 of the load's own lateness up to which times are judged
+MEMORY_SAMPLE_INTERVAL_S = 1.0  # between looks at the gateways' memory
+CONCURRENT_STARTS = 8  # gateways that are started at once before the run
 
 
 class RunError(RuntimeError):
@@ -49,7 +49,7 @@
         return not self.unmet and all(v.says() == "held" for v in self.verdicts)
 
 
-class _Helper:
+class HelperProcess:
     """The stand-ins' process, or the load's: lines of JSON both ways; it ends with its input."""
 
     def __init__(self, module: str) -> None:
@@ -69,15 +69,15 @@
             preexec_fn=die_with_parent,
             env={**os.environ, "PYTHONPATH": str(ROOT)},
         )
-        self.tell(first)
-        return await self.hear()
+        self.send(first)
+        return await self.receive()
 
-    def tell(self, line: dict[str, Any]) -> None:
+    def send(self, line: dict[str, Any]) -> None:
         """Write a line to it."""
         assert self._process is not None and self._process.stdin is not None
         self._process.stdin.write(orjson.dumps(line) + b"\n")
 
-    async def hear(self) -> dict[str, Any]:
+    async def receive(self) -> dict[str, Any]:
         """Its next line."""
         assert self._process is not None and self._process.stdout is not None
         line = await self._process.stdout.readline()
@@ -111,8 +111,8 @@
         show: Callable[[dict[str, float]], None] = lambda progress: None,
     ) -> None:
         self.scenario, self.folder, self.tree = scenario, folder, tree
-        self._say, self._show = say, show
-        self._world, self._load = _Helper("hillmux.lab.world"), _Helper("hillmux.lab.load")
+        self._report, self._show_progress = say, show
+        self._environment, self._load = HelperProcess("hillmux.lab.world"), HelperProcess("hillmux.lab.load")
         self.gateways: dict[str, GatewayProcess] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._unstarted: list[str] = []  # starts that had not come about when the run was over
@@ -139,60 +139,65 @@
     async def _play(self) -> tuple[float, list[float]]:
         scenario = self.scenario
         raw = scenario.model_dump(mode="json")
-        told = await self._world.start({"scenario": raw, "folder": str(self.folder)})
+        told = await self._environment.start({"scenario": raw, "folder": str(self.folder)})
         for number in range(scenario.fleet.gateways):
             name = f"g{number}"
             self.gateways[name] = GatewayProcess(
                 number, scenario, self.folder, self.note, self.tree, told["ports"][name]
             )
-        self._say(f"starting {len(self.gateways)} gateways")
+        self._report(f"starting {len(self.gateways)} gateways")
         names = list(self.gateways)
-        for at in range(0, len(names), AT_ONCE):
-            await asyncio.gather(*(self.gateways[name].ask_start() for name in names[at : at + AT_ONCE]))
+        for at in range(0, len(names), CONCURRENT_STARTS):
+            await asyncio.gather(
+                *(self.gateways[name].request_start() for name in names[at : at + CONCURRENT_STARTS])
+            )
         ports = {name: gateway.port for name, gateway in self.gateways.items()}
         await self._load.start({"scenario": raw, "folder": str(self.folder), "ports": ports})
-        t0 = 1000 * (time.monotonic() + LEAD_S)
-        self._world.tell({"t0": t0})
-        self._load.tell({"t0": t0})
-        self._say("playing")
+        t0 = 1000 * (time.monotonic() + LEAD_TIME_S)
+        self._environment.send({"t0": t0})
+        self._load.send({"t0": t0})
+        self._report("playing")
         loop = asyncio.get_running_loop()
         for strike in schedule(scenario):
             if strike.fault.what in GATEWAY_FAULTS:
-                loop.call_later((t0 + strike.at_ms) / 1000 - time.monotonic(), self._strike, strike)
-        self._sample()
-        over = await asyncio.wait_for(self._hear(), scenario.length_s + LEAD_S + OVER_S)
+                loop.call_later((t0 + strike.at_ms) / 1000 - time.monotonic(), self._apply_fault, strike)
+        self._sample_memory()
+        over = await asyncio.wait_for(
+            self._receive_until_over(), scenario.length_s + LEAD_TIME_S + OVERRUN_TIMEOUT_S
+        )
         return t0, over["late_ms"]
 
-    async def _hear(self) -> dict[str, Any]:
-        while "progress" in (line := await self._load.hear()):
-            self._show(line["progress"] | {"alive": sum(g.alive() for g in self.gateways.values())})
+    async def _receive_until_over(self) -> dict[str, Any]:
+        while "progress" in (line := await self._load.receive()):
+            self._show_progress(line["progress"] | {"alive": sum(g.alive() for g in self.gateways.values())})
         return line
 
-    def _sample(self) -> None:
+    def _sample_memory(self) -> None:
         for gateway in self.gateways.values():
             if memory := gateway.memory_kb():
                 self.note(gateway.name, "memory", kb=memory)
-        asyncio.get_running_loop().call_later(SAMPLE_S, self._sample)
+        asyncio.get_running_loop().call_later(MEMORY_SAMPLE_INTERVAL_S, self._sample_memory)
 
-    def _strike(self, strike: Strike) -> None:
+    def _apply_fault(self, strike: Strike) -> None:
         gateway, what = self.gateways[strike.target], strike.fault.what
         if what == "start":
             task = asyncio.get_running_loop().create_task(
-                self._again(gateway.ask_start(strike.fault.how, self._twin(gateway))), name=gateway.name
+                self._await_restart(gateway.request_start(strike.fault.how, self._twin_snapshots(gateway))),
+                name=gateway.name,
             )
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         else:
             if strike.fault.how == "moved":
-                gateway.moved()
+                gateway.discovery_moved()
             gateway.signal(what)
 
-    def _twin(self, gateway: GatewayProcess) -> Path:
+    def _twin_snapshots(self, gateway: GatewayProcess) -> Path:
         """Another gateway's folder of snapshots: the next one's by number."""
         others = list(self.gateways.values())
-        return others[(gateway.number + 1) % len(others)].kept
+        return others[(gateway.number + 1) % len(others)].snapshot_directory
 
-    async def _again(self, start: Awaitable[None]) -> None:
+    async def _await_restart(self, start: Awaitable[None]) -> None:
         try:
             await start
         except NotReadyError as error:
@@ -206,7 +211,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self._load.end()
         await asyncio.gather(*(gateway.end() for gateway in self.gateways.values()))
-        await self._world.end()
+        await self._environment.end()
         self.note.close()
 
 
@@ -215,7 +220,7 @@
 ) -> Result:
     """The verdicts and figures of a record; `wrong`: what else the run did not come to."""
     events = list(record.read(folder))
-    given = replace(terms(scenario), timed=late_ms[1] <= LATE_MS)
+    given = replace(terms(scenario), timed=late_ms[1] <= MAX_LOAD_LATENESS_MS)
     verdicts = checks.judge(events, given, scenario.hold.rules)
     figures = measure(events, t0, scenario.length_s, given)
     missed = [*wrong, *unmet(scenario, figures, late_ms)]
@@ -238,7 +243,7 @@
     hold = scenario.hold
     wrong: list[str] = []
     if hold.full_service_s:
-        if late_ms[1] > LATE_MS:
+        if late_ms[1] > MAX_LOAD_LATENESS_MS:
             wrong.append(f"full service: not judged: the load itself was {late_ms[1]:.1f} ms late at p99")
         elif figures.full_service_s is None or figures.full_service_s > hold.full_service_s:
             seen = "never" if figures.full_service_s is None else f"after {figures.full_service_s:.0f} s"
--- a/hillmux/lab/standins/alone.py
+++ b/hillmux/lab/standins/alone.py
@@ -6,37 +6,37 @@
 from typing import Any
 
 from hillmux.lab.clock import RealClock
-from hillmux.lab.links import Link
-from hillmux.lab.standins.host import BookingNode, Keys
+from hillmux.lab.links import EmulatedLink
+from hillmux.lab.standins.host import HostStandIn, IdempotencyKeys
 from hillmux.lab.streams import Stream
 from hillmux.lab.virtual.hosts import HostModel
 
-WAITING = 200
-MOST_CONNECTIONS = 10_000
+MAX_QUEUED = 200
+MAX_CONNECTIONS = 10_000
 
 
-def _unnoted(who: str, ev: str, **fields: Any) -> None:
+def _discard_event(who: str, ev: str, **fields: Any) -> None:
     """A record that nobody keeps."""
 
 
-def booking_nodes(count: int, work_ms: float, seed: int = 1) -> list[BookingNode]:
+def start_host_stand_ins(count: int, work_ms: float, seed: int = 1) -> list[HostStandIn]:
     """Nodes that listen, each at a port that the system chose, in the running loop; `crash` ends one."""
     loop = asyncio.get_running_loop()
-    clock, keys = RealClock(loop), Keys()
+    clock, keys = RealClock(loop), IdempotencyKeys()
     nodes = []
     for number in range(count):
         name = f"h{number}"
-        node = BookingNode(
+        node = HostStandIn(
             clock,
             loop,
             name,
             "a",
-            HostModel(waiting=WAITING),
+            HostModel(waiting=MAX_QUEUED),
             keys,
-            [Link("gateway", name)],
-            _unnoted,
+            [EmulatedLink("gateway", name)],
+            _discard_event,
             Stream(seed, f"host.{number}"),
-            MOST_CONNECTIONS,
+            MAX_CONNECTIONS,
             work_ms,
         )
         node.open()
--- a/hillmux/lab/standins/counter.py
+++ b/hillmux/lab/standins/counter.py
@@ -6,16 +6,16 @@
 from functools import partial
 
 from hillmux.lab.clock import Clock
-from hillmux.lab.links import Door, Link, Wire
+from hillmux.lab.links import EmulatedConnection, EmulatedLink, GatedListener
 from hillmux.lab.record import Note
-from hillmux.lab.standins.http import Asked, Line, Owner, message
+from hillmux.lab.standins.http import ReceivedRequest, RequestHandler, ServerConnection, response_bytes
 from hillmux.lab.virtual.counter import CounterModel, CounterService
 
-MOST_NAME = 64
+MAX_NAME_LENGTH = 64
 Totals = list[dict[str, tuple[float, float]]]
 
 
-class CounterStandIn(Owner):
+class CounterStandIn(RequestHandler):
     """One counter, or two copies of it, with a door for each gateway."""
 
     def __init__(
@@ -23,46 +23,48 @@
         clock: Clock,
         loop: asyncio.AbstractEventLoop,
         model: CounterModel,
-        links: list[Link],
+        links: list[EmulatedLink],
         note: Note,
     ) -> None:
         self._clock, self._note, self._model = clock, note, model
         self.service = CounterService(clock, model)
         self.second: CounterService | None = None  # what the gateways in `at_second` see
         self.at_second: set[str] = set()
-        self._kept: Totals = []
-        self._lines: set[Line] = set()
-        self.doors = {link.a: Door(link, self._came_up, loop) for link in links}
+        self._saved_totals: Totals = []
+        self._connections: set[ServerConnection] = set()
+        self.listeners = {link.a: GatedListener(link, self._connection_opened, loop) for link in links}
 
-    def _came_up(self, wire: Wire) -> Line:
-        line = Line(wire, self)
-        self._lines.add(line)
-        return line
+    def _connection_opened(self, transport: EmulatedConnection) -> ServerConnection:
+        connection = ServerConnection(transport, self)
+        self._connections.add(connection)
+        return connection
 
-    def gone(self, line: Line) -> None:
+    def connection_closed(self, connection: ServerConnection) -> None:
         """Forget a connection that is over."""
-        self._lines.discard(line)
+        self._connections.discard(connection)
 
     def open(self) -> None:
         """Listen at every door."""
-        for door in self.doors.values():
+        for door in self.listeners.values():
             door.open()
 
-    def keep(self) -> None:
+    def save_totals(self) -> None:
         """Remember what it knows now, for a copy that will be old."""
-        self._kept = self.service.copy()
+        self._saved_totals = self.service.copy()
 
     def stop(self) -> None:
         """Its process dies."""
         self.service.stop()
-        for door in self.doors.values():
+        for door in self.listeners.values():
             door.close()
-        for line in list(self._lines):
-            line.wire.reset()
+        for connection in list(self._connections):
+            connection.transport.reset()
 
     def start(self, how: str) -> None:
         """It is back with `all`, `nothing`, or what it knew when `keep` was called (`old`)."""
-        self.service.start(None if how == "nothing" else self._kept if how == "old" else self.service.copy())
+        self.service.start(
+            None if how == "nothing" else self._saved_totals if how == "old" else self.service.copy()
+        )
         self.open()
 
     def split(self, gateways: set[str]) -> None:
@@ -74,27 +76,31 @@
         self.second.start(self.service.copy())
         self.at_second = gateways
 
-    def asked(self, asked: Asked) -> None:
+    def handle_request(self, request: ReceivedRequest) -> None:
         """Add a call to the copy that its gateway sees; 400 on a bad name, amount or `ttl_ms`."""
-        gateway = asked.line.wire.link.a
-        name = asked.path.removeprefix("/v1/count/")
+        gateway = request.connection.transport.link.a
+        name = request.path.removeprefix("/v1/count/")
         try:
-            amount, ttl = float(asked.query["add"]), float(asked.query["ttl_ms"])
+            amount, ttl = float(request.query["add"]), float(request.query["ttl_ms"])
         except (KeyError, ValueError):
             amount = ttl = float("nan")
         if (
-            asked.method != "POST"
-            or not 1 <= len(name) <= MOST_NAME
+            request.method != "POST"
+            or not 1 <= len(name) <= MAX_NAME_LENGTH
             or not abs(amount) <= 1e9
             or not ttl >= 1
         ):
-            asked.reply(message(400))
+            request.respond(response_bytes(400))
             return
         second = self.second if gateway in self.at_second else None
-        (second or self.service).call(name, amount, ttl, partial(self._answer, asked, name, amount, gateway))
+        (second or self.service).call(
+            name, amount, ttl, partial(self._answer, request, name, amount, gateway)
+        )
 
     def _answer(
-        self, asked: Asked, name: str, amount: float, gateway: str, result: str, total: float
+        self, request: ReceivedRequest, name: str, amount: float, gateway: str, result: str, total: float
     ) -> None:
         self._note("counter", "count", gw=gateway, name=name, amount=amount, result=result, total=total)
-        asked.reply(message(200, f"{total:.6f}".encode()) if result == "ok" else message(503))
+        request.respond(
+            response_bytes(200, f"{total:.6f}".encode()) if result == "ok" else response_bytes(503)
+        )
--- a/hillmux/lab/standins/exchange.py
+++ b/hillmux/lab/standins/exchange.py
@@ -15,16 +15,16 @@
 from hillmux.lab.record import Note
 from hillmux.lab.streams import Stream
 
-LONGEST = 256  # bytes; a longer one voids a run on the platform
-HELD_BACK_MS = 50.0  # how much later one comes that others overtake
-AT_ONCE = 64  # datagrams read in one go, so that a flood doesn't keep the loop
-MOST_HELD = 100_000  # datagrams on their way in all; beyond that they are lost, as in a full queue
+MAX_DATAGRAM_BYTES = 256  # bytes; a longer one voids a run on the platform
+REORDER_DELAY_MS = 50.0  # how much later one comes that others overtake
+MAX_READS_AT_ONCE = 64  # datagrams read in one go, so that a flood doesn't keep the loop
+MAX_IN_FLIGHT = 100_000  # datagrams on their way in all; beyond that they are lost, as in a full queue
 RECEIVE_BYTES = 1 << 20
 Address = tuple[str, int]
 
 
 @dataclass(slots=True)
-class Way:
+class PeerLink:
     """From one gateway to another: faults, and its own random stream."""
 
     stream: Stream
@@ -45,9 +45,9 @@
             return []
         late = self.delay_ms
         if self.reorder and self.stream.uniform() < self.reorder:
-            late += HELD_BACK_MS
+            late += REORDER_DELAY_MS
         twice = self.duplicate and self.stream.uniform() < self.duplicate
-        return [late, late + HELD_BACK_MS * self.stream.uniform()] if twice else [late]
+        return [late, late + REORDER_DELAY_MS * self.stream.uniform()] if twice else [late]
 
 
 def _bound() -> socket.socket:
@@ -65,9 +65,9 @@
         self, clock: Clock, loop: asyncio.AbstractEventLoop, names: list[str], note: Note, seed: int
     ) -> None:
         self._clock, self._loop, self._note = clock, loop, note
-        self._ways: dict[tuple[str, str], Way] = {}
-        self._seed, self.on_the_way = seed, 0
-        self._doors = {name: _bound() for name in names}
+        self._links: dict[tuple[str, str], PeerLink] = {}
+        self._seed, self.in_flight = seed, 0
+        self._sockets = {name: _bound() for name in names}
         self._all = _bound()
         # Where each gateway listens: chosen while all of ours are bound, and left for it to bind.
         spare = {name: _bound() for name in names}
@@ -75,30 +75,30 @@
         for sock in spare.values():
             sock.close()
         self._names = {address: name for name, address in self.listens.items()}
-        for name, sock in self._doors.items():
+        for name, sock in self._sockets.items():
             loop.add_reader(sock.fileno(), self._readable, sock, [name])
         loop.add_reader(self._all.fileno(), self._readable, self._all, names)
 
-    def told(self, name: str) -> dict[str, object]:
+    def addresses_of(self, name: str) -> dict[str, object]:
         """What a gateway's configuration says of its peers."""
         return {
             "peer_listen": _text(self.listens[name]),
-            "peers": [_text(sock.getsockname()) for sock in self._doors.values()],
+            "peers": [_text(sock.getsockname()) for sock in self._sockets.values()],
             "peers_all": _text(self._all.getsockname()),
         }
 
-    def way(self, sender: str, receiver: str) -> Way:
+    def link(self, sender: str, receiver: str) -> PeerLink:
         """The way from one gateway to another."""
-        way = self._ways.get((sender, receiver))
+        way = self._links.get((sender, receiver))
         if way is None:
-            way = Way(Stream(self._seed, f"way.{sender}.{receiver}"))
-            self._ways[sender, receiver] = way
+            way = PeerLink(Stream(self._seed, f"way.{sender}.{receiver}"))
+            self._links[sender, receiver] = way
         return way
 
-    def strike(self, a: str, b: str, what: str, value: float) -> None:
+    def apply_fault(self, a: str, b: str, what: str, value: float) -> None:
         """A fault between two; `cut_in` of what `a` sends to `b`, `cut_out` of what comes back."""
-        ways = [self.way(a, b)] if what != "cut_out" else []
-        ways += [self.way(b, a)] if what != "cut_in" else []
+        ways = [self.link(a, b)] if what != "cut_out" else []
+        ways += [self.link(b, a)] if what != "cut_in" else []
         for way in ways:
             match what:
                 case "cut" | "cut_in" | "cut_out":
@@ -115,40 +115,40 @@
                     way.reorder = value
 
     def _readable(self, sock: socket.socket, to: list[str]) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_READS_AT_ONCE):
             try:
-                data, address = sock.recvfrom(LONGEST + 1)
+                data, address = sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:  # nothing more, or the last one found nobody at its port (ICMP)
                 return
             sender = self._names.get(address)
             if sender is None:
                 self._note("exchange", "stranger", address=_text(address))
                 continue
-            self._note(sender, "datagram", size=len(data), to=len(to), long=len(data) > LONGEST)
-            if len(data) <= LONGEST:
+            self._note(sender, "datagram", size=len(data), to=len(to), long=len(data) > MAX_DATAGRAM_BYTES)
+            if len(data) <= MAX_DATAGRAM_BYTES:
                 for name in to:
                     self._pass_on(sender, name, data)
 
     def _pass_on(self, sender: str, receiver: str, data: bytes) -> None:
-        copies = self.way(sender, receiver).copies()
+        copies = self.link(sender, receiver).copies()
         if not copies:
             self._note(receiver, "unheard", gw=sender)
         for late in copies:
-            if self.on_the_way < MOST_HELD:
-                self.on_the_way += 1
+            if self.in_flight < MAX_IN_FLIGHT:
+                self.in_flight += 1
                 self._clock.after(late, self._deliver, sender, receiver, data)
 
     def _deliver(self, sender: str, receiver: str, data: bytes) -> None:
-        self.on_the_way -= 1
+        self.in_flight -= 1
         try:
-            self._doors[sender].sendto(data, self.listens[receiver])
+            self._sockets[sender].sendto(data, self.listens[receiver])
         except OSError:
             return  # a full queue, or nobody listens: lost
         self._note(receiver, "passed", gw=sender, size=len(data))  # its own queue may still lose it
 
     def close(self) -> None:
         """Close every address."""
-        for sock in (*self._doors.values(), self._all):
+        for sock in (*self._sockets.values(), self._all):
             self._loop.remove_reader(sock.fileno())
             sock.close()
 
--- a/hillmux/lab/standins/host.py
+++ b/hillmux/lab/standins/host.py
@@ -11,44 +11,44 @@
 from functools import partial
 
 from hillmux.lab.clock import Clock
-from hillmux.lab.links import Door, Link, Wire
+from hillmux.lab.links import EmulatedConnection, EmulatedLink, GatedListener
 from hillmux.lab.record import Note
-from hillmux.lab.standins.http import Asked, Line, Owner, message
+from hillmux.lab.standins.http import ReceivedRequest, RequestHandler, ServerConnection, response_bytes
 from hillmux.lab.streams import Stream
 from hillmux.lab.virtual.hosts import Host, HostModel, Job
 
-MOST_KEYS = 200_000
+MAX_KEYS = 200_000
 NOT_RUN = b"X-Not-Run: 1\r\n"
 
 
-class Keys:
+class IdempotencyKeys:
     """The keys that hosts remember together, each for its class's window from its first run on."""
 
     def __init__(self) -> None:
         self._seen: OrderedDict[str, float] = OrderedDict()
 
-    def first(self, key: str, now_ms: float, window_ms: float) -> bool:
+    def register(self, key: str, now_ms: float, window_ms: float) -> bool:
         """Whether work under this key is new; a repeat inside the window is not."""
         ends = self._seen.get(key)
         if ends is not None and now_ms < ends:
             return False
         self._seen[key] = now_ms + window_ms
         self._seen.move_to_end(key)
-        if len(self._seen) > MOST_KEYS:
+        if len(self._seen) > MAX_KEYS:
             self._seen.popitem(last=False)
         return True
 
 
-class HostLine(Line):
+class HostConnection(ServerConnection):
     """A connection at a host; it knows its gateway."""
 
-    def __init__(self, wire: Wire, owner: BookingNode) -> None:
-        super().__init__(wire, owner)
-        self.gateway = wire.link.a
-        self.jobs: dict[Asked, Job] = {}
+    def __init__(self, connection: EmulatedConnection, handler: HostStandIn) -> None:
+        super().__init__(connection, handler)
+        self.gateway = connection.link.a
+        self.jobs: dict[ReceivedRequest, Job] = {}
 
 
-class BookingNode(Owner):
+class HostStandIn(RequestHandler):
     """One host: a door for each gateway, one model behind all of them."""
 
     def __init__(
@@ -58,8 +58,8 @@
         name: str,
         zone: str,
         model: HostModel,
-        keys: Keys,
-        links: list[Link],
+        keys: IdempotencyKeys,
+        links: list[EmulatedLink],
         note: Note,
         stream: Stream,
         most_connections: int,
@@ -68,45 +68,45 @@
         self.name, self.zone = name, zone
         self.host = Host(clock, name, zone, model)
         self._clock, self._keys, self._note, self._stream = clock, keys, note, stream
-        self._most_connections, self._work_ms = most_connections, work_ms
-        self._lines: set[HostLine] = set()
+        self._max_connections, self._work_ms = most_connections, work_ms
+        self._connections: set[HostConnection] = set()
         self.failing = 0.0  # part of the requests that are answered 500
-        self.hung = False  # takes requests and says nothing
-        self.doors = {link.a: Door(link, self.came_up, loop) for link in links}
+        self.hanging = False  # takes requests and says nothing
+        self.listeners = {link.a: GatedListener(link, self.connection_opened, loop) for link in links}
 
-    def came_up(self, wire: Wire) -> Line:
+    def connection_opened(self, transport: EmulatedConnection) -> ServerConnection:
         """A connection of a gateway has come up."""
-        line = HostLine(wire, self)
-        self._lines.add(line)
+        connection = HostConnection(transport, self)
+        self._connections.add(connection)
         self.host.dialled()
-        self._note(self.name, "dial", gw=line.gateway, cold=self.host.warmth() < 1)
-        return line
+        self._note(self.name, "dial", gw=connection.gateway, cold=self.host.warmth() < 1)
+        return connection
 
-    def gone(self, line: Line) -> None:
+    def connection_closed(self, connection: ServerConnection) -> None:
         """A connection is over: nobody waits for its jobs, those that run go on."""
-        assert isinstance(line, HostLine)
-        self._lines.discard(line)
-        for job in line.jobs.values():
+        assert isinstance(connection, HostConnection)
+        self._connections.discard(connection)
+        for job in connection.jobs.values():
             job.over = True  # nobody waits for it; what runs goes on running
 
     def open(self) -> None:
         """Listen at every door."""
-        for door in self.doors.values():
+        for door in self.listeners.values():
             door.open()
 
     @property
     def port(self) -> int:
         """Where it listens, of a node that one gateway alone talks to."""
-        (door,) = self.doors.values()
+        (door,) = self.listeners.values()
         return door.port
 
     def crash(self) -> None:
         """The process dies: what is open is reset, new connections are refused."""
         self.host.stop()
-        for door in self.doors.values():
+        for door in self.listeners.values():
             door.close()
-        for line in list(self._lines):
-            line.wire.reset()
+        for connection in list(self._connections):
+            connection.transport.reset()
         self._note(self.name, "died")
 
     def restart(self) -> None:
@@ -115,56 +115,56 @@
         self.open()
         self._note(self.name, "up", started=True)
 
-    def asked(self, asked: Asked) -> None:
+    def handle_request(self, request: ReceivedRequest) -> None:
         """Run the request as a job of the model, or answer a health check, a fault or a lack of room."""
-        line = asked.line
-        assert isinstance(line, HostLine)
-        if asked.path == "/health":
-            self._note(self.name, "probe", gw=line.gateway)
-            asked.reply(message(200))
+        connection = request.connection
+        assert isinstance(connection, HostConnection)
+        if request.path == "/health":
+            self._note(self.name, "probe", gw=connection.gateway)
+            request.respond(response_bytes(200))
             return
-        rid, key = asked.headers.get("x-request-id", ""), asked.headers.get("idempotency-key", "")
-        query = asked.query
+        rid, key = request.headers.get("x-request-id", ""), request.headers.get("idempotency-key", "")
+        query = request.query
         fell = self.host.fallen
         self._note(
             self.name,
             "got",
             rid=rid,
-            gw=line.gateway,
+            gw=connection.gateway,
             key=key,
             kind=query.get("kind", "safe"),
             window=float(query.get("window", 0)),
             units=float(query.get("units", 1)),
-            customer=asked.path.rpartition("/")[2],
+            customer=request.path.rpartition("/")[2],
             plan=query.get("plan", ""),
             cold=self.host.warmth() < 1,
         )
-        if self.hung:
+        if self.hanging:
             return
-        if len(self._lines) > self._most_connections:
-            self._end(asked, rid, "full")
+        if len(self._connections) > self._max_connections:
+            self._end(request, rid, "full")
             return
         if self.failing and self._stream.uniform() < self.failing:
-            self._end(asked, rid, "error")
+            self._end(request, rid, "error")
             return
         work = float(query["work"]) if "work" in query else self._work_ms * self._stream.uniform(0.5, 1.5)
-        job = Job(rid, work, partial(self._end, asked, rid))
-        line.jobs[asked] = job
-        if key and not self._keys.first(key, self._clock.now, float(query.get("window", 0))):
+        job = Job(rid, work, partial(self._end, request, rid))
+        connection.jobs[request] = job
+        if key and not self._keys.register(key, self._clock.now, float(query.get("window", 0))):
             self._note(self.name, "dropped", rid=rid, key=key)
         self.host.came(job)
         if self.host.fallen and not fell:
             self._note(self.name, "fell")
 
-    def _end(self, asked: Asked, rid: str, result: str) -> None:
-        line = asked.line
-        assert isinstance(line, HostLine)
-        line.jobs.pop(asked, None)
-        self._note(self.name, "end", rid=rid, result=result, gw=line.gateway)
+    def _end(self, request: ReceivedRequest, rid: str, result: str) -> None:
+        connection = request.connection
+        assert isinstance(connection, HostConnection)
+        connection.jobs.pop(request, None)
+        self._note(self.name, "end", rid=rid, result=result, gw=connection.gateway)
         if result == "ok":
-            more = b"Billed-Units: %b\r\n" % asked.query.get("true", "1").encode()
-            asked.reply(message(200, rid.encode(), more))
+            more = b"Billed-Units: %b\r\n" % request.query.get("true", "1").encode()
+            request.respond(response_bytes(200, rid.encode(), more))
         elif result == "error":
-            asked.reply(message(500))
+            request.respond(response_bytes(500))
         elif result != "reset":  # a process that dies resets its connections itself
-            asked.reply(message(503, b"", NOT_RUN))
+            request.respond(response_bytes(503, b"", NOT_RUN))
--- a/hillmux/lab/standins/http.py
+++ b/hillmux/lab/standins/http.py
@@ -7,12 +7,12 @@
 
 import httptools
 
-from hillmux.lab.links import Receiver, Wire
+from hillmux.lab.links import EmulatedConnection, Receiver
 
 REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 500: b"Error", 503: b"Unavailable"}
 
 
-def message(status: int, body: bytes = b"", more: bytes = b"") -> bytes:
+def response_bytes(status: int, body: bytes = b"", more: bytes = b"") -> bytes:
     """An answer as bytes; `more` are further header lines."""
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n\r\n%b" % (
         status,
@@ -23,31 +23,31 @@
     )
 
 
-class Asked:
+class ReceivedRequest:
     """One request that has come whole, and the place of its answer."""
 
-    __slots__ = ("method", "path", "query", "headers", "line", "answer")
+    __slots__ = ("method", "path", "query", "headers", "connection", "response")
 
-    def __init__(self, method: str, url: Any, headers: dict[str, str], line: Line) -> None:
-        self.method, self.headers, self.line = method, headers, line
+    def __init__(self, method: str, url: Any, headers: dict[str, str], connection: ServerConnection) -> None:
+        self.method, self.headers, self.connection = method, headers, connection
         self.path = (url.path or b"").decode()
         pairs = (p.partition("=") for p in (url.query or b"").decode().split("&") if p)
         self.query = {name: value for name, _, value in pairs}
-        self.answer: bytes | None = None
+        self.response: bytes | None = None
 
-    def reply(self, data: bytes) -> None:
+    def respond(self, data: bytes) -> None:
         """Answer; answers of a connection go out in the order of its requests."""
-        self.answer = data
-        self.line.write_ready()
+        self.response = data
+        self.connection.write_ready()
 
 
-class Line(Receiver):
+class ServerConnection(Receiver):
     """One connection of a gateway at a stand-in."""
 
-    def __init__(self, wire: Wire, owner: Owner) -> None:
-        self.wire, self.owner = wire, owner
+    def __init__(self, transport: EmulatedConnection, handler: RequestHandler) -> None:
+        self.transport, self.handler = transport, handler
         self.over = False
-        self.waiting: deque[Asked] = deque()
+        self.waiting: deque[ReceivedRequest] = deque()
         self._parser = httptools.HttpRequestParser(self)
         self._url = b""
         self._headers: dict[str, str] = {}
@@ -57,22 +57,22 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self.owner.garbled(self)
-            self.wire.reset()
+            self.handler.garbled(self)
+            self.transport.reset()
 
     def ended(self) -> None:
         """The other side has ended: tell the owner once, and reset the connection."""
         if not self.over:
             self.over = True
-            self.owner.gone(self)
-            if not self.wire.closing:
-                self.wire.reset()
+            self.handler.connection_closed(self)
+            if not self.transport.closing:
+                self.transport.reset()
 
     def write_ready(self) -> None:
         """Write what is answered, in order."""
-        while self.waiting and (data := self.waiting[0].answer) is not None:
+        while self.waiting and (data := self.waiting[0].response) is not None:
             self.waiting.popleft()
-            self.wire.write(data)
+            self.transport.write(data)
 
     def on_message_begin(self) -> None:
         """A request begins."""
@@ -88,20 +88,22 @@
 
     def on_message_complete(self) -> None:
         """Queue the whole request for its answer, and hand it to the owner."""
-        asked = Asked(self._parser.get_method().decode(), httptools.parse_url(self._url), self._headers, self)
-        self.waiting.append(asked)
-        self.owner.asked(asked)
+        request = ReceivedRequest(
+            self._parser.get_method().decode(), httptools.parse_url(self._url), self._headers, self
+        )
+        self.waiting.append(request)
+        self.handler.handle_request(request)
 
 
-class Owner:
+class RequestHandler:
     """A stand-in that takes requests."""
 
-    def asked(self, asked: Asked) -> None:
+    def handle_request(self, request: ReceivedRequest) -> None:
         """A request has come whole."""
         raise NotImplementedError
 
-    def gone(self, line: Line) -> None:
+    def connection_closed(self, connection: ServerConnection) -> None:
         """A connection is over."""
 
-    def garbled(self, line: Line) -> None:
+    def garbled(self, connection: ServerConnection) -> None:
         """A connection brought what is no request."""
--- a/hillmux/lab/standins/instant.py
+++ b/hillmux/lab/standins/instant.py
@@ -15,11 +15,11 @@
 import httptools
 import orjson
 
-from hillmux.lab.standins.http import message
+from hillmux.lab.standins.http import response_bytes
 
 LOOP = "127.0.0.1"
-GOOD = message(200, b'{"slots":[' + b"1" * 50 + b"]}", b"Content-Type: application/json\r\n")
-FULL = message(503, b"", b"X-Not-Run: 1\r\n")
+GOOD = response_bytes(200, b'{"slots":[' + b"1" * 50 + b"]}", b"Content-Type: application/json\r\n")
+FULL = response_bytes(503, b"", b"X-Not-Run: 1\r\n")
 MOST_NAMES = 400_000
 
 
@@ -89,12 +89,12 @@
 
 async def hosts(ports: int = 8, full_every: int = 0) -> dict[str, Any]:
     """Hosts that answer at once; one in `full_every` requests is turned away unrun, and so sent anew."""
-    asked = 0
+    request = 0
 
     def answer(url: bytes, connection: Answering) -> bytes:
-        nonlocal asked
-        asked += 1
-        return FULL if full_every and asked % full_every == 0 else GOOD
+        nonlocal request
+        request += 1
+        return FULL if full_every and request % full_every == 0 else GOOD
 
     return {"ports": await listen(answer, Traffic(), ports)}
 
@@ -111,15 +111,15 @@
         totals.move_to_end(name)
         if len(totals) > MOST_NAMES:
             totals.popitem(last=False)
-        return message(200, f"{total:g}".encode())
+        return response_bytes(200, f"{total:g}".encode())
 
     return {"ports": await listen(answer, traffic), "counts": traffic.counts}
 
 
 async def registry(instances: list[dict[str, Any]], watched: bool = False) -> dict[str, Any]:
     """The whole list at once; a watch is never answered, or when its wait is over if `watched`."""
-    whole = message(200, orjson.dumps({"generation": 1, "reset": True, "instances": instances}))
-    nothing = message(200, orjson.dumps({"generation": 1, "reset": False, "instances": []}))
+    whole = response_bytes(200, orjson.dumps({"generation": 1, "reset": True, "instances": instances}))
+    nothing = response_bytes(200, orjson.dumps({"generation": 1, "reset": False, "instances": []}))
     traffic = Traffic()
     loop = asyncio.get_running_loop()
 
--- a/hillmux/lab/world.py
+++ b/hillmux/lab/world.py
@@ -16,7 +16,7 @@
 import uvloop
 
 from hillmux.lab.clock import RealClock
-from hillmux.lab.links import Link
+from hillmux.lab.links import EmulatedLink
 from hillmux.lab.pipe import begun, tell
 from hillmux.lab.record import Recorder
 from hillmux.lab.scenario import (
@@ -30,52 +30,28 @@
     zone_of,
 )
 from hillmux.lab.standins.counter import CounterStandIn
-from hillmux.lab.standins.discovery import Agent
+from hillmux.lab.standins.discovery import DiscoveryStandIn
 from hillmux.lab.standins.exchange import Exchange
-from hillmux.lab.standins.host import BookingNode, Keys
+from hillmux.lab.standins.host import HostStandIn, IdempotencyKeys
 from hillmux.lab.streams import Stream, generator
 from hillmux.lab.virtual.counter import CounterModel
 from hillmux.lab.virtual.hosts import DRAINING, READY, HostModel
 
+MAX_QUEUED_AT_HOST = 60
 
-class World:
+
+class LabEnvironment:
     """Everything around the gateways, and the faults in it."""
 
     def __init__(self, scenario: Scenario, note: Recorder, loop: asyncio.AbstractEventLoop) -> None:
         fleet = scenario.fleet
         self.scenario, self.note, self.clock = scenario, note, RealClock(loop)
-        self.links = {
-            (f"g{i}", far): Link(f"g{i}", far)
-            for i in range(fleet.gateways)
-            for far in [*(f"h{j}" for j in range(fleet.hosts)), "counter", "discovery"]
-        }
         gateways = [f"g{i}" for i in range(fleet.gateways)]
+        stand_ins = [*(f"h{i}" for i in range(fleet.hosts)), "counter", "discovery"]
+        self.links = {(g, name): EmulatedLink(g, name) for g in gateways for name in stand_ins}
         speeds = generator(scenario.seed, "hosts").lognormal(0.0, fleet.speed_spread, size=fleet.hosts)
-        keys = Keys()
-        self.hosts = {}
-        for j in range(fleet.hosts):
-            name = f"h{j}"
-            model = HostModel(
-                fleet.cores,
-                float(speeds[j]),
-                60,
-                fleet.cold_from,
-                fleet.cold_ms,
-                fleet.fall_multiple,
-                fleet.fall_ms,
-            )
-            self.hosts[name] = BookingNode(
-                self.clock,
-                loop,
-                name,
-                zone_of(j, fleet.zones),
-                model,
-                keys,
-                [self.links[g, name] for g in gateways],
-                note,
-                Stream(scenario.seed, f"host.{j}"),
-                fleet.connections,
-            )
+        keys = IdempotencyKeys()
+        self.hosts = {f"h{i}": self._new_host(i, float(speeds[i]), keys, loop) for i in range(fleet.hosts)}
         self.counter = CounterStandIn(
             self.clock,
             loop,
@@ -89,27 +65,53 @@
         self.agents = {}
         for g in gateways:
             entries = [self._entry(host, g, "ready") for host in self.hosts.values()]
-            self.agents[g] = Agent(self.clock, loop, self.links[g, "discovery"], note, entries)
-            self.agents[g].door.open()
-        self._late = Stream(scenario.seed, "lists")
+            self.agents[g] = DiscoveryStandIn(self.clock, loop, self.links[g, "discovery"], note, entries)
+            self.agents[g].listener.open()
+        self._list_delays = Stream(scenario.seed, "lists")
         self.exchange = Exchange(self.clock, loop, gateways, note, scenario.seed) if fleet.peers else None
 
+    def _new_host(
+        self, number: int, speed: float, keys: IdempotencyKeys, loop: asyncio.AbstractEventLoop
+    ) -> HostStandIn:
+        fleet, name = self.scenario.fleet, f"h{number}"
+        model = HostModel(
+            fleet.cores,
+            speed,
+            MAX_QUEUED_AT_HOST,
+            fleet.cold_from,
+            fleet.cold_ms,
+            fleet.fall_multiple,
+            fleet.fall_ms,
+        )
+        return HostStandIn(
+            self.clock,
+            loop,
+            name,
+            zone_of(number, fleet.zones),
+            model,
+            keys,
+            [self.links[f"g{i}", name] for i in range(fleet.gateways)],
+            self.note,
+            Stream(self.scenario.seed, f"host.{number}"),
+            fleet.connections,
+        )
+
     def ports(self) -> dict[str, Any]:
         """What each gateway is told of: its discovery, its counter, its list."""
         return {
             name: {
-                "discovery": [door.port for door in agent.doors],
-                "counter": self.counter.doors[name].port,
+                "discovery": [door.port for door in agent.listeners],
+                "counter": self.counter.listeners[name].port,
                 "known": agent.listing(list(agent.entries.values()), True),
-                "peers": self.exchange.told(name) if self.exchange is not None else {},
+                "peers": self.exchange.addresses_of(name) if self.exchange is not None else {},
             }
             for name, agent in self.agents.items()
         }
 
-    def _entry(self, host: BookingNode, gateway: str, state: str, started: float = 0.0) -> dict[str, Any]:
+    def _entry(self, host: HostStandIn, gateway: str, state: str, started: float = 0.0) -> dict[str, Any]:
         return {
             "instanceId": host.name,
-            "hostPort": f"127.0.0.1:{host.doors[gateway].port}",
+            "hostPort": f"127.0.0.1:{host.listeners[gateway].port}",
             "zone": host.zone,
             "machineType": "m1",
             "cell": 0,
@@ -118,50 +120,51 @@
             "startedAtMs": round(started),
         }
 
-    def _tell(self, host: BookingNode, state: str, started: float = 0.0) -> None:
+    def _announce(self, host: HostStandIn, state: str, started: float = 0.0) -> None:
         for name, agent in self.agents.items():
             agent.send(
-                self._entry(host, name, state, started), self._late.uniform(*self.scenario.fleet.list_late_ms)
+                self._entry(host, name, state, started),
+                self._list_delays.uniform(*self.scenario.fleet.list_late_ms),
             )
 
-    def play(self, t0_ms: float) -> None:
+    def schedule_faults(self, t0_ms: float) -> None:
         """Let all that is to happen here happen, reckoned from a moment of the shared clock."""
         for strike in schedule(self.scenario):
             moved = strike.fault.what == "hup" and strike.fault.how == "moved"
             if moved or strike.fault.what not in GATEWAY_FAULTS:
-                self.clock.at(t0_ms + strike.at_ms, self.strike, strike)
+                self.clock.at(t0_ms + strike.at_ms, self.apply_fault, strike)
 
-    def strike(self, strike: Strike) -> None:
+    def apply_fault(self, strike: Strike) -> None:
         """One fault, now."""
         fault, what = strike.fault, strike.fault.what
         self.note("lab", "fault", what=what, target=strike.target, value=fault.value)
         if what in LINK_FAULTS or what in PEER_FAULTS:
             a, _, b = strike.target.partition(">")
             if (a, b) in self.links:
-                self._strike_link(self.links[a, b], what, fault.value)
+                self._apply_link_fault(self.links[a, b], what, fault.value)
             elif self.exchange is not None:
-                self.exchange.strike(a, b, what, fault.value)
+                self.exchange.apply_fault(a, b, what, fault.value)
         elif what in COUNTER_FAULTS:
-            self._strike_counter(what, fault.how, strike.target)
+            self._apply_counter_fault(what, fault.how, strike.target)
         elif what == "swap":
             names = strike.target.split(",")
             for a, b in zip(names[::2], names[1::2], strict=False):
-                self._swap(self.hosts[a], self.hosts[b])
+                self._swap_addresses(self.hosts[a], self.hosts[b])
         elif strike.target in self.hosts:
-            self._strike_host(self.hosts[strike.target], what, fault.value)
+            self._apply_host_fault(self.hosts[strike.target], what, fault.value)
         else:
             agent = self.agents[strike.target]
             if what == "forget":
                 agent.forget()
             elif what == "hup":
-                agent.move()
+                agent.change_address()
             elif what == "clock":
                 agent.ahead_ms = 1000 * fault.value
             else:
                 agent.silence(what == "silence")
 
     @staticmethod
-    def _strike_link(link: Link, what: str, value: float) -> None:
+    def _apply_link_fault(link: EmulatedLink, what: str, value: float) -> None:
         if what in ("cut", "cut_in", "cut_out"):
             link.cut(what != "cut_out", what != "cut_in")
         elif what == "heal":
@@ -174,59 +177,59 @@
         else:
             link.reset_after = int(value)
 
-    def _strike_counter(self, what: str, how: str, target: str) -> None:
+    def _apply_counter_fault(self, what: str, how: str, target: str) -> None:
         counter = self.counter
         if what == "counter_stop":
             counter.stop()
         elif what == "counter_keep":
-            counter.keep()
+            counter.save_totals()
         elif what == "counter_start":
             counter.start(how or "all")
         else:
             counter.split(set(target.split(",")) if what == "counter_split" else set())
 
-    def _swap(self, a: BookingNode, b: BookingNode) -> None:
+    def _swap_addresses(self, a: HostStandIn, b: HostStandIn) -> None:
         """Two hosts restart at each other's addresses. A link's faults stay with the address."""
         a.crash()
         b.crash()
-        a.doors, b.doors = b.doors, a.doors
+        a.listeners, b.listeners = b.listeners, a.listeners
         for host in (a, b):
-            for door in host.doors.values():
-                door.lead_to(host.came_up)
-            self._strike_host(host, "restart", 0.0)
+            for door in host.listeners.values():
+                door.set_receiver_factory(host.connection_opened)
+            self._apply_host_fault(host, "restart", 0.0)
 
-    def _strike_host(self, host: BookingNode, what: str, value: float) -> None:
+    def _apply_host_fault(self, host: HostStandIn, what: str, value: float) -> None:
         if what in ("crash", "remove"):
             host.crash()
             if what == "remove":
-                self._tell(host, "gone")
+                self._announce(host, "gone")
         elif what == "restart":
             host.host.state = READY
             host.restart()
-            self._tell(host, "ready", time.time() * 1000)
+            self._announce(host, "ready", time.time() * 1000)
         elif what == "drain":
             host.host.state = DRAINING
-            self._tell(host, "draining")
+            self._announce(host, "draining")
         elif what == "ready":
             host.host.state = READY
-            self._tell(host, "ready")
+            self._announce(host, "ready")
         elif what == "hang":
-            host.hung = True
+            host.hanging = True
         elif what == "slow":
             host.host.slow = value
         elif what == "failing":
             host.failing = value
         else:
-            host.hung, host.failing, host.host.slow = False, 0.0, 1.0
+            host.hanging, host.failing, host.host.slow = False, 0.0, 1.0
 
 
 async def _main() -> None:
     loop = asyncio.get_running_loop()
     reader, first, note = await begun("world")
-    world = World(Scenario.model_validate(first["scenario"]), note, loop)
+    world = LabEnvironment(Scenario.model_validate(first["scenario"]), note, loop)
     tell(ports=world.ports())
     while line := await reader.readline():
-        world.play(orjson.loads(line)["t0"])
+        world.schedule_faults(orjson.loads(line)["t0"])
     note.close()
 
 
--- a/tests/lab/test_exchange.py
+++ b/tests/lab/test_exchange.py
@@ -26,7 +26,7 @@
         loop = asyncio.get_running_loop()
         self.noted: list[tuple[str, str]] = []
         self.exchange = Exchange(RealClock(loop), loop, NAMES, self._note, seed=3)
-        self.told = {name: self.exchange.told(name) for name in NAMES}
+        self.told = {name: self.exchange.addresses_of(name) for name in NAMES}
         self.got: dict[str, list[bytes]] = {name: [] for name in NAMES}
         self.froms: set[tuple[str, int]] = set()
         self.socks = {}
@@ -58,7 +58,7 @@
                 # The receiver's own queue holds some hundreds: more at once would be lost there.
                 while self.told_of("datagram") <= number or len(self.got[to]) < self.told_of("passed"):
                     await asyncio.sleep(0.001)
-        while self.exchange.on_the_way or len(self.got[to]) < self.told_of("passed"):
+        while self.exchange.in_flight or len(self.got[to]) < self.told_of("passed"):
             await asyncio.sleep(0.005)
         return self.got[to]
 
@@ -103,13 +103,13 @@
 
 def test_a_cut_of_one_direction_loses_that_one_alone_until_it_heals() -> None:
     async def scenario(peers: Peers) -> None:
-        peers.exchange.strike("g0", "g1", "cut_in", 0.0)
+        peers.exchange.apply_fault("g0", "g1", "cut_in", 0.0)
         peers.send("g0", b"lost", "g1")
         peers.send("g0", b"other", "g2")
         peers.send("g1", b"back", "g0")
         while not (peers.got["g0"] and peers.got["g2"] and peers.told_of("unheard")):
             await asyncio.sleep(0.001)
-        peers.exchange.strike("g0", "g1", "heal", 0.0)
+        peers.exchange.apply_fault("g0", "g1", "heal", 0.0)
         peers.send("g0", b"now", "g1")
         while not peers.got["g1"]:
             await asyncio.sleep(0.001)
@@ -120,18 +120,18 @@
 
 def test_shares_of_what_is_sent_are_lost_doubled_and_overtaken() -> None:
     async def lossy(peers: Peers) -> None:
-        peers.exchange.strike("g0", "g1", "lose", 0.25)
+        peers.exchange.apply_fault("g0", "g1", "lose", 0.25)
         got = await peers.flights("g0", "g1")
         assert len(set(got)) == len(got) == SENT - peers.told_of("unheard")
         assert 0.15 * SENT < peers.told_of("unheard") < 0.35 * SENT
 
     async def twice(peers: Peers) -> None:
-        peers.exchange.strike("g0", "g1", "duplicate", 0.25)
+        peers.exchange.apply_fault("g0", "g1", "duplicate", 0.25)
         times = Counter(Counter(await peers.flights("g0", "g1")).values())
         assert set(times) == {1, 2} and 0.15 * SENT < times[2] < 0.35 * SENT
 
     async def overtaken(peers: Peers) -> None:
-        peers.exchange.strike("g0", "g1", "reorder", 0.25)
+        peers.exchange.apply_fault("g0", "g1", "reorder", 0.25)
         got = [int(data) for data in await peers.flights("g0", "g1")]
         assert sorted(got) == list(range(SENT)) and got != sorted(got)
 
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -10,13 +10,13 @@
 import pytest
 from conftest import on_loop
 
-from hillmux.lab.links import LINGER_RESET, Door, Link, Receiver, Wire
+from hillmux.lab.links import LINGER_RESET, EmulatedConnection, EmulatedLink, GatedListener, Receiver
 
 
 class Echo(Receiver):
     """Gives back what comes."""
 
-    def __init__(self, wire: Wire) -> None:
+    def __init__(self, wire: EmulatedConnection) -> None:
         self.wire, self.over = wire, False
         self.seen = b""
 
@@ -32,12 +32,12 @@
     """A link with a door behind it."""
 
     def __init__(self) -> None:
-        self.link = Link("g0", "h0")
+        self.link = EmulatedLink("g0", "h0")
         self.echoes: list[Echo] = []
-        self.door = Door(self.link, self._made, asyncio.get_running_loop())
+        self.door = GatedListener(self.link, self._made, asyncio.get_running_loop())
         self.door.open()
 
-    def _made(self, wire: Wire) -> Echo:
+    def _made(self, wire: EmulatedConnection) -> Echo:
         self.echoes.append(Echo(wire))
         return self.echoes[-1]
 
@@ -52,7 +52,7 @@
             await scenario(way)
         finally:
             way.door.close()
-            for wire in list(way.link.wires):
+            for wire in list(way.link.connections):
                 wire.reset()
 
     on_loop(whole)
@@ -145,7 +145,7 @@
         way.link.delay_ms = 60
         reader, writer = await way.connect()
         writer.write(b"a")
-        while not way.link.wires:
+        while not way.link.connections:
             await asyncio.sleep(0.001)
         await asyncio.sleep(0.02)
         way.link.delay_ms = 0
@@ -166,7 +166,7 @@
         (echo,) = way.echoes
         way.link.delay_ms = 1000  # a stall of this test must not outlast it
         writer.write(b"half")
-        while not echo.wire.holds():
+        while not echo.wire.has_inbound():
             await asyncio.sleep(0.001)
         if cut:
             way.link.cut(True, True)
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -100,9 +100,9 @@
             other.bind(("127.0.0.1", gateway.port))
             other.listen()
             with pytest.raises(NotReadyError, match="g0 did not start: .*in use"):
-                await gateway.ask_start()
+                await gateway.request_start()
         assert not gateway.alive()
-        again = asyncio.create_task(gateway.ask_start())  # type: ignore[arg-type]
+        again = asyncio.create_task(gateway.request_start())  # type: ignore[arg-type]
         while not any("listening on" in line for line in gateway.lines):  # free: it starts at the same port
             await asyncio.sleep(0.01)
         await gateway.end()
