--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -20,7 +20,7 @@
     "tests/simulator/test_adapter.py",
     "tests/test_net.py",
     "tests/test_flows.py",
-    "tests/test_discovery.py",
+    "tests/net/test_discovery_watch.py",
     "tests/admin/test_operators_port.py",
     "tests/hot_restart/test_processes.py",
 )
