--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -17,13 +17,13 @@
 from hillmux.hot_restart.state_codec import StateError, export, restore
 from hillmux.interface import ListKind
 from hillmux.net.attempt import Attempt
-from hillmux.net.clients import Listener
 from hillmux.net.config import GatewayConfig
 from hillmux.net.discovery_response import DiscoveryResponse
 from hillmux.net.forward_request import OpenRequest
 from hillmux.net.http1 import Response
+from hillmux.net.listener import Listener
 from hillmux.net.platform_gateway import PlatformGateway
-from hillmux.net.streaming import StreamingUpstreamConnection, StreamingUpstreamPool
+from hillmux.net.streaming_upstream import StreamingUpstreamConnection, StreamingUpstreamPool
 
 log = logging.getLogger(__name__)
 
--- a/hillmux/net/platform_gateway.py
+++ b/hillmux/net/platform_gateway.py
@@ -10,7 +10,6 @@
 from hillmux import interface as api
 from hillmux.interface import ListKind
 from hillmux.net.attempt import Attempt
-from hillmux.net.clients import Listener
 from hillmux.net.config import GatewayConfig
 from hillmux.net.counter_client import HttpCounterClient
 from hillmux.net.discovery_response import DiscoveryResponse
@@ -23,13 +22,10 @@
     GatewayCore,
 )
 from hillmux.net.http1 import Response
+from hillmux.net.listener import Listener
 from hillmux.net.loop_lag import LoopLagMonitor
-from hillmux.net.streaming import (
-    STREAMED_REQUEST_TIMEOUT_S,
-    StreamingClientConnection,
-    StreamingUpstreamConnection,
-    StreamingUpstreamPool,
-)
+from hillmux.net.streaming_client import STREAMED_REQUEST_TIMEOUT_S, StreamingClientConnection
+from hillmux.net.streaming_upstream import StreamingUpstreamConnection, StreamingUpstreamPool
 
 UPSTREAM_SOCKET_SHARE: Final = 0.36  # of the process's sockets
 # How long a start waits for discovery before it serves with the list it was given. Discovery answers at once,
