--- a/hillmux/decision/new_requests.py
+++ b/hillmux/decision/new_requests.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from hillmux import interface as api
-from hillmux.balancing.fleet import Fleet
+from hillmux.balancing.load_balancer import LoadBalancer
 from hillmux.decision.admission import AdmissionControl
 from hillmux.decision.attempts import AttemptManager
 from hillmux.decision.context import HOUSEKEEPING_INTERVAL_MS, DecisionContext, LogSubject
@@ -15,7 +15,7 @@
 from hillmux.decision.timeouts import DeadlineSamples
 from hillmux.interface import AttemptResult, RejectReason
 from hillmux.quotas.quotas import Quotas
-from hillmux.quotas.state import QuotaState
+from hillmux.quotas.state import QuotaState, WaitingRequest
 from hillmux.quotas.throttle import SILENT_RATE
 
 WAIT_MARGIN_MS: Final = 2 * HOUSEKEEPING_INTERVAL_MS  # time that is left when a wait for the counter ends
@@ -40,7 +40,7 @@
     def __init__(
         self,
         context: DecisionContext,
-        fleet: Fleet,
+        fleet: LoadBalancer,
         quotas: Quotas,
         admission: AdmissionControl,
         latency: LatencyEstimates,
@@ -85,7 +85,7 @@
             return
         # A request with little time left would wait past its end, so it is decided at once.
         longest_wait_ms = context.settings.counter_timeout_ms + WAIT_MARGIN_MS
-        if due_at - context.now > longest_wait_ms and self._quotas.unsure(quota, request.units):
+        if due_at - context.now > longest_wait_ms and self._quotas.should_ask_counter(quota, request.units):
             self._wait_for_counter(request, request_class, quota, due_at, deadline_at)
         else:
             self._decide(request, request_class, quota, due_at, deadline_at, False)
@@ -122,12 +122,12 @@
         self.waiting_quotas[quota] = None
         if quota.waiting is None:
             quota.waiting = []
-        quota.waiting.append((request, request_class, due_at, deadline_at))
-        self._quotas.sync(quota, request.units)
+        quota.waiting.append(WaitingRequest(request, request_class, due_at, deadline_at))
+        self._quotas.report_use(quota, request.units)
 
     def counter_replied(self, reply: api.CounterReply) -> None:
         """Take over the counter's total, and decide on the requests that waited for it."""
-        quota = self._quotas.replied(reply)
+        quota = self._quotas.handle_reply(reply)
         if self._quotas.throttle.answer_rate < SILENT_RATE:
             self._context.log_rate_limited(
                 LogSubject.COUNTER, "counter silent or crowded: calling less, quotas go by our estimates"
@@ -135,14 +135,14 @@
         if quota is not None:
             self.settle(quota)
             if reply.result == AttemptResult.OK:
-                self._quotas.sync(quota)
+                self._quotas.report_use(quota)
 
     def settle(self, quota: QuotaState) -> None:
         """Decide on the requests that wait for a total of this quota."""
         waiting, quota.waiting = quota.waiting or [], None
         self.waiting_quotas.pop(quota, None)
         if waiting:
-            self._quotas.record_grant(quota, waiting[0][0].units)
+            self._quotas.record_grant(quota, waiting[0].request.units)
         for request, request_class, due_at, deadline_at in waiting:
             if self.waiting.pop(request.id, None) is not None:
                 self._decide(request, request_class, quota, due_at, deadline_at, True)
@@ -162,9 +162,7 @@
     def waiting_classes(self) -> set[str]:
         """Names of the classes of all requests that wait for the counter."""
         return {
-            request_class.name
-            for quota in self.waiting_quotas
-            for _, request_class, _, _ in quota.waiting or ()
+            waiting.request_class.name for quota in self.waiting_quotas for waiting in quota.waiting or ()
         }
 
     def change(self, classes: tuple[api.RequestClass, ...]) -> None:
@@ -182,7 +180,7 @@
         admitted: bool,
     ) -> None:
         """Accept or reject a request at once; `admitted` where admission control has admitted it already."""
-        beyond_quota = not self._quotas.has(quota, request.units)
+        beyond_quota = not self._quotas.has_units(quota, request.units)
         if beyond_quota:
             plan = quota.plan
             worthwhile = plan.over_quota_weight > plan.over_quota_cost
@@ -192,7 +190,7 @@
         if not admitted:
             reason = RejectReason.QUOTA if beyond_quota else RejectReason.OVERLOAD
             self._reject(request, quota, reason, beyond_quota)
-        elif not self._quotas.ceiling_has(quota, request.units):
+        elif not self._quotas.ceiling_has_units(quota, request.units):
             self._reject(request, quota, RejectReason.CEILING, beyond_quota)
         elif due_at <= self._context.now:
             self._reject(request, quota, RejectReason.DEADLINE, beyond_quota)
@@ -223,7 +221,7 @@
         quota.open_requests += 1
         if not pending.beyond_quota:
             self._quotas.spend(quota, request.units)
-        self._quotas.sync(quota)
+        self._quotas.report_use(quota)
         self._attempts.start(pending, host)
 
     def _reject(
--- a/hillmux/net/client_connection.py
+++ b/hillmux/net/client_connection.py
@@ -339,7 +339,7 @@
             or transport.get_write_buffer_size()
         ):
             return False
-        successor.take(os.dup(transport.get_extra_info("socket").fileno()))
+        successor.pass_connection(os.dup(transport.get_extra_info("socket").fileno()))
         self._closing = True
         transport.abort()  # closes this process's descriptor only; the client notices nothing
         return True
--- a/hillmux/net/listener.py
+++ b/hillmux/net/listener.py
@@ -52,10 +52,10 @@
 class SuccessorProcess(Protocol):
     """The process that takes over our clients."""
 
-    def take(self, descriptor: int) -> None:
+    def pass_connection(self, descriptor: int) -> None:
         """Pass a connection on; the descriptor belongs to the successor from now on."""
 
-    def took(self) -> bool:
+    def all_passed(self) -> bool:
         """Whether all connections that were passed on have left this process."""
 
 
@@ -183,7 +183,7 @@
             now = self.loop.time()
             for connection in list(self.connections):
                 connection.drain(now)
-        all_sent = self.successor is None or self.successor.took()
+        all_sent = self.successor is None or self.successor.all_passed()
         return not self.connections and not self._setup_tasks and all_sent
 
     # From connections
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -9,10 +9,11 @@
 from typing import Any, ClassVar, Final, cast
 
 from hillmux import interface as api
-from hillmux.admin.host_overrides import HandError, HandFile, Listed, refused
-from hillmux.admin.metrics import Figures
+from hillmux.admin.host_overrides import KnownHosts, OverrideFile, OverrideFileError, rejection_reason
+from hillmux.admin.metrics import Metrics
 from hillmux.admin.server import OperatorServer
-from hillmux.hot_restart.service import HandOver, Heir, TakeOver
+from hillmux.hot_restart.client import HotRestartClient
+from hillmux.hot_restart.server import HandOver, HotRestartServer, SuccessorProcess
 from hillmux.hot_restart.state_codec import StateError, export, restore
 from hillmux.interface import ListKind
 from hillmux.net.attempt import Attempt
@@ -70,15 +71,15 @@
     def __init__(self, config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config, loop)
         cast(CountedPool, self.streaming_pool).gateway = self
-        self.metrics = Figures()
-        self.known_hosts = Listed()
-        self._override_file = HandFile(config.state_directory)
+        self.metrics = Metrics()
+        self.known_hosts = KnownHosts()
+        self._override_file = OverrideFile(config.state_directory)
         self._disabled: set[str] = set()
         self._operator_server = OperatorServer(self, loop)
         self._state_directory = config.state_directory
         self._server: Listener[Any] | None = None  # once clients are accepted
-        self._hot_restart_server = HandOver(self, loop)
-        self._hot_restart_client: TakeOver | None = None
+        self._hot_restart_server = HotRestartServer(self, loop)
+        self._hot_restart_client: HotRestartClient | None = None
 
     def start(self) -> None:
         """Also begin to poll the file of disabled hosts."""
@@ -106,11 +107,11 @@
     def reload(self, config: GatewayConfig) -> None:
         """Also count the reload."""
         super().reload(config)
-        self.metrics.loads += 1
+        self.metrics.config_reloads += 1
 
     def reload_rejected(self) -> None:
         """Count a new configuration that was rejected."""
-        self.metrics.load_errors += 1
+        self.metrics.config_reload_errors += 1
 
     def ready(self) -> bool:
         """Whether requests can be served: False until clients are accepted."""
@@ -129,7 +130,7 @@
     async def open(self, server: Listener[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
         """Take over from the process that serves here already, if there is one; else listen."""
         if self._state_directory is not None:
-            self._hot_restart_client = TakeOver.find(
+            self._hot_restart_client = HotRestartClient.connect(
                 self._state_directory, self.loop, server.adopt_connection
             )
         listening = await self._inherit(server) if self._hot_restart_client is not None else None
@@ -140,7 +141,7 @@
             # In place of the process that served here: the next one connects to this one.
             self._hot_restart_server.start(self._state_directory)
         if self._hot_restart_client is not None:
-            self._hot_restart_client.serving()
+            self._hot_restart_client.announce_serving()
         return listening
 
     async def _inherit(self, server: Listener[Any]) -> list[tuple[str, int]] | None:
@@ -150,7 +151,7 @@
         while not self.could_serve() and self.loop.time() < end:
             await asyncio.sleep(READY_POLL_INTERVAL_S)
         try:
-            descriptor, documents = await self._hot_restart_client.ask()
+            descriptor, documents = await self._hot_restart_client.request_state()
         except OSError as error:
             log.warning("hot restart: no answer (%s); serving beside the old process, if it runs", error)
             self._hot_restart_client = None
@@ -163,8 +164,8 @@
         log.info("hot restart: took over from the process that served here")
         return server.inherit_socket(descriptor)
 
-    def give(self) -> tuple[int, Iterable[dict[str, Any]]]:
-        """Stop accepting and deciding; a descriptor of the listening socket, and the state."""
+    def hand_over(self) -> HandOver:
+        """Stop accepting and deciding; returns the listening socket and the state."""
         assert self._server is not None
         self.post(api.TakenOver(True))
         names = self.known_hosts.all()
@@ -172,44 +173,44 @@
             {"t": KNOWN_HOSTS_DOCUMENT, "names": names[start : start + MAX_NAMES_PER_DOCUMENT]}
             for start in range(0, len(names), MAX_NAMES_PER_DOCUMENT)
         ]
-        return self._server.lend_socket(), chain(export(self.decision_module), known_hosts)
+        return HandOver(self._server.lend_socket(), chain(export(self.decision_module), known_hosts))
 
-    def keep(self) -> None:
-        """Resume: the successor ended before it served."""
+    def resume(self) -> None:
+        """Serve again: the successor ended before it served."""
         assert self._server is not None
         self.post(api.TakenOver(False))
         self._server.take_back_socket()
 
-    def gone(self, heir: Heir) -> None:
-        """The successor serves."""
+    def on_successor_serving(self, successor: SuccessorProcess) -> None:
+        """The successor accepts connections: pass the clients' connections on to it."""
         assert self._server is not None
-        self._server.hand_over_to(heir)
+        self._server.hand_over_to(successor)
 
-    def alone(self) -> None:
+    def on_successor_lost(self) -> None:
         """The successor that served has ended; connections cannot be passed on to it any more."""
         assert self._server is not None
         self._server.successor = None
 
     # Operators' calls
 
-    def figures(self) -> dict[str, object]:
+    def metrics_by_name(self) -> dict[str, object]:
         """All metrics, as JSON holds them."""
         open_now = sum(request.client is not None for request in self.requests.values())
         fleet = self.decision_module.fleet
-        return self.metrics.shown(
-            [c.name for c in self.settings.classes], open_now, len(fleet.hosts), fleet.skipped()
+        return self.metrics.to_dict(
+            [c.name for c in self.settings.classes], open_now, len(fleet.hosts), fleet.skipped_count()
         )
 
-    def hand(self, host: str, out: bool) -> str:
+    def override_host(self, host: str, disabled: bool) -> str:
         """Disable a host, or enable it again; "" once that is in force, else why not."""
-        error_text = refused(host, out, self.known_hosts, self._disabled)
+        error_text = rejection_reason(host, disabled, self.known_hosts, self._disabled)
         if error_text:
             return error_text
         try:
-            self._override_file.change(host, out)
-        except HandError as error:
+            self._override_file.set_disabled(host, disabled)
+        except OverrideFileError as error:
             return str(error)
-        self._disable_hosts(self._override_file.out)
+        self._disable_hosts(self._override_file.disabled)
         return ""
 
     def _poll_override_file(self) -> None:
@@ -241,14 +242,14 @@
     ) -> None:
         """Also count the response."""
         if request is not None and request.client is not None:
-            self.metrics.answered(request.forward_request.class_name, status)
+            self.metrics.count_answer(request.forward_request.class_name, status)
         super().answer(request, status, response, retry_after_ms)
 
     def attempt_sent(self, attempt: Attempt) -> None:
         """Count an attempt that has been sent completely."""
         request = self.requests.get(attempt.request_id)
         if request is not None:
-            self.metrics.tried(request.forward_request.class_name)
+            self.metrics.count_attempt(request.forward_request.class_name)
 
 
 def _names_in(documents: Iterable[dict[str, Any]]) -> Iterator[str]:
--- a/tests/compatibility/record_previous_version.py
+++ b/tests/compatibility/record_previous_version.py
@@ -86,7 +86,7 @@
     stream._open_line = noted_open_line  # type: ignore[method-assign]
     stream.play()
     gateway = old.host.gateways[INSTANCE]
-    gateway.quotas.registry.ceilings_from.put(inputs.SKETCH_KEY, inputs.SKETCH_TIME_MS)
+    gateway.quotas.registry.forgotten_ceilings.put(inputs.SKETCH_KEY, inputs.SKETCH_TIME_MS)
     documents = json.loads(json.dumps(list(export(gateway))))
     write(f"hot-restart-{seed}.json", documents)
 
--- a/tests/recovery/test_snapshot.py
+++ b/tests/recovery/test_snapshot_format.py
@@ -9,34 +9,34 @@
 import pytest
 
 from hillmux.recovery.snapshot_format import (
-    AHEAD_MS,
-    Builder,
-    Head,
+    MAX_CLOCK_SKEW_MS,
     Identity,
     Snapshot,
+    SnapshotBuilder,
     SnapshotError,
-    check,
+    SnapshotHeader,
+    check_usable,
     decode,
 )
 
 ME = Identity("g1", "batumi", "p1", "m.1.2")
-HEAD = Head(ME, "ab12", 3, 1e12, True)
+HEAD = SnapshotHeader(ME, "ab12", 3, 1e12, True)
 DOCUMENTS = [{"t": "module", "x": [1.5, None, "é"]}, {"t": "hosts", "hosts": {"h\n1": [0.1, True]}}]
 
 
-def data(head: Head = HEAD) -> bytes:
-    builder = Builder()
+def data(head: SnapshotHeader = HEAD) -> bytes:
+    builder = SnapshotBuilder()
     for document in DOCUMENTS:
         builder.add(document)
-    return builder.data(head)
+    return builder.encode(head)
 
 
-def test_what_was_written_is_read() -> None:
+def test_snapshot_round_trip() -> None:
     assert decode(data()) == Snapshot(HEAD, DOCUMENTS)
-    check(HEAD, ME, HEAD.taken_ms)
+    check_usable(HEAD, ME, HEAD.taken_ms)
 
 
-def test_a_file_that_is_cut_anywhere_is_believed_in_nothing() -> None:
+def test_truncated_file_is_rejected() -> None:
     whole = data()
     for length in range(len(whole)):
         with pytest.raises(SnapshotError):
@@ -45,7 +45,7 @@
         decode(whole + b"{}\n")
 
 
-def test_a_file_with_any_bit_flipped_is_believed_in_nothing() -> None:
+def test_file_with_any_flipped_bit_is_rejected() -> None:
     whole = data()
     for at in range(8 * len(whole)):
         torn = bytearray(whole)
@@ -54,18 +54,18 @@
             decode(bytes(torn))
 
 
-def test_two_writes_mixed_are_believed_in_nothing() -> None:
+def test_mixture_of_two_snapshots_is_rejected() -> None:
     one, two = data(), data(dataclasses.replace(HEAD, serial=4))
     with pytest.raises(SnapshotError):
         decode(one[: len(one) // 2] + two[len(two) // 2 :] + b"x")
     head, _, _ = one.partition(b"\n")
-    other = Builder()
+    other = SnapshotBuilder()
     other.add({"t": "module", "x": [1.5, None, "e"]})
     with pytest.raises(SnapshotError):
-        decode(head + b"\n" + other.data(HEAD).partition(b"\n")[2])
+        decode(head + b"\n" + other.encode(HEAD).partition(b"\n")[2])
 
 
-def test_what_is_no_snapshot_at_all_ends_in_an_error() -> None:
+def test_bytes_that_are_no_snapshot_are_rejected() -> None:
     draw = random.Random(7)
     for _ in range(500):
         with pytest.raises(SnapshotError):
@@ -80,40 +80,40 @@
     [({"name": "g2"}, "name"), ({"fleet": "poti"}, "fleet"), ({"plans": "p2"}, "plans"),
      ({"folder": "m.1.3"}, "folder")],
 )  # fmt: skip
-def test_a_snapshot_of_another_is_told_by_the_field_that_differs(changes: dict[str, str], named: str) -> None:
+def test_error_names_the_field_in_which_the_owner_differs(changes: dict[str, str], named: str) -> None:
     with pytest.raises(SnapshotError, match=f"^{named}: found .*, expected"):
-        check(HEAD, dataclasses.replace(ME, **changes), HEAD.taken_ms)
+        check_usable(HEAD, dataclasses.replace(ME, **changes), HEAD.taken_ms)
 
 
-def test_a_snapshot_from_the_future_is_left() -> None:
-    check(HEAD, ME, HEAD.taken_ms - AHEAD_MS)
+def test_snapshot_from_the_future_is_rejected() -> None:
+    check_usable(HEAD, ME, HEAD.taken_ms - MAX_CLOCK_SKEW_MS)
     with pytest.raises(SnapshotError, match="taken_ms"):
-        check(HEAD, ME, HEAD.taken_ms - AHEAD_MS - 1)
+        check_usable(HEAD, ME, HEAD.taken_ms - MAX_CLOCK_SKEW_MS - 1)
 
 
-def test_what_would_go_beyond_the_bound_is_left_out_and_the_rest_stands() -> None:
-    builder = Builder(most=200)
+def test_documents_beyond_the_size_limit_are_omitted() -> None:
+    builder = SnapshotBuilder(max_bytes=200)
     for number in range(100):
         builder.add({"t": "customers", "n": number})
-    found = decode(builder.data(HEAD)).documents
-    assert builder.left_out == 100 - len(found) and found[0] == {"t": "customers", "n": 0}
-    assert len(builder.data(HEAD).partition(b"\n")[2]) <= 200
+    found = decode(builder.encode(HEAD)).documents
+    assert builder.omitted_documents == 100 - len(found) and found[0] == {"t": "customers", "n": 0}
+    assert len(builder.encode(HEAD).partition(b"\n")[2]) <= 200
 
 
-def test_a_copied_folder_is_another_folder(tmp_path: Path) -> None:
+def test_copied_directory_has_another_identity(tmp_path: Path) -> None:
     import shutil
 
-    from hillmux.recovery.snapshot_store import Folder
+    from hillmux.recovery.snapshot_store import StateDirectory
 
-    first = Folder(tmp_path / "a")
+    first = StateDirectory(tmp_path / "a")
     assert first.lock()
     mine = first.id()
     assert first.id() == mine  # and stays the same
     shutil.copytree(tmp_path / "a", tmp_path / "b")
-    assert Folder(tmp_path / "b").id() != mine
+    assert StateDirectory(tmp_path / "b").id() != mine
 
 
-def test_an_operator_is_shown_what_a_snapshot_says_and_told_what_is_wrong_with_one(tmp_path: Path) -> None:
+def test_snapshot_commands_describe_a_snapshot_and_report_faults(tmp_path: Path) -> None:
     from click.testing import CliRunner
 
     from hillmux.cli import main
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -15,7 +15,8 @@
 ROOT = Path(__file__).parents[1]
 TESTS = (  # the decisions, the adapter, and the real program between scripted peers
     "tests/decision",
-    "tests/test_fleet.py",
+    "tests/balancing/test_random_histories.py",
+    "tests/balancing/test_selection.py",
     "tests/simulator/test_adapter.py",
     "tests/net/test_discovery_and_counter.py",
     "tests/net/test_failed_attempts.py",
@@ -26,8 +27,8 @@
     "tests/net/test_rejected_requests.py",
     "tests/net/test_streaming.py",
     "tests/net/test_discovery_watch.py",
-    "tests/operate/test_operated.py",
-    "tests/handover/test_upgrade.py",
+    "tests/admin/test_operators_port.py",
+    "tests/hot_restart/test_processes.py",
 )
 
 
