--- a/hillmux/lab/links.py
+++ b/hillmux/lab/links.py
@@ -51,8 +51,8 @@
         """Cut one way or both, or heal: what lost bytes is reset then."""
         healed = (self.cut_in and not inward) or (self.cut_out and not outward)
         self.cut_in, self.cut_out = inward, outward
-        for door in self.listeners:
-            door.set_blocked(inward or outward)
+        for listener in self.listeners:
+            listener.set_blocked(inward or outward)
         if healed and not inward and not outward:
             for wire in [w for w in self.connections if w.bytes_lost]:
                 wire.path_restored()
--- a/hillmux/lab/standins/counter.py
+++ b/hillmux/lab/standins/counter.py
@@ -16,7 +16,7 @@
 
 
 class CounterStandIn(RequestHandler):
-    """One counter, or two copies of it, with a door for each gateway."""
+    """One counter, or two copies of it, with a listener for each gateway."""
 
     def __init__(
         self,
@@ -44,9 +44,9 @@
         self._connections.discard(connection)
 
     def open(self) -> None:
-        """Listen at every door."""
-        for door in self.listeners.values():
-            door.open()
+        """Open every listener."""
+        for listener in self.listeners.values():
+            listener.open()
 
     def save_totals(self) -> None:
         """Remember what it knows now, for a copy that will be old."""
@@ -55,8 +55,8 @@
     def stop(self) -> None:
         """Its process dies."""
         self.service.stop()
-        for door in self.listeners.values():
-            door.close()
+        for listener in self.listeners.values():
+            listener.close()
         for connection in list(self._connections):
             connection.transport.reset()
 
--- a/hillmux/lab/standins/discovery.py
+++ b/hillmux/lab/standins/discovery.py
@@ -67,7 +67,9 @@
 
     def _close_old_address(self, old: GatedListener) -> None:
         old.close()
-        for connection in [connection for connection, door in self._connections.items() if door is old]:
+        for connection in [
+            connection for connection, listener in self._connections.items() if listener is old
+        ]:
             connection.transport.reset()
 
     def listing(self, entries: list[Entry], whole: bool) -> Entry:
--- a/hillmux/lab/standins/exchange.py
+++ b/hillmux/lab/standins/exchange.py
@@ -2,7 +2,7 @@
 
 An address for each gateway and one for all. What a gateway sends from its `peer_listen` to another's address
 goes on to the other's `peer_listen` from the sender's own address, as the platform's protocol has it. Each
-ordered pair of gateways is a way with faults of its own.
+ordered pair of gateways is a link with faults of its own.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 MAX_DATAGRAM_BYTES = 256  # bytes; a longer one voids a run on the platform
 REORDER_DELAY_MS = 50.0  # how much later one comes that others overtake
 MAX_READS_AT_ONCE = 64  # datagrams read in one go, so that a flood doesn't keep the loop
-MAX_IN_FLIGHT = 100_000  # datagrams on their way in all; beyond that they are lost, as in a full queue
+MAX_IN_FLIGHT = 100_000  # datagrams in flight in all; beyond that they are lost, as in a full queue
 RECEIVE_BYTES = 1 << 20
 Address = tuple[str, int]
 
@@ -88,31 +88,31 @@
         }
 
     def link(self, sender: str, receiver: str) -> PeerLink:
-        """The way from one gateway to another."""
-        way = self._links.get((sender, receiver))
-        if way is None:
-            way = PeerLink(Stream(self._seed, f"way.{sender}.{receiver}"))
-            self._links[sender, receiver] = way
-        return way
+        """The link from one gateway to another."""
+        link = self._links.get((sender, receiver))
+        if link is None:
+            link = PeerLink(Stream(self._seed, f"way.{sender}.{receiver}"))
+            self._links[sender, receiver] = link
+        return link
 
     def apply_fault(self, a: str, b: str, what: str, value: float) -> None:
         """A fault between two; `cut_in` of what `a` sends to `b`, `cut_out` of what comes back."""
-        ways = [self.link(a, b)] if what != "cut_out" else []
-        ways += [self.link(b, a)] if what != "cut_in" else []
-        for way in ways:
+        links = [self.link(a, b)] if what != "cut_out" else []
+        links += [self.link(b, a)] if what != "cut_in" else []
+        for link in links:
             match what:
                 case "cut" | "cut_in" | "cut_out":
-                    way.cut = True
+                    link.cut = True
                 case "heal":
-                    way.heal()
+                    link.heal()
                 case "delay":
-                    way.delay_ms = value
+                    link.delay_ms = value
                 case "lose":
-                    way.lose = value
+                    link.lose = value
                 case "duplicate":
-                    way.duplicate = value
+                    link.duplicate = value
                 case _:
-                    way.reorder = value
+                    link.reorder = value
 
     def _readable(self, sock: socket.socket, to: list[str]) -> None:
         for _ in range(MAX_READS_AT_ONCE):
--- a/hillmux/lab/standins/host.py
+++ b/hillmux/lab/standins/host.py
@@ -49,7 +49,7 @@
 
 
 class HostStandIn(RequestHandler):
-    """One host: a door for each gateway, one model behind all of them."""
+    """One host: a listener for each gateway, one model behind all of them."""
 
     def __init__(
         self,
@@ -90,21 +90,21 @@
             job.over = True  # nobody waits for it; what runs goes on running
 
     def open(self) -> None:
-        """Listen at every door."""
-        for door in self.listeners.values():
-            door.open()
+        """Open every listener."""
+        for listener in self.listeners.values():
+            listener.open()
 
     @property
     def port(self) -> int:
         """Where it listens, of a node that one gateway alone talks to."""
-        (door,) = self.listeners.values()
-        return door.port
+        (listener,) = self.listeners.values()
+        return listener.port
 
     def crash(self) -> None:
         """The process dies: what is open is reset, new connections are refused."""
         self.host.stop()
-        for door in self.listeners.values():
-            door.close()
+        for listener in self.listeners.values():
+            listener.close()
         for connection in list(self._connections):
             connection.transport.reset()
         self._note(self.name, "died")
--- a/hillmux/lab/world.py
+++ b/hillmux/lab/world.py
@@ -100,7 +100,7 @@
         """What each gateway is told of: its discovery, its counter, its list."""
         return {
             name: {
-                "discovery": [door.port for door in agent.listeners],
+                "discovery": [listener.port for listener in agent.listeners],
                 "counter": self.counter.listeners[name].port,
                 "known": agent.listing(list(agent.entries.values()), True),
                 "peers": self.exchange.addresses_of(name) if self.exchange is not None else {},
@@ -194,8 +194,8 @@
         b.crash()
         a.listeners, b.listeners = b.listeners, a.listeners
         for host in (a, b):
-            for door in host.listeners.values():
-                door.set_receiver_factory(host.connection_opened)
+            for listener in host.listeners.values():
+                listener.set_receiver_factory(host.connection_opened)
             self._apply_host_fault(host, "restart", 0.0)
 
     def _apply_host_fault(self, host: HostStandIn, what: str, value: float) -> None:
