--- a/hillmux/__main__.py
+++ b/hillmux/__main__.py
@@ -14,9 +14,10 @@
 
 from hillmux.decision import gateway as decision_module
 from hillmux.net.config import ConfigError, GatewayConfig, load
+from hillmux.net.log_setup import set_up_log
 from hillmux.net.platform_gateway import PlatformGateway
-from hillmux.net.shutdown import Shutdown, set_up_log
-from hillmux.net.streaming import StreamingListener
+from hillmux.net.shutdown import Shutdown
+from hillmux.net.streaming_client import StreamingListener
 
 # Requests leave next to no reference cycles, so the collector runs seldom.
 GC_ALLOCATIONS: Final = 20_000
@@ -26,9 +27,9 @@
 def _new_gateway(config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> PlatformGateway:
     """The gateway that a configuration asks for; what it does not ask for is not imported."""
     if config.snapshots is not None:
-        from hillmux.recovery.snapshotting_gateway import KeptNode
+        from hillmux.recovery.snapshotting_gateway import SnapshottingGateway
 
-        return KeptNode(config, loop)
+        return SnapshottingGateway(config, loop)
     if config.operator_address is None:
         return PlatformGateway(config, loop)
     from hillmux.net.managed_gateway import ManagedGateway
--- a/hillmux/decision/host_health.py
+++ b/hillmux/decision/host_health.py
@@ -5,7 +5,8 @@
 from typing import Final
 
 from hillmux import interface as api
-from hillmux.balancing.fleet import Fleet, Host
+from hillmux.balancing.host import Host
+from hillmux.balancing.load_balancer import LoadBalancer
 from hillmux.decision.context import DecisionContext, LogSubject
 from hillmux.decision.latency import LatencyEstimates
 from hillmux.decision.request_state import PendingRequest
@@ -20,7 +21,7 @@
 
     __slots__ = ("_context", "_fleet", "_latency")
 
-    def __init__(self, context: DecisionContext, fleet: Fleet, latency: LatencyEstimates) -> None:
+    def __init__(self, context: DecisionContext, fleet: LoadBalancer, latency: LatencyEstimates) -> None:
         self._context = context
         self._fleet = fleet
         self._latency = latency
@@ -29,26 +30,26 @@
         """Take account of a finished attempt."""
         result = event.result
         if result == AttemptResult.OK:
-            self._fleet.recovered(host)
-            self._fleet.paced(host, self._latency.record_response(pending, event))
+            self._fleet.record_success(host)
+            self._fleet.record_latency_ratio(host, self._latency.record_response(pending, event))
         elif result == AttemptResult.CONNECT_FAILED:
             # A reset ends one connection only. Taken for the host's death it would eject a good host, and
             # count it as warming up afterwards; a dead one refuses the next connection.
-            host.died = True
+            host.connection_refused = True
             self._eject(host)
         elif result in (AttemptResult.RESET, AttemptResult.INCOMPLETE_REQUEST):
             self._record_failures(host, 1)
         elif result in (AttemptResult.ERROR, AttemptResult.TIMED_OUT, AttemptResult.QUEUE_FULL):
             ratio = pending.request_class.latency_objective_ms / self._latency.expected_ms(pending)
-            self._fleet.paced(host, max(ratio, FAILURE_LATENCY_RATIO))
-            outlier_timed_out = result == AttemptResult.TIMED_OUT and self._fleet.unwell(host)
+            self._fleet.record_latency_ratio(host, max(ratio, FAILURE_LATENCY_RATIO))
+            outlier_timed_out = result == AttemptResult.TIMED_OUT and self._fleet.outliers.is_outlier(host)
             self._record_failures(host, int(outlier_timed_out or result == AttemptResult.ERROR))
 
     def _record_failures(self, host: Host, count: int) -> None:
-        host.strikes += count
-        if host.fails or host.strikes >= MAX_CONSECUTIVE_FAILURES:
+        host.consecutive_failures += count
+        if host.ejections or host.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
             self._eject(host)
 
     def _eject(self, host: Host) -> None:
-        if self._fleet.down(host):
+        if self._fleet.eject(host):
             self._context.log_rate_limited(LogSubject.HOST_EJECTION, f"{host.name} fails: resting it")
--- a/hillmux/lab/load.py
+++ b/hillmux/lab/load.py
@@ -30,7 +30,7 @@
 from hillmux.lab.record import Recorder
 from hillmux.lab.scenario import Scenario
 from hillmux.lab.streams import Stream
-from hillmux.lab.traffic import Try, tries
+from hillmux.lab.traffic import PlannedRequest, plan_requests
 
 MAX_LATENESS_US = 60_000_000
 READY_CHECK_INTERVAL_MS = (
@@ -162,7 +162,7 @@
 
     __slots__ = ("rid", "planned", "due_ms", "attempts", "gateway_number", "idempotency_key")
 
-    def __init__(self, rid: str, planned: Try, due_ms: float) -> None:
+    def __init__(self, rid: str, planned: PlannedRequest, due_ms: float) -> None:
         self.rid, self.planned, self.due_ms, self.attempts = rid, planned, due_ms, 0
         self.gateway_number, self.idempotency_key = planned.gateway, f"k{rid}"
 
@@ -235,7 +235,9 @@
         self.results: Counter[str] = Counter()  # tries, since the last word of progress
         self.done = asyncio.Event()
         self.unanswered: set[ClientAttempt] = set()  # given up, their connections still open
-        self._planned = tries(scenario.traffic.model(scenario.length_s), len(self.gateways), scenario.seed)
+        self._planned = plan_requests(
+            scenario.traffic.model(scenario.length_s), len(self.gateways), scenario.seed
+        )
         self._next_planned, self._serial = 0, 0
         self._stream = Stream(scenario.seed, "clients")
         self._tasks: set[asyncio.Task[None]] = set()
@@ -279,13 +281,13 @@
                 "first",
                 rid=request.rid,
                 due=due,
-                cls=one.cls.name,
+                cls=one.request_class.name,
                 plan=one.customer.plan.name,
                 customer=one.customer.name,
                 units=one.units,
-                true=one.true_units,
-                worth=one.cls.worth * one.customer.plan.worth * one.units,
-                aim=one.cls.aim_ms,
+                true=one.actual_units,
+                worth=one.request_class.worth * one.customer.plan.worth * one.units,
+                aim=one.request_class.aim_ms,
             )
             self._start_attempt(request)
         if self._next_planned < len(asked):
@@ -294,9 +296,9 @@
     def _choose_gateway(self, request: ClientRequest) -> FrontGateway:
         """The gateway that the front deals a try to: of the customer's set, one that it has not taken out."""
         customer, count = request.planned.customer, len(self.gateways)
-        place = (request.gateway_number - customer.first) % count
-        for step in range(customer.width):
-            gateway = self.gateways[(customer.first + (place + step) % customer.width) % count]
+        place = (request.gateway_number - customer.first_gateway) % count
+        for step in range(customer.replicas):
+            gateway = self.gateways[(customer.first_gateway + (place + step) % customer.replicas) % count]
             if not gateway.removed:
                 return gateway
         return self.gateways[request.gateway_number]
@@ -305,7 +307,7 @@
         gateway = self._choose_gateway(request)
         rid = f"{request.rid[:-1]}{request.attempts:x}"
         request.attempts += 1
-        cls = request.planned.cls
+        cls = request.planned.request_class
         left = min(
             ATTEMPT_DEADLINE_SHARE * cls.deadline_ms, cls.deadline_ms - (self.clock.now - request.due_ms)
         )
@@ -339,7 +341,7 @@
 
     def _write(self, attempt: ClientAttempt, connection: ClientConnection) -> None:
         one, left = attempt.request.planned, attempt.time_left_ms - (self.clock.now - attempt.started_ms)
-        cls, customer = one.cls, one.customer
+        cls, customer = one.request_class, one.customer
         connection.attempt, attempt.connection = attempt, connection
         method = "GET" if cls.effect == "safe" else "POST"
         more = (
@@ -348,12 +350,13 @@
             else f"Idempotency-Key: {attempt.request.idempotency_key}\r\nContent-Length: 0\r\n"
         )
         connection.transport.write(
-            f"{method} /api/{customer.name}?work={one.work_ms:.1f}&true={one.true_units:.3f}"
+            f"{method} /api/{customer.name}?work={one.work_ms:.1f}&true={one.actual_units:.3f}"
             f"&kind={cls.effect}&window={cls.window_ms:.0f}&units={one.units:g}"
             f"&plan={customer.plan.name} HTTP/1.1\r\n"
             f"Host: origin.svc\r\nX-Request-Id: {attempt.rid}\r\nX-Class: {cls.name}\r\n"
             f"Plan: {customer.plan.name}\r\nX-Deadline: {max(left, 1):.0f}m\r\n{more}"
-            f"Quota-Info: units={one.units:g},spread={customer.width},first={customer.first}\r\n\r\n".encode()
+            f"Quota-Info: units={one.units:g},spread={customer.replicas},"
+            f"first={customer.first_gateway}\r\n\r\n".encode()
         )
         self.note("client", "wrote", rid=attempt.rid, gw=attempt.gateway.name)
 
@@ -383,20 +386,20 @@
         traffic, one = self.scenario.traffic, request.planned
         spent = self.clock.now - request.due_ms
         wait = traffic.backoff_ms * self._stream.uniform(0.5, 1.5)
-        if result == "refused" and wait_ms > 0 and one.luck < traffic.honour:
+        if result == "refused" and wait_ms > 0 and one.client_draw < traffic.honour:
             wait = max(wait, wait_ms)
         if (
             result in ("served", "late")
             or request.attempts > traffic.retries
-            or spent + wait >= one.cls.deadline_ms
+            or spent + wait >= one.request_class.deadline_ms
         ):
             self.open_requests -= 1
             if not self.open_requests and self._next_planned >= len(self._planned):
                 self.done.set()
             return
-        if one.luck < 0.3:  # some go through another gateway of their set
-            place = (request.gateway_number - one.customer.first) % len(self.gateways)
-            request.gateway_number = (one.customer.first + (place + 1) % one.customer.width) % len(
+        if one.client_draw < 0.3:  # some go through another gateway of their set
+            place = (request.gateway_number - one.customer.first_gateway) % len(self.gateways)
+            request.gateway_number = (one.customer.first_gateway + (place + 1) % one.customer.replicas) % len(
                 self.gateways
             )
         self.clock.after(wait, partial(self._start_attempt, request))
--- a/hillmux/lab/standins/alone.py
+++ b/hillmux/lab/standins/alone.py
@@ -31,7 +31,7 @@
             loop,
             name,
             "a",
-            HostModel(waiting=MAX_QUEUED),
+            HostModel(max_queued=MAX_QUEUED),
             keys,
             [EmulatedLink("gateway", name)],
             _discard_event,
--- a/hillmux/lab/standins/host.py
+++ b/hillmux/lab/standins/host.py
@@ -15,7 +15,7 @@
 from hillmux.lab.record import Note
 from hillmux.lab.standins.http import ReceivedRequest, RequestHandler, ServerConnection, response_bytes
 from hillmux.lab.streams import Stream
-from hillmux.lab.virtual.hosts import Host, HostModel, Job
+from hillmux.lab.virtual.hosts import HostModel, Job, SimulatedHost
 
 MAX_KEYS = 200_000
 NOT_RUN = b"X-Not-Run: 1\r\n"
@@ -66,7 +66,7 @@
         work_ms: float = 1.0,
     ) -> None:
         self.name, self.zone = name, zone
-        self.host = Host(clock, name, zone, model)
+        self.host = SimulatedHost(clock, name, zone, model)
         self._clock, self._keys, self._note, self._stream = clock, keys, note, stream
         self._max_connections, self._work_ms = most_connections, work_ms
         self._connections: set[HostConnection] = set()
@@ -78,8 +78,8 @@
         """A connection of a gateway has come up."""
         connection = HostConnection(transport, self)
         self._connections.add(connection)
-        self.host.dialled()
-        self._note(self.name, "dial", gw=connection.gateway, cold=self.host.warmth() < 1)
+        self.host.connection_opened()
+        self._note(self.name, "dial", gw=connection.gateway, cold=self.host.capacity_share() < 1)
         return connection
 
     def connection_closed(self, connection: ServerConnection) -> None:
@@ -87,7 +87,7 @@
         assert isinstance(connection, HostConnection)
         self._connections.discard(connection)
         for job in connection.jobs.values():
-            job.over = True  # nobody waits for it; what runs goes on running
+            job.done = True  # nobody waits for it; what runs goes on running
 
     def open(self) -> None:
         """Open every listener."""
@@ -125,7 +125,7 @@
             return
         rid, key = request.headers.get("x-request-id", ""), request.headers.get("idempotency-key", "")
         query = request.query
-        fell = self.host.fallen
+        fell = self.host.overloaded
         self._note(
             self.name,
             "got",
@@ -137,7 +137,7 @@
             units=float(query.get("units", 1)),
             customer=request.path.rpartition("/")[2],
             plan=query.get("plan", ""),
-            cold=self.host.warmth() < 1,
+            cold=self.host.capacity_share() < 1,
         )
         if self.hanging:
             return
@@ -152,8 +152,8 @@
         connection.jobs[request] = job
         if key and not self._keys.register(key, self._clock.now, float(query.get("window", 0))):
             self._note(self.name, "dropped", rid=rid, key=key)
-        self.host.came(job)
-        if self.host.fallen and not fell:
+        self.host.attempt_arrived(job)
+        if self.host.overloaded and not fell:
             self._note(self.name, "fell")
 
     def _end(self, request: ReceivedRequest, rid: str, result: str) -> None:
--- a/hillmux/lab/world.py
+++ b/hillmux/lab/world.py
@@ -216,11 +216,11 @@
         elif what == "hang":
             host.hanging = True
         elif what == "slow":
-            host.host.slow = value
+            host.host.slowdown = value
         elif what == "failing":
             host.failing = value
         else:
-            host.hanging, host.failing, host.host.slow = False, 0.0, 1.0
+            host.hanging, host.failing, host.host.slowdown = False, 0.0, 1.0
 
 
 async def _main() -> None:
--- a/hillmux/quotas/quotas.py
+++ b/hillmux/quotas/quotas.py
@@ -15,7 +15,7 @@
 from hillmux import interface as api
 from hillmux.interface import AttemptResult
 from hillmux.quotas import ceiling, estimate, lease, window
-from hillmux.quotas.parts import draw
+from hillmux.quotas.randomized_rounding import round_to_whole
 from hillmux.quotas.registry import FORGET_WINDOWS, Registry
 from hillmux.quotas.state import QuotaState
 from hillmux.quotas.throttle import SILENT_RATE, CallThrottle
@@ -28,67 +28,76 @@
     """Quotas and ceilings of all customers, and the counter calls that keep them known."""
 
     def __init__(
-        self, settings: api.Settings, rng: random.Random, settle: Callable[[QuotaState], None]
+        self, settings: api.Settings, rng: random.Random, on_window_end: Callable[[QuotaState], None]
     ) -> None:
-        """`settle` is called with a customer whose window ends while requests of it wait for a total."""
-        self.settings, self.rng, self.settle = settings, rng, settle
-        self.out: list[api.Action] = []  # where calls go, as the module's actions
+        """`on_window_end` is called with a customer whose window ends, before its count is begun anew."""
+        self.settings, self.rng, self.on_window_end = settings, rng, on_window_end
+        self.actions: list[api.Action] = []  # where calls go, as the module's actions
         self.now = 0.0
-        self.born: float | None = None  # moment of the gateway's start
-        self.pressed = False  # the back end does not take all requests
-        self.succeeded = False  # another process holds this gateway's parts of ceilings
+        self.started_at: float | None = None  # moment of the gateway's start
+        self.shedding_load = False  # admission control does not admit all requests
+        self.taken_over = False  # another process holds this gateway's parts of ceilings
         self.draining = False  # this process ends soon: it keeps no leases
         self.window_ms = {plan.name: window.length_ms(plan) for plan in settings.plans}
         self.plan_tags = window.plan_tags(settings.plans)
         self.registry = Registry(settings)
         self.throttle = CallThrottle(rng)
-        self.calls: dict[str, QuotaState] = {}  # by the name of the count, while a call is open
+        self.open_calls: dict[str, QuotaState] = {}  # by the name of the count, while a call is open
 
-    def change(self, settings: api.Settings) -> None:
+    def change_settings(self, settings: api.Settings) -> None:
         """Go over to new settings with the same plans."""
         self.settings = settings
-        self.registry.most_customers = settings.max_customers
+        self.registry.max_customers = settings.max_customers
 
-    def state_for(self, req: api.Request, plan: api.Plan) -> QuotaState | None:
+    def state_for(self, request: api.Request, plan: api.Plan) -> QuotaState | None:
         """A customer's state under a plan; None where there is no room to know one more customer.
 
         Each plan counts by itself: another plan in a customer's name would reset its use. A number of
         replicas holds for a window and the next: named once, a wrong one would shrink the customer's parts
         for good.
         """
-        replicas = max(1, min(req.replicas, self.settings.fleet_size))
+        replicas = max(1, min(request.replicas, self.settings.fleet_size))
         registry = self.registry
-        key = (req.customer, plan.name)
+        key = (request.customer, plan.name)
         state = registry.states.get(key)
         if state is None:
-            if registry.full() and not self._forget_early():
+            state = self._new_state(key, plan, replicas)
+            if state is None:
                 return None
-            state = QuotaState(key, plan, replicas, self.now, self.now - (self.born or 0.0))
-            registry.add(state, self.born or 0.0)
-        unseen, state.seen_at = self.now - state.seen_at, self.now
-        state.request_gap_ms = unseen
-        registry.asked_at[plan.name] = self.now
+        state.request_gap_ms = self.now - state.seen_at
+        state.seen_at = self.now
+        registry.last_request_at[plan.name] = self.now
         if plan.rate > 0:
-            length = self.window_ms[plan.name]
-            clock = self.now / length + state.phase
-            if int(clock) != state.window:
-                self._start_window(state, int(clock), self.now - clock % 1 * length, unseen < lease.IDLE_MS)
-                if unseen >= FORGET_WINDOWS * length:
-                    # Totals read so long ago are no guide, and asking anew for each of 100,000 seldom seen
-                    # customers would overload the counter. At most the split of the burst goes unreported.
-                    state.remaining = min(self.remaining(state), plan.burst / state.replicas)
+            window_position = self.now / self.window_ms[plan.name] + state.phase
+            if int(window_position) != state.window:
+                self._enter_window(state, window_position)
         if replicas > state.replicas_in_window:
             state.replicas_in_window = replicas
             if replicas > state.replicas:
                 state.set_replicas(replicas)
         return state
 
-    def _forget_early(self) -> bool:
-        forgotten = self.registry.forget_early()
-        if forgotten is None:
-            return False
-        self.calls.pop(forgotten.count_name, None)
-        return True
+    def _new_state(self, key: tuple[str, str], plan: api.Plan, replicas: int) -> QuotaState | None:
+        """Make room for one more customer and add it; None if there is no room."""
+        if self.registry.is_full():
+            forgotten = self.registry.forget_early()
+            if forgotten is None:
+                return None
+            self.open_calls.pop(forgotten.count_name, None)
+        gateway_start = self.started_at or 0.0
+        state = QuotaState(key, plan, replicas, self.now, self.now - gateway_start)
+        self.registry.add(state, gateway_start)
+        return state
+
+    def _enter_window(self, state: QuotaState, position: float) -> None:
+        """Go over to the current window; `position`: its number, and as a fraction the part that is over."""
+        length, gap = self.window_ms[state.plan.name], state.request_gap_ms
+        keep_lease = gap < lease.IDLE_TIMEOUT_MS
+        self._start_window(state, int(position), self.now - position % 1 * length, keep_lease)
+        if gap >= FORGET_WINDOWS * length:
+            # Totals read so long ago are no guide, and asking anew for each of 100,000 seldom seen customers
+            # would overload the counter. At most the split of the burst goes unreported.
+            state.remaining = min(self.remaining(state), state.plan.burst / state.replicas)
 
     def _start_window(self, state: QuotaState, number: int, start: float, keep_lease: bool) -> None:
         """Go over to the window of this number, which started at `start` (ms).
@@ -96,8 +105,8 @@
         A gateway that sees a customer once in many seconds notices late. What the others used since the start
         is in the new window's total, so what remained is also taken at that start.
         """
-        self.calls.pop(state.count_name, None)
-        self.settle(state)
+        self.open_calls.pop(state.count_name, None)
+        self.on_window_end(state)
         state.window, state.count_name = number, ""
         if state.replicas != state.replicas_in_window:
             state.set_replicas(state.replicas_in_window)
@@ -113,11 +122,14 @@
         return state.remaining
 
     def _advance(self, state: QuotaState, now: float) -> None:
-        estimate.advance(state, now, self.pressed, self.throttle.answer_rate < SILENT_RATE)
+        estimate.advance(state, now, self.shedding_load, self.throttle.answer_rate < SILENT_RATE)
+
+    def should_ask_counter(self, state: QuotaState, units: float) -> bool:
+        """Whether the counter should be asked first.
 
-    def unsure(self, state: QuotaState, units: float) -> bool:
-        """Whether the counter should be asked first: nothing was read, or the estimate does not plainly allow
-        what the last total would."""
+        So it is where no total was read yet, or where the last total would allow what the estimate does not
+        plainly allow.
+        """
         if not self.settings.counter_available or not state.has_quota:
             return False
         if state.last_total is None:
@@ -135,7 +147,7 @@
         refilled_ms = state.batch_divisor * units / state.plan.rate * 1000
         return self.now - state.last_total_at >= refilled_ms or self.rng.random() < state.grant_ratio
 
-    def has(self, state: QuotaState, units: float) -> bool:
+    def has_units(self, state: QuotaState, units: float) -> bool:
         """Whether the quota has room for a request of so many units."""
         plan = state.plan
         if plan.max_concurrency and state.open_requests >= max(1, plan.max_concurrency // state.replicas):
@@ -145,17 +157,17 @@
         if self.now > state.remaining_at:
             self._advance(state, self.now)
         if state.reported > state.used and lease.available(state) >= units:
-            return not self.succeeded and lease.covers(state, units, self.now)
+            return not self.taken_over and lease.covers(state, units, self.now)
         if state.last_total is None or self.throttle.answer_rate < SILENT_RATE:
-            # A split smaller than the request serves it by chance, so that the fleet's sum is right.
-            state.remaining = draw(self.rng, state.remaining, units)
+            # A split smaller than the request serves it by chance: the sum over all gateways is right.
+            state.remaining = round_to_whole(self.rng, state.remaining, units)
         return state.remaining >= units - ROUNDING_UNITS
 
-    def ceiling_has(self, state: QuotaState, units: float) -> bool:
+    def ceiling_has_units(self, state: QuotaState, units: float) -> bool:
         """Whether this gateway's part of the ceiling holds so many units; True for a plan without one."""
         if state.plan.ceiling_rate <= 0:
             return True
-        return not self.succeeded and ceiling.has(state, units, self.now)
+        return not self.taken_over and ceiling.has_units(state, units, self.now)
 
     def spend(self, state: QuotaState, units: float) -> None:
         """Take units from the quota; negative ones are given back."""
@@ -165,14 +177,14 @@
         state.remaining -= units
         state.upper_bound -= units
 
-    def give_back(self, state: QuotaState, units: float, over: bool) -> None:
-        """Undo a request of which nothing was sent; `over`: it was beyond its quota, and took none of it."""
-        state.ceiling_remaining += units  # `ceiling.has` holds it to what is full
-        if not over:
+    def refund(self, state: QuotaState, units: float, beyond_quota: bool) -> None:
+        """Undo a request of which nothing was sent; one `beyond_quota` took none of it."""
+        state.ceiling_remaining += units  # `ceiling.has_units` holds it to what is full
+        if not beyond_quota:
             self.spend(state, -units)
-            self.sync(state)
+            self.report_use(state)
 
-    def sync(self, state: QuotaState, reserve: float = 0.0) -> None:
+    def report_use(self, state: QuotaState, reserve: float = 0.0) -> None:
         """Report use to the counter if it is due, or give back what a lease holds too much.
 
         A gateway that keeps within its even share of the refill reports in large batches, one that goes
@@ -188,18 +200,26 @@
             # What may have been reported and not be held by the counter is not given back: the total is read.
             amount = max(amount + reserve, 0.0)
         elif amount > 0:
-            now = self.now
-            if now > state.remaining_at:
-                self._advance(state, now)
-            remaining, uncovered_ms = state.remaining, state.covered_at - now
-            if amount < state.batch_share * remaining and uncovered_ms * state.batch_rate < remaining:
-                return
-            if not self.throttle.may_call(now):
+            if not self._report_is_due(state, amount):
                 return
         else:
             amount = -self._lease_surplus(state) if amount else 0.0
             if not amount or not self.throttle.may_call(self.now):
                 return
+        self._call_counter(state, amount, reserve)
+
+    def _report_is_due(self, state: QuotaState, amount: float) -> bool:
+        """Whether so many unreported units are a batch, and a call may be made."""
+        now = self.now
+        if now > state.remaining_at:
+            self._advance(state, now)
+        remaining, uncovered_ms = state.remaining, state.covered_at - now
+        if amount < state.batch_share * remaining and uncovered_ms * state.batch_rate < remaining:
+            return False
+        return self.throttle.may_call(now)
+
+    def _call_counter(self, state: QuotaState, amount: float, reserve: float) -> None:
+        """Report so many units, those of the `reserve` and what is drawn ahead among them."""
         if amount > 0:
             amount += lease.draw_ahead(state, amount, self.remaining(state) - reserve, self.now)
             state.covered_at = self.now
@@ -208,11 +228,13 @@
         state.call_amount = amount
         plan = state.plan.name
         state.count_name = window.count_name(state.digest, self.plan_tags[plan], state.window)
-        self.calls[state.count_name] = state
-        self.out.append(api.IncrementCounter(state.count_name, amount, window.keep_ms(self.window_ms[plan])))
+        self.open_calls[state.count_name] = state
+        self.actions.append(
+            api.IncrementCounter(state.count_name, amount, window.retention_ms(self.window_ms[plan]))
+        )
 
     def _lease_surplus(self, state: QuotaState) -> float:
-        if self.succeeded:  # the process that goes on holds the lease
+        if self.taken_over:  # the process that goes on holds the lease
             return 0.0
         return lease.available(state) if self.draining else lease.surplus(state, self.now)
 
@@ -221,12 +243,12 @@
         self.draining = True
         for state in self.registry.states.values():
             if state.reported > state.used:
-                self.sync(state)
+                self.report_use(state)
 
-    def replied(self, reply: api.CounterReply) -> QuotaState | None:
-        """Take the end of one call; whose it was, None where nobody waits for it any more."""
+    def handle_reply(self, reply: api.CounterReply) -> QuotaState | None:
+        """Take the result of one call; the customer it was for, None if the call was given up meanwhile."""
         self.throttle.record_result(reply.result)
-        state = self.calls.pop(reply.name, None)
+        state = self.open_calls.pop(reply.name, None)
         if state is None or not state.call_open:
             return None
         state.call_open, state.count_name = False, ""
@@ -257,12 +279,12 @@
     def sweep(self) -> None:
         """Forget customers long unseen and give back idle leases, a few looked at each time."""
         for state in self.registry.sweep(self.now, self._return_idle_lease):
-            self.calls.pop(state.count_name, None)
+            self.open_calls.pop(state.count_name, None)
 
     def _return_idle_lease(self, state: QuotaState) -> None:
-        if state.reported > state.used and self.now - state.seen_at >= lease.IDLE_MS:
-            self.sync(state)
+        if state.reported > state.used and self.now - state.seen_at >= lease.IDLE_TIMEOUT_MS:
+            self.report_use(state)
 
-    def settled(self) -> bool:
-        """Whether no customer's use still counts."""
-        return self.registry.settled(self.now)
+    def is_quiescent(self) -> bool:
+        """Whether no customer's use counts any more."""
+        return self.registry.is_quiescent(self.now)
--- a/hillmux/recovery/snapshotting_gateway.py
+++ b/hillmux/recovery/snapshotting_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway where a disk lasts: it goes on from its last snapshot, and tells how far it has come back."""
+"""The platform's gateway with snapshots: it restores the last one, and reports how far it has recovered."""
 
 from __future__ import annotations
 
@@ -10,128 +10,137 @@
 from typing import Any
 
 from hillmux import interface as api
-from hillmux.hot_restart.service import Heir
+from hillmux.hot_restart.server import SuccessorProcess
 from hillmux.hot_restart.state_codec import StateError, export, restore
-from hillmux.net.clients import Listener
 from hillmux.net.config import GatewayConfig
+from hillmux.net.listener import Listener
 from hillmux.net.managed_gateway import READY_TIMEOUT_S, ManagedGateway
 from hillmux.quotas.throttle import SILENT_RATE
-from hillmux.recovery.readiness import Phases, View
-from hillmux.recovery.retention import BeliefError, worth_leaving
-from hillmux.recovery.snapshot_format import digest
-from hillmux.recovery.snapshot_service import Snapshots
+from hillmux.recovery.readiness import GatewayCondition, ReadinessTracker
+from hillmux.recovery.retention import SnapshotContentError, is_worth_storing
+from hillmux.recovery.snapshot_format import Snapshot, digest
+from hillmux.recovery.snapshot_service import SnapshotOwner, SnapshotService
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 0.25
-STALL_MS = 1_000.0  # a pause of the module as long ago as this still counts
+READINESS_INTERVAL_S = 0.25
+STALL_MEMORY_MS = 1_000.0  # how long a stall counts after its end
 
 
-class KeptNode(ManagedGateway):
-    """An operated node with snapshots and phases."""
+class SnapshottingGateway(ManagedGateway):
+    """A managed gateway with snapshots and a phase of recovery."""
 
     def __init__(self, config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config, loop)
-        keep = config.snapshots
-        assert keep is not None
-        plans = digest(repr(config.settings.plans).encode())
-        self._snapshots = Snapshots(
-            Path(keep.directory),
-            keep.interval_s,
-            config.name,
-            keep.fleet,
-            plans,
-            self._left_behind,
+        snapshots = config.snapshots
+        assert snapshots is not None
+        self._snapshots = SnapshotService(
+            Path(snapshots.directory),
+            snapshots.interval_s,
+            SnapshotOwner(config.name, snapshots.fleet, digest(repr(config.settings.plans).encode())),
+            self._export_state,
             self.clock.now_ms,
             loop,
         )
-        self._born_ms = self.clock.now_ms()
-        self._phases = Phases(self._born_ms)
+        self._started_at_ms = self.clock.now_ms()
+        self._readiness = ReadinessTracker(self._started_at_ms)
         self._outcomes = 0
-        self._looked = time.monotonic()
-        self._succeeded = False
+        self._observed_at = time.monotonic()
+        self._successor_serves = False
 
-    def _left_behind(self, exact: bool) -> Iterator[dict[str, Any]]:
-        now, rests = self.clock.now_ms(), self.decision_module.quotas.registry.rests
+    def _export_state(self, exact: bool) -> Iterator[dict[str, Any]]:
+        now_ms, expiry_ms = self.clock.now_ms(), self.decision_module.quotas.registry.rest_ms
         return export(
             self.decision_module,
-            lambda state: worth_leaving(state.seen_at, rests[state.plan.name], now, exact),
+            lambda use: is_worth_storing(use.seen_at, expiry_ms[use.plan.name], now_ms, exact),
         )
 
     async def open(self, server: Listener[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
-        """As before; what was left by the process before is gone on from, where none hands over."""
-        snapshot = self._snapshots.take()
+        """Also restore the snapshot of the previous process before clients are accepted."""
+        snapshot = self._snapshots.take_previous()
         if snapshot is not None:
-            end = self.loop.time() + READY_TIMEOUT_S
-            # Only what the list names is taken over, so the list comes first: discovery's, or the kept one.
-            while not self.could_serve() and self.loop.time() < end:
-                await asyncio.sleep(0.02)
-            try:
-                restore(self.decision_module, self._snapshots.believed(snapshot, self._born_ms))
-                age = (self.clock.now_ms() - snapshot.head.taken_ms) / 1000
-                log.info(
-                    "snapshots: going on from %s, %.1f s old, %s",
-                    snapshot.head.incarnation,
-                    age,
-                    "exact" if snapshot.head.exact else "a process went on after it",
-                )
-            except (StateError, BeliefError) as error:
-                log.warning("snapshots: left, nothing of it is believed: %s", error)
+            # Hosts that no list names yet are not restored, so the endpoint list comes first.
+            await self._until_servable()
+            self._restore(snapshot)
         listening = await super().open(server, address)
         self._snapshots.start()
-        self._watch()
+        self._observe()
         return listening
 
+    async def _until_servable(self) -> None:
+        end = self.loop.time() + READY_TIMEOUT_S
+        while not self.could_serve() and self.loop.time() < end:
+            await asyncio.sleep(0.02)
+
+    def _restore(self, snapshot: Snapshot) -> None:
+        try:
+            restore(self.decision_module, self._snapshots.retained(snapshot, self._started_at_ms))
+        except (StateError, SnapshotContentError) as error:
+            log.warning("snapshots: left, nothing of it is believed: %s", error)
+            return
+        header = snapshot.header
+        log.info(
+            "snapshots: going on from %s, %.1f s old, %s",
+            header.incarnation,
+            (self.clock.now_ms() - header.taken_ms) / 1000,
+            "exact" if header.exact else "a process went on after it",
+        )
+
     def stop(self) -> None:
-        """Also write the last snapshot as exact, unless a successor serves."""
+        """Also write the final snapshot, unless a successor serves."""
         super().stop()
-        if not self._succeeded:
-            self._snapshots.seal()
+        if not self._successor_serves:
+            self._snapshots.write_final()
 
-    def gone(self, heir: Heir) -> None:
-        """The successor serves: also write no more snapshots, and set the last one aside."""
-        self._succeeded = True
-        self._snapshots.give_up()
-        super().gone(heir)
+    def on_successor_serving(self, successor: SuccessorProcess) -> None:
+        """Also stop writing snapshots, and set the last one aside."""
+        self._successor_serves = True
+        self._snapshots.abandon()
+        super().on_successor_serving(successor)
 
-    # How far it has come back
+    # Readiness
 
     def phase(self) -> str:
-        """The name of the phase, followed by the causes that keep it from the next one."""
-        return self._phases.now.text()
+        """The phase of recovery, followed by the causes that keep the gateway from the next one."""
+        return self._readiness.current.text()
 
-    def figures(self) -> dict[str, object]:
-        """All figures, with the phase, its causes, and the seconds until it was full (None: not yet)."""
-        phases = self._phases
-        took = None if phases.took_ms is None else round(phases.took_ms / 1000, 2)
+    def metrics_by_name(self) -> dict[str, object]:
+        """All metrics, the phase, its causes, and the seconds that the recovery took (None so far)."""
+        recovery_ms = self._readiness.recovery_ms
         return {
-            **super().figures(),
-            "phase": phases.now.name,
-            "phase_causes": list(phases.now.causes),
-            "full_after_s": took,
+            **super().metrics_by_name(),
+            "phase": self._readiness.current.phase,
+            "phase_causes": list(self._readiness.current.causes),
+            "full_after_s": None if recovery_ms is None else round(recovery_ms / 1000, 2),
         }
 
-    def _watch(self) -> None:
-        now, clock = time.monotonic(), self.clock.now_ms()
-        gateway, fleet = self.decision_module, self.decision_module.fleet
-        late = now - self._looked > LOOK_S + STALL_MS / 1000
-        self._looked = now
-        asked = self.settings.counter_available and gateway.quotas.throttle.called_at > self._born_ms
-        stalled = late or clock - gateway.context.stalled_at < STALL_MS
-        view = View(
-            self.ready(),
-            self.discovery_answered,
-            not asked or gateway.quotas.throttle.answer_rate >= SILENT_RATE,
-            self._outcomes,
-            gateway.admission.admit_fraction,
-            fleet.up,
-            fleet.cold,
-            fleet.failing,
-            stalled,
+    def _observe(self) -> None:
+        now, now_ms = time.monotonic(), self.clock.now_ms()
+        late = now - self._observed_at > READINESS_INTERVAL_S + STALL_MEMORY_MS / 1000
+        self._observed_at = now
+        if self._readiness.update(now_ms, self._condition(now_ms, late)):
+            log.info("phase: %s", self.phase())
+        self.loop.call_later(READINESS_INTERVAL_S, self._observe)
+
+    def _condition(self, now_ms: float, late: bool) -> GatewayCondition:
+        """What the gateway sees of itself; `late`: this observation comes after a stall of the process."""
+        gateway, fleet, throttle = (
+            self.decision_module,
+            self.decision_module.fleet,
+            self.decision_module.quotas.throttle,
+        )
+        counter_used = self.settings.counter_available and throttle.called_at > self._started_at_ms
+        return GatewayCondition(
+            ready=self.ready(),
+            discovery_answered=self.discovery_answered,
+            counter_answers=not counter_used or throttle.answer_rate >= SILENT_RATE,
+            outcomes=self._outcomes,
+            admit_fraction=gateway.admission.admit_fraction,
+            hosts=fleet.host_set.available_count,
+            warming_hosts=fleet.host_set.warming_count,
+            ejected_hosts=fleet.host_set.ejected_count,
+            stalled=late or now_ms - gateway.context.stalled_at < STALL_MEMORY_MS,
         )
-        if self._phases.look(clock, view):
-            log.info("phase: %s", self._phases.now.text())
-        self.loop.call_later(LOOK_S, self._watch)
 
     def post(self, event: api.Event) -> None:
         if isinstance(event, api.AttemptEnded):
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -15,13 +15,14 @@
 ROOT = Path(__file__).parents[1]
 TESTS = (  # the decisions, the adapter, and the real program between scripted peers
     "tests/decision",
-    "tests/test_fleet.py",
+    "tests/balancing/test_random_histories.py",
+    "tests/balancing/test_selection.py",
     "tests/simulator/test_adapter.py",
     "tests/test_net.py",
     "tests/test_flows.py",
     "tests/net/test_discovery_watch.py",
-    "tests/operate/test_operated.py",
-    "tests/handover/test_upgrade.py",
+    "tests/admin/test_operators_port.py",
+    "tests/hot_restart/test_processes.py",
 )
 
 
@@ -62,7 +63,8 @@
         "decision.gateway",
         "quotas.quotas",
         "quotas.estimate",
-        "net.clients",
+        "net.client_connection",
+        "net.listener",
         "net.managed_gateway",
     ):
         assert origin(folder, module).endswith(".so") and str(folder) in origin(folder, module)
