--- a/hillmux/cli.py
+++ b/hillmux/cli.py
@@ -1,4 +1,4 @@
-"""`hillmux`: the command line."""
+"""`hillmux`: the command line. What a command needs beyond its options is imported when it runs."""
 
 from __future__ import annotations
 
@@ -6,14 +6,19 @@
 import logging
 import sys
 from pathlib import Path
+from typing import NoReturn
 
 import click
 
-from hillmux.hosted.config import ConfigFaultsError
+from hillmux.hosted.config import ConfigFaultsError, check_files, load
 from hillmux.lab.commands import lab
+from hillmux.net import shutdown
 from hillmux.recovery.commands import snapshot
+from hillmux.tenants.model import ServiceConfig
 
-FAULT = 2  # exit status for a configuration or an address that is no good
+EXIT_INVALID = 2  # an invalid configuration or address
+COUNTER_LOG_LINES_PER_S = 50
+MAX_PORT = 65535
 
 
 @click.group(epilog="Example: hillmux demo")
@@ -42,11 +47,11 @@
     from hillmux.hosted.serve import serve as run
 
     config = _load(path)
-    _log(config.name, config.limits.log_lines)
+    _set_up_log(config.name, config.limits.log_lines)
     try:
         uvloop.run(run(path, config))
     except OSError as error:
-        _fail(f"{path}: {error}")
+        _exit_invalid(f"{path}: {error}")
 
 
 @main.command(epilog="Example: hillmux check examples/one-tenant.toml")
@@ -54,11 +59,9 @@
 def check(path: Path) -> None:
     """Look a configuration over and tell every fault in it, without starting anything."""
     config = _load(path)
-    from hillmux.hosted.config import check_files
-
     faults = check_files(config)
     if faults:
-        _fail("\n".join(faults))
+        _exit_invalid("\n".join(faults))
     pools = [pool for tenant in config.tenants for pool in tenant.pools]
     click.echo(
         f"{path}: sound: {len(config.tenants)} tenants, {sum(len(t.routes) for t in config.tenants)} routes, "
@@ -82,13 +85,13 @@
     import uvloop
 
     host, colon, port = listen.rpartition(":")
-    if not colon or not host or not port.isdigit() or int(port) > 65535:
-        _fail(f"--listen: found {listen!r}, expected HOST:PORT, with a port from 0 to 65535")
-    _log("counter", 50)
+    if not colon or not host or not port.isdigit() or int(port) > MAX_PORT:
+        _exit_invalid(f"--listen: found {listen!r}, expected HOST:PORT, with a port from 0 to 65535")
+    _set_up_log("counter", COUNTER_LOG_LINES_PER_S)
     try:
-        uvloop.run(_count(host.strip("[]"), int(port), names))
+        uvloop.run(_run_counter(host.strip("[]"), int(port), names))
     except OSError as error:
-        _fail(f"--listen: {error}")
+        _exit_invalid(f"--listen: {error}")
 
 
 @main.command(epilog="Example: hillmux demo --seconds 20")
@@ -115,7 +118,7 @@
 main.add_command(snapshot)
 
 
-async def _count(host: str, port: int, names: int) -> None:
+async def _run_counter(host: str, port: int, names: int) -> None:
     import signal
 
     from hillmux.counter import Store
@@ -124,35 +127,31 @@
     loop = asyncio.get_running_loop()
     server = CounterServer(Store(names), loop)
     address = await server.start(host, port)
-    done = asyncio.Event()
+    stopped = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, done.set)
+        loop.add_signal_handler(number, stopped.set)
     logging.info("listening on %s:%d", *address)
-    await done.wait()
+    await stopped.wait()
     server.stop()
 
 
-def _load(path: Path):  # type: ignore[no-untyped-def]
-    from hillmux.hosted.config import load
-
+def _load(path: Path) -> ServiceConfig:
     try:
         return load(path)
     except ConfigFaultsError as error:
-        _fail(str(error))
-
+        _exit_invalid(str(error))
 
-def _log(name: str, lines: int) -> None:
-    from hillmux.net import shutdown as life
 
-    life.set_up_log(name)
+def _set_up_log(name: str, lines_per_s: int) -> None:
+    shutdown.set_up_log(name)
     for handler in logging.getLogger().handlers:
         handler.filters.clear()
-        handler.addFilter(life.LogRateLimit(2 * lines))  # tenants are held to their parts of `lines` before
+        handler.addFilter(shutdown.LogRateLimit(2 * lines_per_s))  # each tenant's lines are limited before
 
 
-def _fail(text: str) -> None:
+def _exit_invalid(text: str) -> NoReturn:
     click.echo(text, err=True)
-    sys.exit(FAULT)
+    sys.exit(EXIT_INVALID)
 
 
 if __name__ == "__main__":
