--- a/hillmux/hot_restart/state_codec.py
+++ b/hillmux/hot_restart/state_codec.py
@@ -1,13 +1,13 @@
-"""What a decision module knows, as documents that another process of the same gateway goes on from.
+"""The decision module's state as documents, which another process of the same gateway restores.
 
-Theory of operation. A new process that knew nothing would earn its ceilings from empty, ask the counter for
-every customer, trust hosts that fail and flood cold ones. So all that was learnt goes along, and the old
-module is told that it has been succeeded: it spends nothing of a ceiling any more. What is open stays with
-the old process: its requests, attempts and counter calls. Amounts in such a call count as told; the old
-module tells them again by itself if the call fails. Free of I/O; times are the module's clock, Unix time in
-ms, in both processes.
+A new process without this state would fill its ceilings from empty, call the counter for every customer,
+trust hosts that fail and overload hosts that warm up. So the whole state is exported, and the old module is
+told that it has been taken over: it spends nothing of a ceiling any more. What is open stays with the old
+process: its requests, attempts and counter calls. Amounts in an open counter call are exported as reported;
+the old module reports them again by itself if the call fails. Free of I/O; times are the module's clock,
+Unix time in ms, in both processes.
 
-A document is a plain object with a field `t`. Restoring is strict about what it reads, and takes all or
+A document is an object with a field `t`. Restoring is strict about what it reads, and restores all or
 nothing.
 """
 
@@ -17,7 +17,8 @@
 import math
 import zlib
 from array import array
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Container, Iterator
+from dataclasses import dataclass
 from typing import Any
 
 from hillmux.balancing.fleet import FASTEST, OUT, SLOWEST
@@ -132,65 +133,110 @@
             yield {"t": SKETCH, "text": text[at : at + PIECE]}
 
 
+@dataclass(slots=True)
+class _State:
+    """What documents hold, checked but not yet applied."""
+
+    scalars: dict[str, Any]
+    latency: dict[str, float]
+    asked_at: dict[str, float]
+    warm_rate: float
+    cells: list[tuple[str, str, list[float]]]  # class, plan, and the values of the cell
+    hosts: dict[str, dict[str, Any]]
+    uses: list[tuple[str, str, dict[str, Any]]]  # customer, plan, and the fields of its use
+    sketch_times: array[float] | None
+
+
 def restore(gateway: Gateway, documents: list[dict[str, Any]]) -> None:
-    """Go on from what `export` told. Nothing is changed where a StateError is raised.
+    """Restore the state that `export` wrote.
+
+    Hosts that are not in the gateway's endpoint list, and classes and plans that its settings do not have,
+    are omitted.
 
-    What this module has not: a host that is not in its list, a class or plan that its settings do not know,
-    is left out.
+    Raises:
+        StateError: the documents are malformed; the gateway is unchanged.
     """
+    state = _parse(documents, gateway.fleet.hosts)
+    _restore_scalars(gateway, state)
+    _restore_cells(gateway, state.cells)
+    for name, fields in state.hosts.items():
+        _restore_host(gateway, name, fields)
+    registry = gateway.quotas.registry
+    for customer, plan, fields in state.uses:
+        if plan in gateway.context.plans and len(registry.states) < gateway.settings.max_customers:
+            _restore_use(gateway, customer, plan, fields)
+    if state.sketch_times is not None:
+        registry.ceilings_from.times = state.sketch_times
+
+
+def _parse(documents: list[dict[str, Any]], listed_hosts: Container[str]) -> _State:
     heads = [d for d in documents if d.get("t") == MODULE]
     if len(heads) != 1 or heads[0].get("version") != VERSION:
         raise StateError(f"{MODULE}: one document of version {VERSION} is needed")
     head = heads[0]
-    scalars = _named("scalars", head.get("scalars"), SCALARS + COUNTER)
-    hosts = {
+    return _State(
+        scalars=_named("scalars", head.get("scalars"), SCALARS + COUNTER),
+        hosts=_parse_hosts(documents, listed_hosts),
+        latency=_parse_latency(head),
+        asked_at=_numbers("asked_at", head.get("asked_at")),
+        warm_rate=_value("module", "warm_rate", head.get("warm_rate")),
+        cells=[
+            (str(row[0]), str(row[1]), [_number("cells", v) for v in row[2:]])
+            for row in _rows("cells", head, 6)
+        ],
+        uses=_parse_uses(documents),
+        sketch_times=_sketch("".join(str(d.get("text", "")) for d in documents if d.get("t") == SKETCH)),
+    )
+
+
+def _parse_hosts(documents: list[dict[str, Any]], listed_hosts: Container[str]) -> dict[str, dict[str, Any]]:
+    return {
         name: _values(f"hosts.{name}", HOST, row)
         for document in documents
         if document.get("t") == HOSTS
         for name, row in _object("hosts", document.get("hosts")).items()
-        if name in gateway.fleet.hosts
+        if name in listed_hosts
     }
+
+
+def _parse_latency(head: dict[str, Any]) -> dict[str, float]:
     latency = _numbers("latency", head.get("latency"))
     for name, value in latency.items():
         if not 0 < value <= MOST:  # outcomes are divided by it
             raise StateError(f"latency.{name}: {value!r} is not above 0")
-    asked_at = _numbers("asked_at", head.get("asked_at"))
-    warm_rate = _value("module", "warm_rate", head.get("warm_rate"))
-    cells = [
-        (str(row[0]), str(row[1]), [_number("cells", v) for v in row[2:]]) for row in _rows("cells", head, 6)
-    ]
-    uses = [
+    return latency
+
+
+def _parse_uses(documents: list[dict[str, Any]]) -> list[tuple[str, str, dict[str, Any]]]:
+    return [
         (str(row[0]), str(row[1]), _values(f"uses.{row[0]}", USE, row[2:]))
         for document in documents
         if document.get("t") == CUSTOMERS
         for row in _rows("uses", document, len(USE) + 2)
     ]
-    times = _sketch("".join(str(d.get("text", "")) for d in documents if d.get("t") == SKETCH))
 
-    for name, value in scalars.items():
+
+def _restore_scalars(gateway: Gateway, state: _State) -> None:
+    for name, value in state.scalars.items():
         if name in COUNTER_ATTRIBUTES:
             setattr(gateway.quotas.throttle, COUNTER_ATTRIBUTES[name], value)
         else:
             part, attribute = SCALAR_ATTRIBUTES[name]
             setattr(getattr(gateway, part), attribute, value)
-    registry = gateway.quotas.registry
+    classes, plans = gateway.context.classes, gateway.context.plans
     gateway.quotas.born = gateway.context.started_at
     gateway.quotas.pressed = gateway.admission.admit_fraction < 1
-    gateway.latency.per_unit_ms.update({n: v for n, v in latency.items() if n in gateway.context.classes})
-    registry.asked_at.update({n: v for n, v in asked_at.items() if n in gateway.context.plans})
-    gateway.fleet.warm_rate = warm_rate
+    gateway.latency.per_unit_ms.update({n: v for n, v in state.latency.items() if n in classes})
+    gateway.quotas.registry.asked_at.update({n: v for n, v in state.asked_at.items() if n in plans})
+    gateway.fleet.warm_rate = state.warm_rate
+
+
+def _restore_cells(gateway: Gateway, cells: list[tuple[str, str, list[float]]]) -> None:
     for class_name, plan, (value, work, admit_fraction, accumulator) in cells:
         if class_name in gateway.context.classes and plan in gateway.context.plans:
             share = gateway.admission.shares[class_name, plan] = AdmissionShare()
             share.value, share.work = value, work
             share.admit_fraction, share.accumulator = admit_fraction, accumulator
-    for name, fields in hosts.items():
-        _restore_host(gateway, name, fields)
-    for customer, plan, fields in uses:
-        if plan in gateway.context.plans and len(registry.states) < gateway.settings.max_customers:
-            _restore_use(gateway, customer, plan, fields)
-    if times is not None:
-        registry.ceilings_from.times = times
 
 
 def _scalar(gateway: Gateway, name: str) -> Any:
