--- a/hillmux/cli.py
+++ b/hillmux/cli.py
@@ -12,7 +12,7 @@
 
 from hillmux.hosted.config import ConfigFaultsError, check_files, load
 from hillmux.lab.commands import lab
-from hillmux.net import shutdown
+from hillmux.net.log_setup import LogRateLimit, set_up_log
 from hillmux.recovery.commands import snapshot
 from hillmux.tenants.model import ServiceConfig
 
@@ -143,10 +143,10 @@
 
 
 def _set_up_log(name: str, lines_per_s: int) -> None:
-    shutdown.set_up_log(name)
+    set_up_log(name)
     for handler in logging.getLogger().handlers:
         handler.filters.clear()
-        handler.addFilter(shutdown.LogRateLimit(2 * lines_per_s))  # each tenant's lines are limited before
+        handler.addFilter(LogRateLimit(2 * lines_per_s))  # each tenant's lines are limited before
 
 
 def _exit_invalid(text: str) -> NoReturn:
--- a/hillmux/decision/gateway.py
+++ b/hillmux/decision/gateway.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from hillmux import interface as api
-from hillmux.balancing.fleet import Fleet
+from hillmux.balancing.load_balancer import LoadBalancer
 from hillmux.decision.admission import AdmissionControl
 from hillmux.decision.attempts import AttemptManager
 from hillmux.decision.context import HOUSEKEEPING_INTERVAL_MS, DecisionContext
@@ -40,7 +40,7 @@
         settings.check()
         self.rng = random.Random(seed)
         self.context = DecisionContext(settings, self.rng)
-        self.fleet = Fleet(settings, self.rng)
+        self.fleet = LoadBalancer(settings, self.rng)
         self.hosts = self.fleet.hosts
         self.pending = self.context.pending
         self.quotas = Quotas(settings, self.rng, self._settle)
@@ -84,7 +84,7 @@
         context = self.context
         if now_ms > context.now:
             context.now = self.fleet.now = self.quotas.now = now_ms
-        context.actions = self.quotas.out = []
+        context.actions = self.quotas.actions = []
         if context.now > self._overdue_at:
             self._housekeeping_overdue()
         if isinstance(event, Request):
@@ -105,7 +105,7 @@
     def _start(self) -> None:
         """Set the timers going at the first event."""
         context = self.context
-        context.started_at = self.quotas.born = context.now
+        context.started_at = self.quotas.started_at = context.now
         self._set_housekeeping_timer()
         if context.settings.must_subscribe:
             context.actions.append(api.Subscribe())
@@ -142,11 +142,11 @@
             case api.ClientDisconnected():
                 self._client_disconnected(event.request_id)
             case api.HostDisabled():
-                self.fleet.by_hand(event.host, event.disabled)
+                self.fleet.set_disabled(event.host, event.disabled)
             case api.DrainStarted():
                 self.quotas.drain()
             case api.TakenOver():
-                self.quotas.succeeded = event.by_successor
+                self.quotas.taken_over = event.by_successor
             case api.SettingsChanged():
                 self._change_settings(event.settings)
             case api.HealthCheckReply() | api.GossipMessage():
@@ -166,7 +166,7 @@
             delay_ms = RESUBSCRIBE_MS * (1 + self.rng.random())
             self.context.actions.append(api.SetTimer(SUBSCRIBE_TIMER, delay_ms))
         else:
-            self.fleet.update(event)
+            self.fleet.update_endpoints(event)
 
     def _client_disconnected(self, request_id: str) -> None:
         self.new_requests.client_disconnected(request_id)
@@ -183,8 +183,8 @@
         if settings.plans != self.settings.plans:
             raise ValueError("plans: cannot change in service")
         self.context.change(settings)
-        self.fleet.change(settings)
-        self.quotas.change(settings)
+        self.fleet.change_settings(settings)
+        self.quotas.change_settings(settings)
         used = {pending.request_class.name for pending in self.pending.values()}
         used |= set(self.context.classes) | self.new_requests.waiting_classes()
         self.latency.change(settings.classes, used)
@@ -217,6 +217,9 @@
         """
         return (
             self.is_idle()
-            and self.quotas.settled()
-            and all(not h.fails and not h.died and self.fleet.warmth(h) >= 1 for h in self.hosts.values())
+            and self.quotas.is_quiescent()
+            and all(
+                not h.ejections and not h.connection_refused and self.fleet.capacity_share(h) >= 1
+                for h in self.hosts.values()
+            )
         )
--- a/hillmux/hot_restart/state_codec.py
+++ b/hillmux/hot_restart/state_codec.py
@@ -21,10 +21,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from hillmux.balancing.fleet import FASTEST, OUT, SLOWEST
+from hillmux.balancing.host import MAX_LATENCY_RATIO, MIN_LATENCY_RATIO
 from hillmux.decision.admission import AdmissionShare
 from hillmux.decision.gateway import Gateway
-from hillmux.quotas.latest_times import SLOTS
+from hillmux.quotas.latest_times import SLOT_COUNT
 from hillmux.quotas.state import QuotaState
 
 VERSION = 1
@@ -55,6 +55,17 @@
     "done_rate": ("occupancy", "completion_rate"),
     "bank": ("retry_budget", "balance"),
 }
+HOST_ATTRIBUTES = {
+    "born": "started_at_ms",
+    "cold_from_ms": "warming_since_ms",
+    "slow": "latency_ratio",
+    "strikes": "consecutive_failures",
+    "fails": "ejections",
+    "down_until": "ejected_until_ms",
+    "died": "connection_refused",
+    "credit": "slow_start_credit",
+    "credit_at": "slow_start_credit_at_ms",
+}
 COUNTER_ATTRIBUTES = {"heard": "answer_rate", "call_at": "called_at"}
 USE_ATTRIBUTES = {name: name for name in USE} | {
     "width": "replicas",
@@ -79,7 +90,8 @@
 # What lies outside would break the module later, when it is half taken: a pace has a logarithm, a failing
 # host's rest is a power of how often it failed.
 RANGES = {
-    "f": (0.0, 1.0), "heard": (0.0, 1.0), "luck": (0.0, 1.0), "slow": (FASTEST, SLOWEST), "fails": (0, 10),
+    "f": (0.0, 1.0), "heard": (0.0, 1.0), "luck": (0.0, 1.0),
+    "slow": (MIN_LATENCY_RATIO, MAX_LATENCY_RATIO), "fails": (0, 10),
     "strikes": (0, MOST), "width": (1, MOST), "widest": (1, MOST), "q_n": (0, MOST), "q_seen": (0, MOST),
     "warm_rate": (0.0, MOST), "bank": (0.0, MOST),
 }  # fmt: skip
@@ -106,9 +118,9 @@
         "version": VERSION,
         "scalars": {name: _scalar(gateway, name) for name in SCALARS}
         | {name: getattr(quotas.throttle, COUNTER_ATTRIBUTES[name]) for name in COUNTER},
-        "warm_rate": fleet.warm_rate,
+        "warm_rate": fleet.slow_start.warm_work_rate,
         "latency": dict(gateway.latency.per_unit_ms),
-        "asked_at": dict(quotas.registry.asked_at),
+        "asked_at": dict(quotas.registry.last_request_at),
         "cells": [
             [*key, share.value, share.work, share.admit_fraction, share.accumulator]
             for key, share in gateway.admission.shares.items()
@@ -117,7 +129,10 @@
     hosts = list(fleet.hosts.values())
     for at in range(0, len(hosts), AT_ONCE):
         some = hosts[at : at + AT_ONCE]
-        yield {"t": HOSTS, "hosts": {h.name: [getattr(h, field) for field in HOST] for h in some}}
+        yield {
+            "t": HOSTS,
+            "hosts": {h.name: [getattr(h, HOST_ATTRIBUTES[field]) for field in HOST] for h in some},
+        }
     states = [state for state in quotas.registry.states.values() if wanted(state)]
     attributes = [USE_ATTRIBUTES[name] for name in USE]
     for at in range(0, len(states), AT_ONCE):
@@ -126,7 +141,7 @@
             "t": CUSTOMERS,
             "uses": [[*state.key, *(getattr(state, name) for name in attributes)] for state in some_states],
         }
-    times = quotas.registry.ceilings_from.times
+    times = quotas.registry.forgotten_ceilings.slots
     if times is not None:
         text = base64.b85encode(zlib.compress(times.tobytes(), 1)).decode()
         for at in range(0, len(text), PIECE):
@@ -166,7 +181,7 @@
         if plan in gateway.context.plans and len(registry.states) < gateway.settings.max_customers:
             _restore_use(gateway, customer, plan, fields)
     if state.sketch_times is not None:
-        registry.ceilings_from.times = state.sketch_times
+        registry.forgotten_ceilings.slots = state.sketch_times
 
 
 def _parse(documents: list[dict[str, Any]], listed_hosts: Container[str]) -> _State:
@@ -224,11 +239,11 @@
             part, attribute = SCALAR_ATTRIBUTES[name]
             setattr(getattr(gateway, part), attribute, value)
     classes, plans = gateway.context.classes, gateway.context.plans
-    gateway.quotas.born = gateway.context.started_at
-    gateway.quotas.pressed = gateway.admission.admit_fraction < 1
+    gateway.quotas.started_at = gateway.context.started_at
+    gateway.quotas.shedding_load = gateway.admission.admit_fraction < 1
     gateway.latency.per_unit_ms.update({n: v for n, v in state.latency.items() if n in classes})
-    gateway.quotas.registry.asked_at.update({n: v for n, v in state.asked_at.items() if n in plans})
-    gateway.fleet.warm_rate = state.warm_rate
+    gateway.quotas.registry.last_request_at.update({n: v for n, v in state.asked_at.items() if n in plans})
+    gateway.fleet.slow_start.warm_work_rate = state.warm_rate
 
 
 def _restore_cells(gateway: Gateway, cells: list[tuple[str, str, list[float]]]) -> None:
@@ -246,17 +261,15 @@
 
 def _restore_host(gateway: Gateway, name: str, fields: dict[str, Any]) -> None:
     fleet, host = gateway.fleet, gateway.fleet.hosts[name]
-    born = host.born
+    born = host.started_at_ms
     if fields["born"] < born:
         return  # it has started anew since: what was learnt of it is of no use
-    fleet._move(host, OUT)
-    fleet.open_well -= 0 if host.fails else host.open
+    fleet.host_set.detach(host)
     for field, value in fields.items():
-        setattr(host, field, value)
-    host.died = bool(host.died)
-    host.weigh()
-    fleet.open_well += 0 if host.fails else host.open
-    fleet.place(host)
+        setattr(host, HOST_ATTRIBUTES[field], value)
+    host.connection_refused = bool(host.connection_refused)
+    host.update_load()
+    fleet.host_set.attach(host, fleet.now)
 
 
 def _restore_use(gateway: Gateway, customer: str, plan: str, fields: dict[str, Any]) -> None:
@@ -265,7 +278,7 @@
     if state is None:
         state = QuotaState(key, gateway.context.plans[plan], fields["width"], gateway.context.now, 0.0)
         registry.states[key] = state
-        registry.ring.append(state)
+        registry.sweep_queue.append(state)
     for name, value in fields.items():
         setattr(state, USE_ATTRIBUTES[name], value)
     state.set_replicas(state.replicas)
@@ -347,9 +360,9 @@
     if not text:
         return None
     try:
-        found = array("d", zlib.decompressobj().decompress(base64.b85decode(text), 8 * SLOTS + 1))
+        found = array("d", zlib.decompressobj().decompress(base64.b85decode(text), 8 * SLOT_COUNT + 1))
     except (ValueError, zlib.error):
         raise StateError(f"{SKETCH}: cannot be read") from None
-    if len(found) != SLOTS or not all(map(math.isfinite, found)):
-        raise StateError(f"{SKETCH}: must be {SLOTS} times")
+    if len(found) != SLOT_COUNT or not all(map(math.isfinite, found)):
+        raise StateError(f"{SKETCH}: must be {SLOT_COUNT} times")
     return found
--- a/hillmux/net/forward_request.py
+++ b/hillmux/net/forward_request.py
@@ -27,7 +27,7 @@
 class StreamingClient(Client, Protocol):
     """A client that a long response is streamed to."""
 
-    def start_response(self, reply: Response, source: Any) -> None:
+    def start_response(self, response: Response, source: Any) -> None:
         """Send the head of the response; the body follows from `source`, a connection to a host."""
 
     def finish_response(self) -> None:
@@ -54,7 +54,7 @@
     head: bytes  # request line and headers for the host, without X-Deadline
     body: bytes
     pool: str = ""  # the hosts that may serve it
-    streamed_body: Any = None  # the rest of a body that is still arriving (net/streaming.py)
+    streamed_body: Any = None  # the rest of a body that is still arriving (net/streamed_body.py)
 
     def __init__(
         self,
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -17,13 +17,13 @@
 from hillmux.hot_restart.state_codec import StateError, export, restore
 from hillmux.interface import ListKind
 from hillmux.net.attempt import Attempt
-from hillmux.net.clients import Listener
 from hillmux.net.config import GatewayConfig
 from hillmux.net.discovery_response import DiscoveryResponse
 from hillmux.net.forward_request import OpenRequest
 from hillmux.net.http1 import Response
+from hillmux.net.listener import Listener
 from hillmux.net.platform_gateway import PlatformGateway
-from hillmux.net.streaming import StreamingUpstreamConnection, StreamingUpstreamPool
+from hillmux.net.streaming_upstream import StreamingUpstreamConnection, StreamingUpstreamPool
 
 log = logging.getLogger(__name__)
 
@@ -198,7 +198,7 @@
         open_now = sum(request.client is not None for request in self.requests.values())
         fleet = self.decision_module.fleet
         return self.metrics.to_dict(
-            [c.name for c in self.settings.classes], open_now, len(fleet.hosts), fleet.skipped()
+            [c.name for c in self.settings.classes], open_now, len(fleet.hosts), fleet.skipped_count()
         )
 
     def override_host(self, host: str, disabled: bool) -> str:
@@ -237,13 +237,13 @@
         self,
         request: OpenRequest | None,
         status: int,
-        reply: Response | None = None,
+        response: Response | None = None,
         retry_after_ms: float = 0.0,
     ) -> None:
         """Also count the response."""
         if request is not None and request.client is not None:
             self.metrics.count_answer(request.forward_request.class_name, status)
-        super().answer(request, status, reply, retry_after_ms)
+        super().answer(request, status, response, retry_after_ms)
 
     def attempt_sent(self, attempt: Attempt) -> None:
         """Count an attempt that has been sent completely."""
--- a/hillmux/net/platform_gateway.py
+++ b/hillmux/net/platform_gateway.py
@@ -10,7 +10,6 @@
 from hillmux import interface as api
 from hillmux.interface import ListKind
 from hillmux.net.attempt import Attempt
-from hillmux.net.clients import Listener
 from hillmux.net.config import GatewayConfig
 from hillmux.net.counter_client import HttpCounterClient
 from hillmux.net.discovery_response import DiscoveryResponse
@@ -23,13 +22,10 @@
     GatewayCore,
 )
 from hillmux.net.http1 import Response
+from hillmux.net.listener import Listener
 from hillmux.net.loop_lag import LoopLagMonitor
-from hillmux.net.streaming import (
-    STREAMED_REQUEST_TIMEOUT_S,
-    StreamingClientConnection,
-    StreamingUpstreamConnection,
-    StreamingUpstreamPool,
-)
+from hillmux.net.streaming_client import STREAMED_REQUEST_TIMEOUT_S, StreamingClientConnection
+from hillmux.net.streaming_upstream import StreamingUpstreamConnection, StreamingUpstreamPool
 
 UPSTREAM_SOCKET_SHARE: Final = 0.36  # of the process's sockets
 # How long a start waits for discovery before it serves with the list it was given. Discovery answers at once,
@@ -160,7 +156,7 @@
                 self.streaming_pool.on_body_complete(attempt)
 
     def _response_started(
-        self, attempt: Attempt, reply: Response, source: StreamingUpstreamConnection
+        self, attempt: Attempt, response: Response, source: StreamingUpstreamConnection
     ) -> StreamingClientConnection | None:
         request = self.requests[attempt.request_id]
         client = cast(StreamingClientConnection | None, request.client)
@@ -169,7 +165,7 @@
         request.streaming_attempt = attempt
         self.deadlines.cancel(request, request.deadline_slot)
         self.post(api.ResponseStarted(request.id, attempt.number))
-        client.start_response(reply, source)
+        client.start_response(response, source)
         return client
 
     def client_disconnected(self, request_id: str) -> None:
--- a/hillmux/recovery/snapshotting_gateway.py
+++ b/hillmux/recovery/snapshotting_gateway.py
@@ -12,8 +12,8 @@
 from hillmux import interface as api
 from hillmux.hot_restart.server import SuccessorProcess
 from hillmux.hot_restart.state_codec import StateError, export, restore
-from hillmux.net.clients import Listener
 from hillmux.net.config import GatewayConfig
+from hillmux.net.listener import Listener
 from hillmux.net.managed_gateway import READY_TIMEOUT_S, ManagedGateway
 from hillmux.quotas.throttle import SILENT_RATE
 from hillmux.recovery.readiness import GatewayCondition, ReadinessTracker
@@ -49,7 +49,7 @@
         self._successor_serves = False
 
     def _export_state(self, exact: bool) -> Iterator[dict[str, Any]]:
-        now_ms, expiry_ms = self.clock.now_ms(), self.decision_module.quotas.registry.rests
+        now_ms, expiry_ms = self.clock.now_ms(), self.decision_module.quotas.registry.rest_ms
         return export(
             self.decision_module,
             lambda use: is_worth_storing(use.seen_at, expiry_ms[use.plan.name], now_ms, exact),
@@ -136,9 +136,9 @@
             counter_answers=not counter_used or throttle.answer_rate >= SILENT_RATE,
             outcomes=self._outcomes,
             admit_fraction=gateway.admission.admit_fraction,
-            hosts=fleet.up,
-            warming_hosts=fleet.cold,
-            ejected_hosts=fleet.failing,
+            hosts=fleet.host_set.available_count,
+            warming_hosts=fleet.host_set.warming_count,
+            ejected_hosts=fleet.host_set.ejected_count,
             stalled=late or now_ms - gateway.context.stalled_at < STALL_MEMORY_MS,
         )
 
--- a/tests/decision/test_attempts.py
+++ b/tests/decision/test_attempts.py
@@ -6,7 +6,7 @@
 from conftest import Driver, of
 
 from hillmux import interface as api
-from hillmux.balancing import fleet
+from hillmux.balancing.outliers import BASE_EJECTION_MS
 from hillmux.decision import retries
 from hillmux.interface import AttemptResult
 
@@ -20,7 +20,7 @@
     assert d.gateway.attempts.select_host(pending) is None  # the first one is still out
     pending.attempts[0].open, pending.open_attempts = False, 0
     for _ in range(5):  # the other zone's hosts are free, this one's are loaded, one was tried
-        d.gateway.fleet.began(first, 0.0)
+        d.gateway.fleet.request_started(first, 0.0)
     picked = {d.gateway.attempts.select_host(pending) for _ in range(30)}
     assert other not in picked and {h.zone for h in picked} == {first.zone}
     d.gateway.context.now += 3000
@@ -35,7 +35,7 @@
     assert of(out, api.SendAttempt)
     d.end(request_id)
     host = d.gateway.hosts["h0"]
-    assert d.gateway.fleet.warmth(host) < 0.3
+    assert d.gateway.fleet.capacity_share(host) < 0.3
 
 
 @pytest.mark.parametrize(
@@ -59,8 +59,8 @@
         assert of(out, api.SendAttempt)
         d.end(request_id, result)
     host = d.gateway.hosts["h0"]
-    assert (host.died, host.fails > 0) == (result == AttemptResult.CONNECT_FAILED, rests)
-    assert host.open == 0 and d.gateway.occupancy.smoothed == 0
+    assert (host.connection_refused, host.ejections > 0) == (result == AttemptResult.CONNECT_FAILED, rests)
+    assert host.open_requests == 0 and d.gateway.occupancy.smoothed == 0
 
 
 def test_local_limit_is_answered_without_a_retry() -> None:
@@ -74,11 +74,11 @@
     d = Driver(servers=4)
     d.sweep()
     host = d.gateway.hosts["h0"]
-    d.gateway.fleet.down(host)
-    d.gateway.fleet.place(host)
+    d.gateway.fleet.eject(host)
+    d.gateway.fleet.reindex(host)
     seen = {of(d.ask(after=1)[1], api.SendAttempt)[0].host for _ in range(20)}
     assert "h0" not in seen
-    assert of(d.ask(after=fleet.BACKOFF_MS)[1], api.SendAttempt)[0].host == "h0"
+    assert of(d.ask(after=BASE_EJECTION_MS)[1], api.SendAttempt)[0].host == "h0"
 
 
 def test_retries_stay_within_their_budget() -> None:
--- a/tests/decision/test_customers.py
+++ b/tests/decision/test_customers.py
@@ -11,7 +11,7 @@
 from hillmux.decision.gateway import Gateway
 from hillmux.interface import AttemptResult, ListKind, RejectReason
 from hillmux.quotas.latest_times import LatestTimes
-from hillmux.quotas.registry import CHOICES
+from hillmux.quotas.registry import EVICTION_CANDIDATES
 
 
 def test_customer_with_one_request_is_forgotten() -> None:
@@ -25,7 +25,10 @@
     d.sweep(1210)
     quotas = d.gateway.quotas
     assert (
-        not quotas.registry.states and not quotas.registry.ring and not quotas.calls and not d.gateway.pending
+        not quotas.registry.states
+        and not quotas.registry.sweep_queue
+        and not quotas.open_calls
+        and not d.gateway.pending
     )
 
 
@@ -85,23 +88,23 @@
 
 
 def test_customer_unseen_for_the_longest_is_forgotten_first() -> None:
-    d = Driver(counter_available=False, max_customers=CHOICES)
-    for i in range(CHOICES):
+    d = Driver(counter_available=False, max_customers=EVICTION_CANDIDATES)
+    for i in range(EVICTION_CANDIDATES):
         d.end(d.ask(customer=f"c{i}", after=1.0)[0])
     for i in (0, 1, 2, 4, 5, 6, 7):  # all but c3 come again
         d.end(d.ask(customer=f"c{i}", after=1.0)[0])
     d.ask(customer="new", after=1.0)
     states = d.gateway.quotas.registry.states
-    assert ("c3", "open") not in states and len(states) == CHOICES
+    assert ("c3", "open") not in states and len(states) == EVICTION_CANDIDATES
 
 
 def test_customers_that_share_a_sketch_slot_keep_their_own_time() -> None:
     shadow = LatestTimes()
     shadow.put(bytes([0, 0, 0, 1, 0, 0, 0, 2]), 50.0)
     shadow.put(bytes([0, 0, 0, 1, 0, 0, 0, 3]), 40.0)
-    assert shadow.at(bytes([0, 0, 0, 1, 0, 0, 0, 2])) == 50.0
-    assert shadow.at(bytes([0, 0, 0, 1, 0, 0, 0, 3])) == 40.0  # not that of the slot that both have
-    assert shadow.at(bytes([0, 0, 0, 1, 0, 0, 0, 4])) == 0.0
+    assert shadow.get(bytes([0, 0, 0, 1, 0, 0, 0, 2])) == 50.0
+    assert shadow.get(bytes([0, 0, 0, 1, 0, 0, 0, 3])) == 40.0  # not that of the slot that both have
+    assert shadow.get(bytes([0, 0, 0, 1, 0, 0, 0, 4])) == 0.0
 
 
 def test_known_customers_are_bounded_and_those_with_open_requests_are_kept() -> None:
@@ -112,7 +115,7 @@
         request_id, out = d.ask(plan="basic", customer=f"k{i}")
         assert of(out, api.SendAttempt)
         d.end(request_id)
-        assert len(d.gateway.quotas.registry.states) == len(d.gateway.quotas.registry.ring) <= 50
+        assert len(d.gateway.quotas.registry.states) == len(d.gateway.quotas.registry.sweep_queue) <= 50
     assert ("busy", "open") in d.gateway.quotas.registry.states
     for i in range(60):
         d.ask(plan="open", customer=f"busy{i}")
@@ -174,7 +177,7 @@
             known = f"known{i // 50 % 10}"
             admitted[known] += ask(f"k{i}", known)
     assert (
-        len(gateway.quotas.registry.states) == len(gateway.quotas.registry.ring) == 8192
+        len(gateway.quotas.registry.states) == len(gateway.quotas.registry.sweep_queue) == 8192
         and not gateway.pending
     )
     assert rejected <= 100_000 * 0.01
--- a/tests/decision/test_quota.py
+++ b/tests/decision/test_quota.py
@@ -9,8 +9,8 @@
 
 from hillmux import interface as api
 from hillmux.interface import AttemptResult
-from hillmux.quotas.estimate import SPLIT
-from hillmux.quotas.throttle import CUTS
+from hillmux.quotas.estimate import EVEN_SPLIT_FACTOR
+from hillmux.quotas.throttle import MAX_LOST_CONNECTIONS
 
 
 def calls_of(d: Driver) -> list[api.IncrementCounter]:
@@ -164,7 +164,9 @@
         return made
 
     assert calls(AttemptResult.OK) == 60
-    assert calls(AttemptResult.CONNECTION_LOST, CUTS) == CUTS  # one connection's end
+    assert (
+        calls(AttemptResult.CONNECTION_LOST, MAX_LOST_CONNECTIONS) == MAX_LOST_CONNECTIONS
+    )  # one connection's end
     assert d.gateway.quotas.throttle.answer_rate == 1.0
     assert calls(AttemptResult.CONNECTION_LOST) < 15  # nothing else comes: it is gone
     calls(AttemptResult.OK, 300)
@@ -196,4 +198,4 @@
             request_id, out = d.ask(plan="basic", width=300)
             sent += len(of(out, api.SendAttempt))
     extra = sent - 300  # the first one of each gateway is let in: most customers are far from their quota
-    assert extra <= 2 * SPLIT * min(PLAN.burst, PLAN.rate * age_s) + 3
+    assert extra <= 2 * EVEN_SPLIT_FACTOR * min(PLAN.burst, PLAN.rate * age_s) + 3
--- a/tests/fakes/successors.py
+++ b/tests/fakes/successors.py
@@ -52,7 +52,7 @@
 ) -> Driver:
     """A gateway of the same settings and endpoints that restores documents, by default the predecessor's."""
     successor = Driver(servers=6, seed=99, now=predecessor.now + after_ms, counter_available=False)
-    restarted = predecessor.gateway.hosts["h5"].server
+    restarted = predecessor.gateway.hosts["h5"].endpoint
     successor.give(api.EndpointList(ListKind.CHANGES, (restarted,)))
     restore(successor.gateway, exported_documents(predecessor.gateway) if documents is None else documents)
     return successor
--- a/tests/hot_restart/test_state_codec.py
+++ b/tests/hot_restart/test_state_codec.py
@@ -16,7 +16,7 @@
 from hillmux.hot_restart.channel import MAX_PACKET_BYTES
 from hillmux.hot_restart.state_codec import AT_ONCE, MODULE, StateError, export, restore
 from hillmux.interface import ListKind, RejectReason
-from hillmux.quotas.registry import CHOICES
+from hillmux.quotas.registry import EVICTION_CANDIDATES
 
 
 def test_restored_module_exports_the_same_documents() -> None:
@@ -29,7 +29,7 @@
     """The same requests at the same times, to the old module as if it went on and to its successor."""
     d = busy_gateway(seed, faults=False)
     new = successor_of(d)
-    assert new.gateway.fleet.skipped() == d.gateway.fleet.skipped()
+    assert new.gateway.fleet.skipped_count() == d.gateway.fleet.skipped_count()
     answers = []
     for module in (d, new):
         module.gateway.rng.seed(seed)
@@ -77,15 +77,18 @@
     new = Driver(servers=6, seed=99, now=d.now, counter_available=False)
     new.give(api.EndpointList(ListKind.CHANGES, (server(2, started_at_ms=d.now),)))
     restore(new.gateway, exported_documents(d.gateway))
-    assert new.gateway.hosts["h2"].slow == 1.0
-    assert new.gateway.fleet.warmth(new.gateway.hosts["h2"]) < 1
+    assert new.gateway.hosts["h2"].latency_ratio == 1.0
+    assert new.gateway.fleet.capacity_share(new.gateway.hosts["h2"]) < 1
 
 
 def test_sketch_of_forgotten_ceilings_is_restored() -> None:
-    d = busy_gateway(max_customers=CHOICES)
-    assert d.gateway.quotas.registry.ceilings_from.times is not None
+    d = busy_gateway(max_customers=EVICTION_CANDIDATES)
+    assert d.gateway.quotas.registry.forgotten_ceilings.slots is not None
     new = successor_of(d)
-    assert new.gateway.quotas.registry.ceilings_from.times == d.gateway.quotas.registry.ceilings_from.times
+    assert (
+        new.gateway.quotas.registry.forgotten_ceilings.slots
+        == d.gateway.quotas.registry.forgotten_ceilings.slots
+    )
 
 
 def test_documents_are_of_bounded_size() -> None:
--- a/tests/recovery/test_retention.py
+++ b/tests/recovery/test_retention.py
@@ -10,7 +10,7 @@
 from fakes.successors import busy_gateway, exported_documents, successor_of
 
 from hillmux import interface as api
-from hillmux.balancing.fleet import Host
+from hillmux.balancing.host import Host
 from hillmux.hot_restart import state_codec as state
 from hillmux.hot_restart.state_codec import StateError, export, restore
 from hillmux.interface import AttemptResult, ListKind
@@ -30,9 +30,9 @@
 }  # fmt: skip
 # Made anew from the list, the settings or what is remembered, or of what is open: nothing to remember.
 MADE = {
-    Host: {"name", "zone", "cell", "nominal", "up", "open", "pool", "server", "listed", "group", "home",
-           "regions", "rank", "at", "pace", "load", "log_load", "log_nominal", "out", "place", "near",
-           "tier"},
+    Host: {"name", "zone", "cell", "capacity", "up", "open_requests", "pool", "pool_name", "endpoint",
+           "listed", "group", "localities", "rank", "rank_index", "latency_bin", "load_per_request",
+           "idle_rank", "log_capacity", "disabled", "ring_position", "in_aperture", "ranking"},
     QuotaState: {"key", "plan", "digest", "phase", "count_name", "call_open", "call_amount", "called_at",
                  "waiting", "open_requests",
                  # From the plan and the number of replicas; how a lease stands, which only a total confirms.
@@ -56,7 +56,10 @@
 
 @pytest.mark.parametrize(
     ("kind", "left_behind"),
-    [(Host, state.HOST), (QuotaState, tuple(state.USE_ATTRIBUTES[name] for name in state.USE))],
+    [
+        (Host, tuple(state.HOST_ATTRIBUTES[name] for name in state.HOST)),
+        (QuotaState, tuple(state.USE_ATTRIBUTES[name] for name in state.USE)),
+    ],
 )
 def test_every_field_of_a_host_and_a_customer_is_stored_or_derived(
     kind: type, left_behind: tuple[str, ...]
@@ -81,7 +84,7 @@
         assert (use.remaining, use.last_total) == (0.0, None)
         assert use.ceiling_at == new.now
         if use.plan.ceiling_rate > 0:
-            assert not new.gateway.quotas.ceiling_has(use, 1.0)
+            assert not new.gateway.quotas.ceiling_has_units(use, 1.0)
 
 
 def test_ceiling_is_not_exceeded_however_often_the_process_is_killed() -> None:
@@ -106,9 +109,9 @@
     for share in d.gateway.admission.shares.values():
         share.admit_fraction = 0.2
     young, old = successor_after(d, 500, exact=False).gateway, successor_after(d, 60_000, exact=True).gateway
-    assert young.admission.admit_fraction == 0.3 and young.quotas.pressed
+    assert young.admission.admit_fraction == 0.3 and young.quotas.shedding_load
     assert {share.admit_fraction for share in young.admission.shares.values()} == {0.2}
-    assert old.admission.admit_fraction == 1.0 and not old.quotas.pressed
+    assert old.admission.admit_fraction == 1.0 and not old.quotas.shedding_load
     assert {share.admit_fraction for share in old.admission.shares.values()} == {1.0}
 
 
@@ -120,7 +123,7 @@
     new.give(api.EndpointList(ListKind.CHANGES, (restarted,)))
     restore(new.gateway, retained(documents, d.now, True, new.now, new.now))
     host = new.gateway.hosts["h2"]
-    assert new.gateway.fleet.warmth(host) < 1 and host.slow == 1.0
+    assert new.gateway.fleet.capacity_share(host) < 1 and host.latency_ratio == 1.0
 
 
 def test_host_that_is_not_listed_is_not_restored() -> None:
@@ -132,11 +135,14 @@
 
 def test_latency_ratio_decays_and_an_old_failure_is_not_retained() -> None:
     d = busy_gateway()
-    slow = d.gateway.hosts["h2"].slow = 3.0
-    assert d.gateway.hosts["h1"].fails
+    slow = d.gateway.hosts["h2"].latency_ratio = 3.0
+    assert d.gateway.hosts["h1"].ejections
     later = successor_after(d, LATENCY_RATIO_HALF_LIFE_MS, exact=False).gateway
-    assert later.hosts["h2"].slow == pytest.approx(1 + (slow - 1) / 2)
-    assert not later.hosts["h1"].fails and successor_after(d, 1000, exact=False).gateway.hosts["h1"].strikes
+    assert later.hosts["h2"].latency_ratio == pytest.approx(1 + (slow - 1) / 2)
+    assert (
+        not later.hosts["h1"].ejections
+        and successor_after(d, 1000, exact=False).gateway.hosts["h1"].consecutive_failures
+    )
 
 
 def test_final_snapshot_omits_a_customer_only_once_its_ceiling_is_full_again() -> None:
@@ -144,7 +150,7 @@
     d = busy_gateway()
     quotas = d.gateway.quotas
     (use,) = [u for u in quotas.registry.states.values() if u.plan is CAPPED and u.key[0] == "c1"]
-    rest, full = quotas.registry.rests["capped"], CAPPED.ceiling_burst / use.replicas
+    rest, full = quotas.registry.rest_ms["capped"], CAPPED.ceiling_burst / use.replicas
     for unseen, kept in ((rest - 1, True), (rest, False)):
         now = use.seen_at + unseen
         documents = export(d.gateway, lambda u, now=now: is_worth_storing(u.seen_at, rest, now, exact=True))
@@ -152,7 +158,7 @@
         assert (use.key in named) == kept
     use.ceiling_remaining, use.ceiling_at = 0.0, use.seen_at  # all of it was spent with its last request
     d.give(api.TimerFired("none"), after=use.seen_at + rest - d.now)
-    assert quotas.ceiling_has(use, full)
+    assert quotas.ceiling_has_units(use, full)
 
 
 def test_periodic_snapshot_holds_only_customers_seen_recently() -> None:
