--- a/benchmarks/capacity/routes.py
+++ b/benchmarks/capacity/routes.py
@@ -51,8 +51,7 @@
 
 def entries(router: Router) -> int:
     """Places of tenants, and words of method and prefix, that the index holds."""
-    places = sum(len(prefixes.entries) for prefixes in router._hosts.values())
-    return places + sum(len(rules.by_word) for rules in router._rules.values())
+    return router.entry_count()
 
 
 def measure(size: int, seed: int) -> Values:
--- a/hillmux/tenants/__init__.py
+++ b/hillmux/tenants/__init__.py
@@ -2,7 +2,17 @@
 
 from hillmux.tenants.model import Pool, Route, ServiceConfig, Tenant
 from hillmux.tenants.registry import Change, Registry
-from hillmux.tenants.router import RouteFault, Router
+from hillmux.tenants.router import RouteConflictError, Router
 from hillmux.tenants.shares import Shares
 
-__all__ = ["Change", "Pool", "Registry", "Route", "RouteFault", "Router", "ServiceConfig", "Shares", "Tenant"]
+__all__ = [
+    "Change",
+    "Pool",
+    "Registry",
+    "Route",
+    "RouteConflictError",
+    "Router",
+    "ServiceConfig",
+    "Shares",
+    "Tenant",
+]
--- a/hillmux/tenants/looptime.py
+++ b/hillmux/tenants/looptime.py
@@ -1,44 +1,47 @@
-"""The loop's time as shares: who has had its part of a turn, and whose requests go after the others'."""
+"""The event loop's time as shares: which tenants used up theirs, and whose requests go after the others'."""
 
 from __future__ import annotations
 
+from typing import Final
+
 from hillmux.tenants.shares import Shares
 
-SLACK = 0.1  # of the whole, by which a tenant may be beyond its part: chance alone is no flood
-HEAVY = 1.5  # times a tenant's part of the time that is taken, beyond which others' requests go first
+CHANCE_SLACK: Final = 0.1  # part of the whole by which chance alone may put a tenant beyond its share
+HEAVY_USE_FACTOR: Final = 1.5  # times its share of the time used, beyond which others' requests go first
 
 
 class LoopTime(Shares):
-    """Seconds of each turn, dealt out anew by `turn`."""
+    """Seconds of the loop's time in one turn; `turn` begins the next."""
 
     def __init__(self, whole: float) -> None:
         super().__init__(whole)
-        self._heavy: frozenset[str] = frozenset()  # those that took much in the last turn
+        self._heavy: frozenset[str] = frozenset()  # tenants of the last turn
         self._was_shared = False  # the last turn was of more than one tenant
 
     def crowded(self, tenant_id: str) -> bool:
         """Whether a tenant has had its part of the loop's time in this turn, and there is none left to lend.
 
-        One that is alone is never crowded, and of many that are busy alike none is, by the slack.
-
-        Guards the others' time: what is refused here costs a fifth of what the module and a host would.
+        A tenant that is alone never is, and by the slack none of many that are equally busy is. Requests
+        refused for it leave the others their time: to refuse costs a fifth of what serving would.
         """
         if self.held < self.whole or not (self._was_shared or self.holders() > 1):
             return False
-        return self.holds(tenant_id) > self.entitled(tenant_id) + SLACK * self.whole
+        return self.holds(tenant_id) > self.entitled(tenant_id) + CHANCE_SLACK * self.whole
 
     def heavy(self, tenant_id: str) -> bool:
-        """Whether a tenant takes much more of the loop's time than its part of what all take, in this turn or
-        the last: what it sends goes one by one, after what others have ready."""
-        return tenant_id in self._heavy or self._takes_much(tenant_id)
+        """Whether a tenant used much more than its share of the time used, in this turn or the last.
+
+        Its requests are read one by one, after those that others have ready.
+        """
+        return tenant_id in self._heavy or self._uses_much(tenant_id)
 
-    def _takes_much(self, tenant_id: str) -> bool:
+    def _uses_much(self, tenant_id: str) -> bool:
         if self.holders() < 2:
             return False
-        return self.holds(tenant_id) > HEAVY * self.entitled(tenant_id) / self.whole * self.held
+        return self.holds(tenant_id) > HEAVY_USE_FACTOR * self.entitled(tenant_id) / self.whole * self.held
 
     def turn(self) -> None:
-        """Deal the loop's time out anew."""
-        self._heavy = frozenset(name for name in self.names() if self._takes_much(name))
+        """Begin a new turn."""
+        self._heavy = frozenset(name for name in self.names() if self._uses_much(name))
         self._was_shared = self.holders() > 1
         super().turn()
--- a/hillmux/tenants/router.py
+++ b/hillmux/tenants/router.py
@@ -1,6 +1,6 @@
-"""From Host and path to the tenant, and within it to a pool and a class, through an index.
+"""An index from Host and path to the tenant, and within it to a pool and a class.
 
-Theory of operation. The Host chooses among names, the longest path prefix among the tenants of that name; a
+The Host chooses among names, the longest path prefix among the tenants of that name; a
 Host that some tenant names never falls to the tenant of `*`, so no path can reach a tenant past the Host.
 Within the tenant the longest prefix whose routes have one for the method and headers wins; among the routes
 of one prefix and method those with more header conditions come first, which is well-defined since routes
@@ -15,23 +15,24 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from itertools import combinations
+from typing import Final
 
 from hillmux.tenants.model import ANY_HOST, Route, Tenant
 
-MOST_TOMBSTONES = 4096
+MAX_TOMBSTONES: Final = 4096  # places of removed tenants that are answered as gone
 
 
-class RouteFault(ValueError):  # noqa: N818 - it is told, not only raised
+class RouteConflictError(ValueError):
     """Two routes, or two tenants, that claim the same requests; the text names both."""
 
 
 @dataclass(slots=True)
-class _Rules:
-    """Compiled routes, shared by all tenants whose routes are alike: by method and prefix in one word."""
+class _RouteTable:
+    """Compiled routes, shared by all tenants whose routes are alike."""
 
-    by_word: dict[bytes, tuple[Route, ...]]  # the most specific first
-    depth: int
-    uses: int = 0
+    by_method_and_prefix: dict[bytes, tuple[Route, ...]]  # in one key; the most specific first
+    depth: int  # segments of the longest prefix
+    tenant_count: int = 0
 
 
 @dataclass(slots=True)
@@ -39,17 +40,17 @@
     """A tenant with its routes."""
 
     tenant: Tenant
-    rules: _Rules
+    rules: _RouteTable
     gone: bool = False  # the tenant was removed: 410
 
 
 @dataclass(slots=True)
-class _Prefixes:
+class _HostPrefixes:
     """Tenants of one host name by prefix."""
 
     entries: dict[bytes, Entry] = field(default_factory=dict)
-    depth: int = 0
-    root: Entry | None = None  # the only one, for all paths: no walk
+    depth: int = 0  # segments of the longest prefix
+    root: Entry | None = None  # the only entry, if it is for all paths: no walk is needed
 
 
 def segments(prefix: bytes) -> bytes:
@@ -58,55 +59,57 @@
 
 
 def check_routes(tenant: Tenant) -> list[str]:
-    """What is wrong among a tenant's own routes: pairs that are the same, cross, or hide one another."""
-    faults = []
+    """Errors among a tenant's own routes: names that stand twice, and pairs whose requests are ambiguous."""
+    errors = []
     by_prefix: dict[bytes, list[Route]] = {}
     names: dict[str, Route] = {}
     for route in tenant.routes:
         by_prefix.setdefault(segments(route.prefix), []).append(route)
         if names.setdefault(route.name, route) is not route:
-            faults.append(f"route {route.name!r}: two routes of one name")
+            errors.append(f"route {route.name!r}: two routes of one name")
     for routes in by_prefix.values():
         for one, other in combinations(routes, 2):
-            fault = _pair_fault(one, other)
-            if fault:
-                faults.append(f"routes {one.name!r} and {other.name!r}: {fault}")
-    return faults
+            conflict = _conflict_between(one, other)
+            if conflict:
+                errors.append(f"routes {one.name!r} and {other.name!r}: {conflict}")
+    return errors
 
 
-def _pair_fault(one: Route, other: Route) -> str:
+def _conflict_between(one: Route, other: Route) -> str:
     common = one.methods & other.methods
-    mine, theirs = dict(one.headers), dict(other.headers)
-    if not common or any(theirs.get(name, value) != value for name, value in mine.items()):
+    one_headers, other_headers = dict(one.headers), dict(other.headers)
+    if not common or any(other_headers.get(name, value) != value for name, value in one_headers.items()):
         return ""  # nothing matches both
-    if mine == theirs:
-        return "ambiguous: both match every request with " + _spell(common, mine)
-    if mine.items() <= theirs.items() or theirs.items() <= mine.items():
+    if one_headers == other_headers:
+        return "ambiguous: both match every request with " + _describe_requests(common, one_headers)
+    if one_headers.items() <= other_headers.items() or other_headers.items() <= one_headers.items():
         return ""  # the one with more conditions is tried first
-    return "ambiguous: neither is the more specific for a request with " + _spell(common, mine | theirs)
+    return "ambiguous: neither is the more specific for a request with " + _describe_requests(
+        common, one_headers | other_headers
+    )
 
 
-def _spell(methods: frozenset[bytes], headers: dict[bytes, bytes]) -> str:
+def _describe_requests(methods: frozenset[bytes], headers: dict[bytes, bytes]) -> str:
     words = [b"/".join(sorted(methods)).decode()]
     return " and ".join(words + [f"{n.decode()}: {v.decode('latin-1')}" for n, v in sorted(headers.items())])
 
 
 def check_tenants(tenants: Iterable[Tenant]) -> list[str]:
-    """What is wrong between tenants: two of one id, or two that claim one host name and prefix."""
-    faults, ids, claims = [], set(), dict[tuple[str, bytes], str]()
+    """Errors between tenants: two of one id, or two that claim one host name and prefix."""
+    errors, ids, claims = [], set(), dict[tuple[str, bytes], str]()
     for tenant in tenants:
         if tenant.id in ids:
-            faults.append(f"tenant {tenant.id!r}: two tenants of one id")
+            errors.append(f"tenant {tenant.id!r}: two tenants of one id")
         ids.add(tenant.id)
         for host in tenant.host_names:
             for prefix in tenant.path_prefixes:
                 holder = claims.setdefault((host, segments(prefix)), tenant.id)
                 if holder != tenant.id:
-                    faults.append(_both_claim(holder, tenant.id, host, prefix))
-    return faults
+                    errors.append(_claim_conflict(holder, tenant.id, host, prefix))
+    return errors
 
 
-def _both_claim(one: str, other: str, host: str, prefix: bytes) -> str:
+def _claim_conflict(one: str, other: str, host: str, prefix: bytes) -> str:
     return (
         f"tenants {one!r} and {other!r}: ambiguous: both claim host {host!r} "
         f"with prefix {prefix.decode() or '/'!r}"
@@ -114,103 +117,108 @@
 
 
 class Router:
-    """The index. Tenants are put in and taken out one by one, at a cost that does not grow with the rest."""
+    """The index of tenants. To add or remove one costs the same however many there are."""
 
     def __init__(self) -> None:
-        self._hosts: dict[str, _Prefixes] = {}
+        self._hosts: dict[str, _HostPrefixes] = {}
         self._tombstones: dict[tuple[str, bytes], Entry] = {}  # the oldest first
-        self._rules: dict[tuple[Route, ...], _Rules] = {}  # those in use
+        self._tables: dict[tuple[Route, ...], _RouteTable] = {}  # those in use
         self._header_uses: dict[bytes, int] = {}
         self.headers: frozenset[bytes] = frozenset()  # those that some route goes by
 
     def put(self, tenant: Tenant) -> None:
-        """Take a tenant in.
+        """Add a tenant.
 
         Raises:
-            RouteFault: its routes are at fault, or another tenant has its place; nothing has changed then.
+            RouteConflictError: its routes are ambiguous, or its place is taken; nothing has changed.
         """
-        faults = check_routes(tenant)
+        errors = check_routes(tenant)
         for host, prefix in _places(tenant):
-            held = self._hosts[host].entries.get(prefix) if host in self._hosts else None
-            if held is not None and not held.gone and held.tenant.id != tenant.id:
-                faults.append(_both_claim(held.tenant.id, tenant.id, host, prefix))
-        if faults:
-            raise RouteFault("; ".join(faults))
-        entry = Entry(tenant, self._rules_of(tenant))
+            holder = self._hosts[host].entries.get(prefix) if host in self._hosts else None
+            if holder is not None and not holder.gone and holder.tenant.id != tenant.id:
+                errors.append(_claim_conflict(holder.tenant.id, tenant.id, host, prefix))
+        if errors:
+            raise RouteConflictError("; ".join(errors))
+        entry = Entry(tenant, self._acquire_table(tenant))
         for place in _places(tenant):
             self._tombstones.pop(place, None)
-            self._place(place, entry)
+            self._insert(place, entry)
         self._count_headers(tenant, 1)
 
     def take_out(self, tenant: Tenant) -> None:
-        """Take a tenant out without a trace: it comes back changed, perhaps to other places."""
+        """Remove a tenant without tombstones: it is added again changed, perhaps to other places."""
         for place in _places(tenant):
-            held = self._hosts.get(place[0])
-            entry = held.entries.get(place[1]) if held is not None else None
+            prefixes = self._hosts.get(place[0])
+            entry = prefixes.entries.get(place[1]) if prefixes is not None else None
             if entry is not None and not entry.gone and entry.tenant.id == tenant.id:
-                self._unplace(place)
-        rules = self._rules.get(tenant.routes)
-        if rules is not None:
-            rules.uses -= 1
-            if not rules.uses:
-                del self._rules[tenant.routes]
+                self._delete(place)
+        table = self._tables.get(tenant.routes)
+        if table is not None:
+            table.tenant_count -= 1
+            if not table.tenant_count:
+                del self._tables[tenant.routes]
         self._count_headers(tenant, -1)
 
     def remove(self, tenant: Tenant) -> None:
-        """Take a tenant out; its places answer as gone until another takes them, or many others have gone."""
+        """Remove a tenant; its places answer as gone until another takes them, or many others are removed."""
         self.take_out(tenant)
-        entry = Entry(tenant, NO_RULES, gone=True)
+        entry = Entry(tenant, NO_ROUTES, gone=True)
         for place in _places(tenant):
-            while len(self._tombstones) >= MOST_TOMBSTONES:
+            while len(self._tombstones) >= MAX_TOMBSTONES:
                 oldest = next(iter(self._tombstones))
                 del self._tombstones[oldest]
-                self._unplace(oldest)
+                self._delete(oldest)
             self._tombstones[place] = entry
-            self._place(place, entry)
+            self._insert(place, entry)
+
+    def entry_count(self) -> int:
+        """Places of tenants, and keys of method and prefix, that the index holds."""
+        places = sum(len(prefixes.entries) for prefixes in self._hosts.values())
+        return places + sum(len(table.by_method_and_prefix) for table in self._tables.values())
 
     def find(self, host: str, path: bytes) -> Entry | None:
-        """The tenant that a request is for."""
-        held = self._hosts.get(host) or self._hosts.get(ANY_HOST)
-        if held is None:
+        """The tenant that a request is for, None if there is none."""
+        prefixes = self._hosts.get(host) or self._hosts.get(ANY_HOST)
+        if prefixes is None:
             return None
-        return held.root or _longest(held.entries, held.depth, path)
+        return prefixes.root or _longest_prefix(prefixes.entries, prefixes.depth, path)
 
     @staticmethod
     def route(
         entry: Entry, method: bytes, path: bytes, headers: dict[bytes, bytes]
     ) -> Route | frozenset[bytes]:
         """The tenant's route; else the methods that would have had one there (none: no such path)."""
-        rules = entry.rules
-        for prefix in _upwards(path, rules.depth):
-            for route in rules.by_word.get(method + prefix, ()):
+        table = entry.rules
+        for prefix in _prefixes_of(path, table.depth):
+            for route in table.by_method_and_prefix.get(method + prefix, ()):
                 if not route.headers or all(headers.get(name) == value for name, value in route.headers):
                     return route
         return frozenset(
-            word.partition(b"/")[0]
-            for prefix in _upwards(path, rules.depth)
-            for word in rules.by_word
-            if word.partition(b"/")[1:] == prefix.partition(b"/")[1:]
+            key.partition(b"/")[0]
+            for prefix in _prefixes_of(path, table.depth)
+            for key in table.by_method_and_prefix
+            if key.partition(b"/")[1:] == prefix.partition(b"/")[1:]
         )
 
-    def _place(self, place: tuple[str, bytes], entry: Entry) -> None:
-        held = self._hosts.setdefault(place[0], _Prefixes())
-        held.entries[place[1]] = entry
-        held.depth = max(held.depth, place[1].count(b"/"))
-        held.root = held.entries.get(b"") if len(held.entries) == 1 else None
-
-    def _unplace(self, place: tuple[str, bytes]) -> None:
-        held = self._hosts[place[0]]
-        del held.entries[place[1]]
-        held.root = held.entries.get(b"") if len(held.entries) == 1 else None
-        if not held.entries:
+    def _insert(self, place: tuple[str, bytes], entry: Entry) -> None:
+        prefixes = self._hosts.setdefault(place[0], _HostPrefixes())
+        prefixes.entries[place[1]] = entry
+        prefixes.depth = max(prefixes.depth, place[1].count(b"/"))
+        prefixes.root = prefixes.entries.get(b"") if len(prefixes.entries) == 1 else None
+
+    def _delete(self, place: tuple[str, bytes]) -> None:
+        prefixes = self._hosts[place[0]]
+        del prefixes.entries[place[1]]
+        prefixes.root = prefixes.entries.get(b"") if len(prefixes.entries) == 1 else None
+        if not prefixes.entries:
             del self._hosts[place[0]]
 
-    def _rules_of(self, tenant: Tenant) -> _Rules:
-        rules = self._rules.get(tenant.routes)
-        if rules is None:
-            rules = self._rules[tenant.routes] = _compile(tenant.routes)
-        rules.uses += 1
-        return rules
+    def _acquire_table(self, tenant: Tenant) -> _RouteTable:
+        table = self._tables.get(tenant.routes)
+        if table is None:
+            table = self._tables[tenant.routes] = _compile(tenant.routes)
+        table.tenant_count += 1
+        return table
 
     def _count_headers(self, tenant: Tenant, step: int) -> None:
         for name in _headers(tenant):
@@ -232,21 +240,21 @@
     return [(host, segments(prefix)) for host in tenant.host_names for prefix in tenant.path_prefixes]
 
 
-def _compile(routes: tuple[Route, ...]) -> _Rules:
-    rules: dict[bytes, list[Route]] = {}
-    for route in sorted(routes, key=lambda r: -len(r.headers)):
+def _compile(routes: tuple[Route, ...]) -> _RouteTable:
+    by_method_and_prefix: dict[bytes, list[Route]] = {}
+    for route in sorted(routes, key=lambda route: -len(route.headers)):
         for method in route.methods:
-            rules.setdefault(method + segments(route.prefix), []).append(route)
-    return _Rules(
-        {word: tuple(found) for word, found in rules.items()},
+            by_method_and_prefix.setdefault(method + segments(route.prefix), []).append(route)
+    return _RouteTable(
+        {key: tuple(found) for key, found in by_method_and_prefix.items()},
         max((segments(route.prefix).count(b"/") for route in routes), default=0),
     )
 
 
-NO_RULES = _Rules({}, 0)
+NO_ROUTES = _RouteTable({}, 0)
 
 
-def _upwards(path: bytes, depth: int) -> Iterable[bytes]:
+def _prefixes_of(path: bytes, depth: int) -> Iterable[bytes]:
     """The prefixes of a path by whole segments, the longest of at most `depth` segments first."""
     parts = path.split(b"/", depth + 1)
     if len(parts) > depth + 1:
@@ -260,8 +268,8 @@
     yield b""
 
 
-def _longest(entries: dict[bytes, Entry], depth: int, path: bytes) -> Entry | None:
-    for prefix in _upwards(path, depth):
+def _longest_prefix(entries: dict[bytes, Entry], depth: int, path: bytes) -> Entry | None:
+    for prefix in _prefixes_of(path, depth):
         entry = entries.get(prefix)
         if entry is not None:
             return entry
--- a/hillmux/tenants/shares.py
+++ b/hillmux/tenants/shares.py
@@ -1,6 +1,6 @@
-"""Weighted shares of one thing that tenants hold together, which lend what is idle and take it back at once.
+"""Weighted shares of one resource, which lend what is idle and take it back at once.
 
-Theory of operation. A tenant's entitlement is the whole divided by weight among those that hold any of it
+A tenant's entitlement is the whole divided by weight among those that hold any of it
 now, and it; entitlements so never sum above the whole, and a tenant alone is entitled to all. Up to it a
 tenant takes freely; beyond it, or alone among others that are known, it borrows: only while the reserve stays
 free. So whoever comes back finds room without waiting, and finds more by `victim`: when there is no room for
@@ -13,8 +13,10 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import Final
 
-RESERVE = 0.25  # of the whole: what a newcomer finds free; more lends less, less makes others give more
+RESERVE_SHARE: Final = 0.25  # part of the whole that is kept free for tenants that hold nothing yet
+ROUNDING: Final = 1e-6  # what a sum of amounts may be off
 
 
 @dataclass(slots=True)
@@ -24,9 +26,9 @@
 
 
 class Shares:
-    """One thing's ledger: who holds how much of the whole."""
+    """Which tenant holds how much of the whole."""
 
-    def __init__(self, whole: float, reserve: float = RESERVE) -> None:
+    def __init__(self, whole: float, reserve: float = RESERVE_SHARE) -> None:
         if whole <= 0 or not 0 <= reserve < 1:
             raise ValueError(f"whole, reserve: found {whole}, {reserve}, expected above 0, and 0 to below 1")
         self.whole, self._reserve = whole, reserve * whole
@@ -36,7 +38,7 @@
         self.held = 0.0  # by all
 
     def know(self, tenant: str, weight: float) -> None:
-        """A tenant, and its weight from now on (above 0)."""
+        """Add a tenant, or change its weight (above 0)."""
         account = self._accounts.get(tenant)
         if account is None:
             self._accounts[tenant] = _Account(weight)
@@ -46,7 +48,11 @@
         account.weight = weight
 
     def forget(self, tenant: str) -> None:
-        """A tenant that holds nothing any more; ValueError if it does, and it stays known."""
+        """Remove a tenant.
+
+        Raises:
+            ValueError: it still holds something; it stays known.
+        """
         account = self._accounts.get(tenant)
         if account is not None and account.held > 0:
             raise ValueError(f"tenant {tenant!r}: still holds {account.held}")
@@ -62,11 +68,11 @@
         return tenant in self._accounts
 
     def holders(self) -> int:
-        """How many hold something."""
+        """The number of tenants that hold something."""
         return len(self._holders)
 
     def names(self) -> list[str]:
-        """Who holds something."""
+        """The tenants that hold something."""
         return list(self._holders)
 
     def entitled(self, tenant: str) -> float:
@@ -80,23 +86,23 @@
         return self._accounts[tenant].held + amount <= self.entitled(tenant) * (1 + 1e-9)
 
     def take(self, tenant: str, amount: float = 1.0) -> bool:
-        """Take some, if there is room for it; False: nothing was taken."""
+        """Take an amount if there is room for it; False if nothing was taken."""
         free = self.whole - self.held - amount
         if free < 0:
             return False
-        if free < self._reserve and len(self._accounts) > 1 and not self._calm(tenant, amount):
+        if free < self._reserve and len(self._accounts) > 1 and not self._may_use_reserve(tenant, amount):
             return False
         self.charge(tenant, amount)
         return True
 
-    def _calm(self, tenant: str, amount: float) -> bool:
+    def _may_use_reserve(self, tenant: str, amount: float) -> bool:
         """Whether a tenant may dip into the reserve: within its entitlement, and not alone with all of it."""
         account = self._accounts[tenant]
         alone = len(self._holders) == (1 if account.held > 0 else 0)
         return not alone and self.within(tenant, amount)
 
     def charge(self, tenant: str, amount: float) -> None:
-        """Hold some more, room or not: for what cannot be refused any more."""
+        """Take an amount whether there is room or not: for what cannot be refused any more."""
         if amount <= 0:
             return
         account = self._accounts[tenant]
@@ -107,7 +113,7 @@
         self.held += amount
 
     def give(self, tenant: str, amount: float = 1.0) -> None:
-        """Give some back.
+        """Give an amount back.
 
         Raises:
             ValueError: it is more than the tenant holds.
@@ -115,11 +121,11 @@
         if amount <= 0:
             return
         account = self._accounts[tenant]
-        if amount > account.held + 1e-6:
+        if amount > account.held + ROUNDING:
             raise ValueError(f"tenant {tenant!r}: gives back {amount}, holds {account.held}")
         account.held -= amount
         self.held -= amount
-        if account.held <= 1e-6:
+        if account.held <= ROUNDING:
             self.held = max(self.held - account.held, 0.0)
             account.held = 0.0
             self._active_weight -= account.weight
@@ -128,7 +134,10 @@
                 self._active_weight = self.held = 0.0  # no rounding is carried along for good
 
     def victim(self, asker: str, amount: float = 1.0) -> str | None:
-        """Who has to give for a tenant that asks within its entitlement: the one furthest beyond its own."""
+        """The tenant furthest beyond its entitlement, which has to give for one that asks within its own.
+
+        None if the asker would be beyond its own, or no other is.
+        """
         if not self.within(asker, amount):
             return None
         newcomer = self._accounts[asker]
@@ -141,7 +150,7 @@
         return worst
 
     def turn(self) -> None:
-        """Begin anew with nothing held: for what is shared by the second, such as log lines."""
+        """Begin anew with nothing held: for a resource that is shared out each second, such as log lines."""
         for account in self._holders.values():
             account.held = 0.0
         self._holders.clear()
--- a/tests/counter/test_store.py
+++ b/tests/counter/test_store.py
@@ -16,7 +16,7 @@
 from hillmux.interface import AttemptResult
 
 
-def test_a_name_lives_from_its_first_add_and_is_new_after() -> None:
+def test_name_is_kept_from_its_first_addition_and_new_after() -> None:
     store = Store()
     assert store.add("a", 2, 100, now_ms=0) == 2
     assert store.add("a", -0.5, 9999, now_ms=99) == 1.5  # a later life changes nothing
@@ -25,7 +25,7 @@
     assert len(store) == 0
 
 
-def test_a_life_has_bounds() -> None:
+def test_retention_has_bounds() -> None:
     store = Store()
     store.add("long", 1, 1e12, now_ms=0)
     store.add("short", 1, 0, now_ms=0)
@@ -33,7 +33,7 @@
     assert store.add("long", 1, 1, now_ms=60_000) == 1
 
 
-def test_a_full_store_turns_new_names_away_and_serves_those_it_holds() -> None:
+def test_full_store_rejects_new_names_and_serves_known_ones() -> None:
     store = Store(max_names=2)
     store.add("a", 1, 100, 0)
     store.add("b", 1, 200, 0)
@@ -43,7 +43,7 @@
     assert store.add("c", 1, 100, 100) == 1  # the life of `a` is over
 
 
-def test_it_counts_as_a_plain_table_does() -> None:
+def test_store_counts_as_a_plain_table_does() -> None:
     rng, store = random.Random(5), Store()
     table: dict[str, tuple[float, float]] = {}
     now = 0.0
@@ -94,14 +94,16 @@
         (b"POST", b"/v1/count/a?add=1&ttl_ms=5&more=1", 400, "query"),
     ],
 )
-def test_what_is_no_call_is_told_by_field(method: bytes, target: bytes, status: int, field: str) -> None:
+def test_invalid_call_is_rejected_with_its_field(
+    method: bytes, target: bytes, status: int, field: str
+) -> None:
     with pytest.raises(InvalidCallError) as caught:
         parse_call(method, target)
     assert caught.value.status == status
     assert str(caught.value).startswith(field) and "expected" in str(caught.value)
 
 
-def test_a_call_is_read_whole() -> None:
+def test_call_is_parsed_whole() -> None:
     call = parse_call(b"POST", b"/v1/count/" + b"n" * 64 + b"?ttl_ms=70000&add=-2.5")
     assert (call.name, call.amount, call.retention_ms) == ("n" * 64, -2.5, 70000)
 
@@ -133,7 +135,7 @@
     return found
 
 
-def test_calls_written_one_behind_another_are_answered_in_order() -> None:
+def test_pipelined_calls_are_answered_in_order() -> None:
     async def scenario() -> None:
         server = CounterServer(Store(max_names=2), asyncio.get_running_loop())
         host, port = await server.start("127.0.0.1", 0)
@@ -156,7 +158,7 @@
     on_loop(scenario)
 
 
-def test_noise_and_a_head_without_an_end_close_one_connection_only() -> None:
+def test_malformed_http_closes_one_connection_only() -> None:
     async def scenario() -> None:
         server = CounterServer(Store(), asyncio.get_running_loop())
         host, port = await server.start("127.0.0.1", 0)
@@ -172,7 +174,7 @@
     on_loop(scenario)
 
 
-def test_one_address_holds_so_many_connections_and_no_more() -> None:
+def test_connections_of_one_address_are_limited() -> None:
     async def scenario() -> None:
         server = CounterServer(Store(), asyncio.get_running_loop())
         host, port = await server.start("127.0.0.1", 0)
--- a/tests/quotas/test_lease_calls.py
+++ b/tests/quotas/test_lease_calls.py
@@ -112,13 +112,13 @@
         assert fleet.flood(1, times=60) >= PLAN.burst - 1
 
 
-def test_a_give_back_whose_call_was_cut_after_it_was_added_is_not_told_twice() -> None:
+def test_give_back_whose_call_was_cut_after_it_was_added_is_not_reported_twice() -> None:
     fleet = GatewayFleet(3)
     assert len(given_back(fleet, AttemptResult.CONNECTION_LOST, True)) == 1
     assert sum(fleet.totals.values()) == pytest.approx(sum(fleet.sent))
 
 
-def test_a_give_back_that_is_told_twice_lets_in_no_more_than_was_given() -> None:
+def test_give_back_that_is_reported_twice_admits_no_more_than_was_given() -> None:
     """A counter that adds and says that it did not: the protocol's fault, and its price."""
     fleet = GatewayFleet(3)
     first, *again = given_back(fleet, AttemptResult.QUEUE_FULL, True)
--- a/tests/quotas/test_lease_records.py
+++ b/tests/quotas/test_lease_records.py
@@ -18,7 +18,7 @@
 # --- Handover and snapshots ---
 
 
-def heir_of(fleet: GatewayFleet, number: int, exact: bool | None = None) -> Driver:
+def successor_of(fleet: GatewayFleet, number: int, exact: bool | None = None) -> Driver:
     """A process that goes on from what a gateway's handover, or its snapshot, tells."""
     old, new = fleet.gateways[number], fleet.fresh(number)
     rows = json.loads(json.dumps(list(export(old.gateway))))
@@ -32,7 +32,7 @@
     fleet = GatewayFleet(3)
     drawn = fleet.draw(0)
     before = fleet.state(0)
-    fleet.gateways[0] = heir_of(fleet, 0)
+    fleet.gateways[0] = successor_of(fleet, 0)
     after = fleet.state(0)
     assert (after.used, after.reported) == (before.used, before.reported)
     assert fleet.lease(0) == 0.0
@@ -45,7 +45,7 @@
 def test_a_lease_that_is_handed_over_to_a_counter_that_lost_it_is_gone() -> None:
     fleet = GatewayFleet(3)
     fleet.draw(0)
-    fleet.gateways[0] = heir_of(fleet, 0)
+    fleet.gateways[0] = successor_of(fleet, 0)
     fleet.totals.clear()
     state = fleet.state(0)
     state.remaining, state.last_total_at = -1.0, 0.0
@@ -58,7 +58,7 @@
     fleet.draw(0)
     known = fleet.state(0)
     for exact in (False, True):
-        new = heir_of(fleet, 0, exact)
+        new = successor_of(fleet, 0, exact)
         (restored,) = new.gateway.quotas.registry.states.values()
         wanted = (known.used, known.reported) if exact else (0.0, 0.0)
         assert (restored.used, restored.reported) == wanted
@@ -72,7 +72,7 @@
     while fleet.state(0).used - fleet.state(0).reported < 8:
         fleet.ask(0)
     old = fleet.state(0)
-    new = heir_of(fleet, 0)
+    new = successor_of(fleet, 0)
     (restored,) = new.gateway.quotas.registry.states.values()
     unreported = old.used - old.reported
     assert restored.covered_at == pytest.approx(new.now + unreported * restored.share_ms)
--- a/tests/quotas/test_lease_schedules.py
+++ b/tests/quotas/test_lease_schedules.py
@@ -64,7 +64,7 @@
         ("used", 1e6, "units unreported"),
     ],
 )
-def test_a_broken_invariant_is_told(field: str, value: float, told: str) -> None:
+def test_broken_invariant_is_reported(field: str, value: float, told: str) -> None:
     fleet = CountingFleet(FLEET)
     fleet.run(5.0)
     gateway = fleet.gateways[0]
--- a/tests/quotas/test_leases.py
+++ b/tests/quotas/test_leases.py
@@ -17,7 +17,7 @@
 # --- Where leases come from ---
 
 
-def test_a_refused_ask_keeps_its_place_in_line_and_is_served_without_a_call() -> None:
+def test_rejected_request_keeps_its_place_in_line_and_is_served_without_a_call() -> None:
     fleet = GatewayFleet(3)
     line_up(fleet)
     calls = len(fleet.calls(0))
@@ -27,7 +27,7 @@
     assert fleet.lease(0) == 0.0
 
 
-def test_a_hot_gateway_draws_ahead_no_more_than_its_part_of_what_remains() -> None:
+def test_busy_gateway_draws_ahead_no_more_than_its_part_of_what_remains() -> None:
     fleet = GatewayFleet(3)
     drawn = fleet.draw(0)
     assert drawn <= PLAN.burst / batches.divisor(3)
@@ -197,14 +197,14 @@
     fleet.draw(0)
     small = api.Plan(PLAN.name, rate=PLAN.rate / 8, burst=PLAN.burst / 8)
     rows = json.loads(json.dumps(list(export(fleet.gateways[0].gateway))))
-    heir = fleet.fresh(0, small)
-    heir.gateway.handle(fleet.now, api.TimerFired("none"))
-    restore(heir.gateway, rows)
-    fleet.gateways[0] = heir
+    successor = fleet.fresh(0, small)
+    successor.gateway.handle(fleet.now, api.TimerFired("none"))
+    restore(successor.gateway, rows)
+    fleet.gateways[0] = successor
     state = fleet.state(0)
     fleet.now += 1.0
     assert fleet.flood(0, times=30) <= small.burst + small.rate * 0.1 + 1
-    assert lease.level(state, heir.now) <= small.burst
+    assert lease.level(state, successor.now) <= small.burst
 
 
 def test_a_lease_whose_customer_is_forgotten_early_is_out_of_use_for_its_window_and_no_longer() -> None:
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("into_ms", [500.0, 1500.0, 5000.0])
-def test_the_first_total_of_a_customer_is_laid_on_its_window(into_ms: float) -> None:
+def test_first_total_counts_since_the_start_of_the_window(into_ms: float) -> None:
     """The others spent three units since the window's start, not since we came; they may be just spent."""
     start = window_start(Driver(), "c")
     d = Driver(fleet_size=100, now=start + into_ms)
@@ -31,7 +31,7 @@
     assert use.remaining == pytest.approx(PLAN.burst - 3 - 1)
 
 
-def test_a_customer_whose_quota_was_spent_before_we_came_is_refused() -> None:
+def test_customer_whose_quota_was_spent_elsewhere_is_rejected() -> None:
     start = window_start(Driver(), "c")
     d = Driver(fleet_size=100, now=start + 1000.0)
     _, out = d.ask(plan="basic", customer="c", width=100)
@@ -40,7 +40,7 @@
     assert of(out, api.Reject) and not of(out, api.SendAttempt)
 
 
-def test_after_a_first_total_the_rate_of_the_others_is_no_guess_from_one_millisecond() -> None:
+def test_first_total_gives_the_rate_of_the_others_over_the_window() -> None:
     """Half of the rate used by the others leaves room for all of ours, also seconds later and untold."""
     start = window_start(Driver(), "c")
     d = Driver(fleet_size=100, now=start + 2000.0)
--- a/tests/tenants/test_router.py
+++ b/tests/tenants/test_router.py
@@ -8,9 +8,9 @@
 import pytest
 from fakes.tenants import BOOK, PAY, READ, route, tenant
 
-from hillmux.tenants import RouteFault, Router
+from hillmux.tenants import RouteConflictError, Router
 from hillmux.tenants.model import Route, Tenant
-from hillmux.tenants.router import MOST_TOMBSTONES, check_routes, check_tenants
+from hillmux.tenants.router import MAX_TOMBSTONES, check_routes, check_tenants
 
 
 def found(router: Router, host: str, path: bytes) -> str | None:
@@ -96,7 +96,7 @@
 def test_routes_that_claim_the_same_are_refused_naming_both(one: Route, other: Route) -> None:
     (fault,) = check_routes(tenant("a", one, other))
     assert "'one'" in fault and "'two'" in fault and "ambiguous" in fault
-    with pytest.raises(RouteFault):
+    with pytest.raises(RouteConflictError):
         Router().put(tenant("a", one, other))
 
 
@@ -121,7 +121,7 @@
     assert "one id" in check_tenants([one, one])[0]
     router = Router()
     router.put(one)
-    with pytest.raises(RouteFault, match="'a' and 'b'"):
+    with pytest.raises(RouteConflictError, match="'a' and 'b'"):
         router.put(other)
     assert found(router, "i", b"/y") == "a"
 
@@ -138,13 +138,13 @@
 
 def test_what_is_remembered_of_removed_tenants_has_a_bound() -> None:
     router = Router()
-    for i in range(MOST_TOMBSTONES + 10):
+    for i in range(MAX_TOMBSTONES + 10):
         one = tenant(f"t{i}")
         router.put(one)
         router.remove(one)
     assert found(router, "t0.example", b"/") is None
-    assert found(router, f"t{MOST_TOMBSTONES + 9}.example", b"/") == f"gone t{MOST_TOMBSTONES + 9}"
-    assert len(router._hosts) == len(router._tombstones) == MOST_TOMBSTONES
+    assert found(router, f"t{MAX_TOMBSTONES + 9}.example", b"/") == f"gone t{MAX_TOMBSTONES + 9}"
+    assert len(router._hosts) == len(router._tombstones) == MAX_TOMBSTONES
 
 
 def test_headers_that_routes_go_by_are_known_as_long_as_a_route_does() -> None:
