--- a/hillmux/lab/virtual/clients.py
+++ b/hillmux/lab/virtual/clients.py
@@ -117,7 +117,7 @@
                     self._send(request, other)
                     return
         delay_ms = 2 * self._fleet.client_delay_ms
-        self._loop.after(delay_ms, self._attempt_ended, request, number, ClientResult.RESET, 0.0)
+        self._loop.after(delay_ms, self.attempt_ended, request, number, ClientResult.RESET, 0.0)
 
     def _neighbour(self, customer: Customer, number: int, step: int) -> int:
         """Another gateway of a customer, counted round its set."""
@@ -183,9 +183,9 @@
                 total=self._loop.now - request.started_at,
                 wait=retry_after_ms,
             )
-        self._attempt_ended(request, number, result, retry_after_ms)
+        self.attempt_ended(request, number, result, retry_after_ms)
 
-    def _attempt_ended(
+    def attempt_ended(
         self, request: ClientRequest, number: int, result: ClientResult, retry_after_ms: float
     ) -> None:
         """Finish the request, or retry it after a backoff."""
--- a/hillmux/lab/virtual/simulation.py
+++ b/hillmux/lab/virtual/simulation.py
@@ -60,7 +60,7 @@
             host = self._create_host(f"h{number}", float(speeds[number]))
             self._discovery.add(_endpoint(host, HostStatus.UP))
         self.gateways = [self._create_gateway(number) for number in range(model.gateways)]
-        self._clients = SimulatedClients(self.loop, model, seed, self, self._ledger, self.figures)
+        self.clients = SimulatedClients(self.loop, model, seed, self, self._ledger, self.figures)
 
     def run(self, until_s: float | None = None) -> SimulationFigures:
         """Run to a time since the start, or to the end of the traffic and what it left open."""
--- a/tests/lab/test_two_hundred.py
+++ b/tests/lab/test_two_hundred.py
@@ -90,13 +90,13 @@
 def test_a_gateway_that_sees_ten_times_the_mean_serves_its_clients_as_the_others_do() -> None:
     day = world(busy=0.08)
     busy, others = Counter(), Counter()  # type: ignore[var-annotated]
-    ended = day._ended
+    ended = day.clients.attempt_ended
 
     def counted(ask, number, result, wait):  # type: ignore[no-untyped-def]
         (busy if number == 0 else others)[result] += 1
         ended(ask, number, result, wait)
 
-    day._ended = counted  # type: ignore[method-assign]
+    day.clients.attempt_ended = counted  # type: ignore[method-assign]
     day.run(7.0)
     wide = [sum(h.in_aperture for h in p.gateway.hosts.values()) for p in day.gateways]
     day.run()
