--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -39,7 +39,7 @@
 
 
 def quick(answers: list[dict[str, float]]) -> float:
-    """us a request in the tenth of the blocks that was quickest."""
+    """Us a request in the tenth of the blocks that was quickest."""
     return statistics.quantiles([a["us"] for a in answers[1:]], n=10)[0]
 
 
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -239,7 +239,8 @@
 
 async def busy(report: Report, folder: Path) -> None:
     """What Python allocates for a tenant that is awake, in this process; resident memory hides it in what a
-    start has freed."""
+    start has freed.
+    """
     partners = 10
     service = Service(load_config(write(folder / "busy.toml", 200, [])), asyncio.get_running_loop(), seed=1)
     service.start()
--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -68,7 +68,9 @@
     script.write_text(SET_UP.format(files=compiled_files()))
     command = [sys.executable, "setup.py", "-q", "build_ext", "--inplace"]
     try:
-        done = subprocess.run(command, cwd=folder, capture_output=True, text=True, timeout=LONGEST_S)
+        done = subprocess.run(
+            command, cwd=folder, capture_output=True, text=True, timeout=LONGEST_S, check=False
+        )
     except (OSError, subprocess.TimeoutExpired) as error:
         return str(error)
     finally:
@@ -80,6 +82,7 @@
 
 
 def main() -> int:
+    """Make the folder named as argument, build/run by default; 0 also where nothing could be compiled."""
     target = Path(sys.argv[1]) if len(sys.argv) > 1 else ROOT / "build/run"
     files = sorted((ROOT / "hillmux").rglob("*.py"))
     wanted = key(files)
--- a/hillmux/admin/host_overrides.py
+++ b/hillmux/admin/host_overrides.py
@@ -95,7 +95,8 @@
 
     def refresh(self) -> set[str] | None:
         """The disabled hosts if another process has changed them, else None; an unreadable file changes
-        nothing."""
+        nothing.
+        """
         if self._path is None:
             return None
         stamp = _file_stamp(self._path)
--- a/hillmux/decision/attempts.py
+++ b/hillmux/decision/attempts.py
@@ -147,9 +147,12 @@
         elif event.final or pending.answered:
             self.finish(pending)
         elif not pending.open_attempts:
-            # A limit of this gateway is the same for every host: a retry would end in the same way.
-            if event.result == AttemptResult.LOCAL_LIMIT or not self._retry(pending, event):
-                self._answer(pending)
+            self._retry_or_answer(pending, event)
+
+    def _retry_or_answer(self, pending: PendingRequest, event: api.AttemptEnded) -> None:
+        # A limit of this gateway is the same for every host: a retry would end in the same way.
+        if event.result == AttemptResult.LOCAL_LIMIT or not self._retry(pending, event):
+            self._answer(pending)
 
     def _retry(self, pending: PendingRequest, event: api.AttemptEnded) -> bool:
         """Start a further attempt, if it can be in time and the retry budget covers it."""
--- a/hillmux/demo/load.py
+++ b/hillmux/demo/load.py
@@ -69,7 +69,7 @@
         began = asyncio.get_running_loop().time()
         try:
             async with asyncio.timeout(ANSWER_S):
-                status, headers, body = await self._ask()
+                status, _, body = await self._ask()
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
             self.unanswered += 1
             return
--- a/hillmux/hosted/core.py
+++ b/hillmux/hosted/core.py
@@ -102,6 +102,7 @@
         return not self.connections and not self.dials
 
     def reserve_dial(self) -> bool:
+        """Also reserve the dial and its descriptor in the tenant's shares."""
         # Guards the descriptors and the dials of the others.
         if not self._resources.dials.take(self._tenant):
             return False
@@ -116,6 +117,7 @@
         return False
 
     def release_dial(self) -> None:
+        """Also return the dial and its descriptor to the tenant's shares."""
         super().release_dial()
         self._resources.dials.give(self._tenant)
         self._resources.hosts.give(self._tenant)  # it stands for itself now, if it is up
@@ -248,6 +250,7 @@
             self.post(api.TimerFired("sweep"))
 
     def forget_if_finished(self, request: OpenRequest) -> None:
+        """Also return the request's shares once it is forgotten."""
         held = request.id in self.requests
         super().forget_if_finished(request)
         if held and request.id not in self.requests:
@@ -272,6 +275,7 @@
         reply: Response | None = None,
         retry_after_ms: float = 0.0,
     ) -> None:
+        """Also count the answer and its cause."""
         if request is not None and request.client is not None:
             if reply is not None:
                 self.stats.served += 1
@@ -284,16 +288,19 @@
         super().answer(request, status, reply, retry_after_ms)
 
     def pass_on_response(self, client: Client, reply: Response) -> None:
+        """Also hand on the header lines that stay as the host wrote them."""
         cast(Any, client).is_forwarding = True
         cast(Any, client).extra_header_lines = reply.headers.get(LINES_KEPT, b"")
         super().pass_on_response(client, reply)
 
     def reject(self, act: api.Reject) -> None:
+        """Answer 429 where a quota or ceiling rejects, else 503."""
         self.cause = act.reason
         status = 429 if act.reason in (RejectReason.QUOTA, RejectReason.CEILING) else 503
         self.answer(self.requests.get(act.request_id), status, retry_after_ms=act.retry_after_ms)
 
     def send_attempt(self, act: api.SendAttempt) -> None:
+        """Also count the units of a first attempt."""
         request = self.requests.get(act.request_id)
         first = request is not None and not request.attempts
         super().send_attempt(act)
@@ -303,6 +310,7 @@
     # The module
 
     def decision_failed(self, event: api.Event) -> None:
+        """Also count the fault, and keep the tenant's timer running."""
         self.stats.faults += 1
         super().decision_failed(event)
         if isinstance(event, api.TimerFired):
@@ -310,10 +318,12 @@
             self.set_timer(api.SetTimer(event.name, RETRY_TIMER_MS))
 
     def log_message(self, level: int, text: str, trace: bool = False) -> None:
+        """Log with the tenant's name, within its share of log lines."""
         if self._resources.may_log(self.tenant.id):
             log.log(level, "tenant %s: %s", self.tenant.id, text, exc_info=trace)
 
     def set_timer(self, act: api.SetTimer) -> None:
+        """Set a timer of the module, less often while the tenant is idle."""
         delay_s = max(act.delay_ms, 0.0) / 1000
         if act.name == "sweep":
             self._sweeps += 1
--- a/hillmux/hosted/service.py
+++ b/hillmux/hosted/service.py
@@ -175,7 +175,8 @@
     @staticmethod
     def prepare(config: model.ServiceConfig, before: dict[str, model.Tenant]) -> Prepared:
         """Look a configuration over and find what has to change: all of the work that grows with the tenants,
-        which may be done in another thread. Raises as `apply` does."""
+        which may be done in another thread. Raises as `apply` does.
+        """
         faults = [Fault("", "tenants", text) for text in check_together(config.tenants)]
         faults += [
             Fault("", f"tenants ({tenant.id}).routes", text)
--- a/hillmux/hot_restart/state_codec.py
+++ b/hillmux/hot_restart/state_codec.py
@@ -111,7 +111,8 @@
     gateway: Gateway, wanted: Callable[[QuotaState], bool] = lambda state: True
 ) -> Iterator[dict[str, Any]]:
     """All that a module knows but for what is open, in documents of bounded size; of its customers those that
-    are `wanted`."""
+    are `wanted`.
+    """
     fleet, quotas = gateway.fleet, gateway.quotas
     yield {
         "t": MODULE,
--- a/hillmux/interface/__init__.py
+++ b/hillmux/interface/__init__.py
@@ -48,6 +48,8 @@
 )
 
 __all__ = [
+    "NEVER_DELIVERED",
+    "NEVER_EXECUTED",
     "Action",
     "AttemptEnded",
     "AttemptResult",
@@ -68,8 +70,6 @@
     "KeyScope",
     "ListKind",
     "Log",
-    "NEVER_DELIVERED",
-    "NEVER_EXECUTED",
     "Plan",
     "Reject",
     "RejectReason",
--- a/hillmux/interface/events.py
+++ b/hillmux/interface/events.py
@@ -165,7 +165,8 @@
 @dataclass(slots=True)
 class TakenOver:
     """A successor of this process decides from now on and owns this gateway's part of ceilings; where
-    `by_successor` is false, it has ended before it did, and this process goes on."""
+    `by_successor` is false, it has ended before it did, and this process goes on.
+    """
 
     by_successor: bool
 
--- a/hillmux/lab/load.py
+++ b/hillmux/lab/load.py
@@ -59,22 +59,27 @@
         self._body = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection to a gateway is up."""
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
+        """Parse a part of a response; close on one that is malformed."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.transport.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Note Retry-After."""
         if name.lower() == b"retry-after":
             self._retry_after = 1000 * float(value)
 
     def on_body(self, body: bytes) -> None:
+        """Keep the first bytes of the body."""
         self._body += body[:MAX_KEPT_BODY_BYTES]
 
     def on_message_complete(self) -> None:
+        """Report the response to the attempt that waits for it."""
         attempt, self.attempt = self.attempt, None
         status, wait, self._retry_after = self._parser.get_status_code(), self._retry_after, 0.0
         self._parser = httptools.HttpResponseParser(self)
@@ -93,6 +98,7 @@
             attempt.finish(RESULT_BY_STATUS.get(status, "failed"), status, wait)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Report an attempt whose connection ended before its response."""
         attempt, self.attempt = self.attempt, None
         if attempt is None or attempt.done:
             if attempt is not None:
--- a/hillmux/lab/processes.py
+++ b/hillmux/lab/processes.py
@@ -45,7 +45,8 @@
 
 def _prepare_child() -> None:
     """Run in a gateway's child: the stand-ins and the load go before it where cores are short, so that a herd
-    that starts is not seen as clients that come late."""
+    that starts is not seen as clients that come late.
+    """
     die_with_parent()
     os.nice(NICENESS)
 
--- a/hillmux/lab/report.py
+++ b/hillmux/lab/report.py
@@ -11,12 +11,12 @@
 
 matplotlib.use("svg")
 
-from matplotlib.axes import Axes  # noqa: E402
-from matplotlib.figure import Figure  # noqa: E402
+from matplotlib.axes import Axes
+from matplotlib.figure import Figure
 
-from hillmux.lab.checks import Event, Verdict  # noqa: E402
-from hillmux.lab.measures import Figures  # noqa: E402
-from hillmux.recovery.full_service import p99  # noqa: E402
+from hillmux.lab.checks import Event, Verdict
+from hillmux.lab.measures import Figures
+from hillmux.recovery.full_service import p99
 
 BAND_FAULTS = frozenset(("fault", "kill", "term", "stop"))
 BAND_S = 0.5  # how wide a fault without an end is drawn
--- a/hillmux/lab/run.py
+++ b/hillmux/lab/run.py
@@ -74,12 +74,14 @@
 
     def send(self, line: dict[str, Any]) -> None:
         """Write a line to it."""
-        assert self._process is not None and self._process.stdin is not None
+        assert self._process is not None
+        assert self._process.stdin is not None
         self._process.stdin.write(orjson.dumps(line) + b"\n")
 
     async def receive(self) -> dict[str, Any]:
         """Its next line."""
-        assert self._process is not None and self._process.stdout is not None
+        assert self._process is not None
+        assert self._process.stdout is not None
         line = await self._process.stdout.readline()
         if not line:
             raise RunError(f"{self._module}: ended early")
--- a/hillmux/lab/virtual/gateway.py
+++ b/hillmux/lab/virtual/gateway.py
@@ -25,6 +25,8 @@
 
 
 class OpenAttempt:
+    """An attempt that its gateway has sent."""
+
     __slots__ = ("number", "host", "sent_at", "open", "job")
 
     def __init__(self, number: int, host: str, sent_at: float) -> None:
@@ -34,6 +36,8 @@
 
 
 class OpenRequest:
+    """A request that its gateway has not finished."""
+
     __slots__ = ("id", "planned", "answer", "attempts", "charged")
 
     def __init__(self, rid: str, planned: PlannedRequest, answer: Answer) -> None:
--- a/hillmux/net/streaming_upstream.py
+++ b/hillmux/net/streaming_upstream.py
@@ -126,10 +126,12 @@
         return client
 
     def time_out(self, attempt: Attempt) -> None:
+        """Time an attempt out unless its response is being streamed."""
         if attempt not in self.streams:  # one may begin while its time-out waits for a turn of the loop
             super().time_out(attempt)
 
     def end_streams(self, attempt: Attempt) -> None:
+        """Detach an attempt from its streamed response and body."""
         connection = self.streams.pop(attempt, None)
         if connection is not None:
             connection.client = None
--- a/hillmux/quotas/quotas.py
+++ b/hillmux/quotas/quotas.py
@@ -152,7 +152,7 @@
         plan = state.plan
         if plan.max_concurrency and state.open_requests >= max(1, plan.max_concurrency // state.replicas):
             return False
-        if not state.has_quota or state.last_total is None and state.used == 0:
+        if not state.has_quota or (state.last_total is None and state.used == 0):
             return True  # one request costs nearly nothing, and its call to the counter tells more
         if self.now > state.remaining_at:
             self._advance(state, self.now)
--- a/hillmux/recovery/full_service.py
+++ b/hillmux/recovery/full_service.py
@@ -68,7 +68,8 @@
 
 def time_to_full(windows: Sequence[ServiceWindow], reference: Baseline) -> float | None:
     """Seconds from the fault's end, where the first window starts, until service is full and stays full for
-    `HOLD_S`; None if it does not within these windows."""
+    `HOLD_S`; None if it does not within these windows.
+    """
     windows_needed = round(HOLD_S / WINDOW_S)
     full_windows = 0
     for i, window in enumerate(windows):
@@ -82,7 +83,8 @@
     windows: Sequence[ServiceWindow], reference: Baseline, full_at_s: float, min_ratio: float = 0.9
 ) -> float | None:
     """Seconds at which the served share fell below `min_ratio` of the baseline's after service was full, or
-    None."""
+    None.
+    """
     for i, window in enumerate(windows):
         if i * WINDOW_S >= full_at_s and window.served_share() < min_ratio * reference.served_share:
             return i * WINDOW_S
--- a/hillmux/recovery/snapshot_service.py
+++ b/hillmux/recovery/snapshot_service.py
@@ -1,5 +1,6 @@
 """Snapshots of a running gateway: the previous one is taken at its start, new ones are written periodically
-and a final one at its end."""
+and a final one at its end.
+"""
 
 from __future__ import annotations
 
--- a/hillmux/recovery/snapshot_store.py
+++ b/hillmux/recovery/snapshot_store.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import fcntl
 import os
 import secrets
@@ -58,10 +59,8 @@
     def id(self) -> str:
         """An identity that a copy of the directory does not have: a random mark and the inode of its file."""
         path = self.path / IDENTITY_NAME
-        try:
+        with contextlib.suppress(FileExistsError):
             self._write_new(path, secrets.token_hex(16).encode())
-        except FileExistsError:
-            pass
         with path.open("rb") as file:
             found = os.fstat(file.fileno())
             return (
--- a/hillmux/recovery/snapshotting_gateway.py
+++ b/hillmux/recovery/snapshotting_gateway.py
@@ -143,6 +143,7 @@
         )
 
     def post(self, event: api.Event) -> None:
+        """Also count ended attempts, by which readiness is judged."""
         if isinstance(event, api.AttemptEnded):
             self._outcomes += 1
         super().post(event)
--- a/hillmux/tenants/model.py
+++ b/hillmux/tenants/model.py
@@ -22,7 +22,8 @@
 
 def methods_of(effect: str) -> frozenset[bytes]:
     """The methods under which a class may be asked for: one that may not be repeated must not come as one
-    that may (RFC 9110 section 9.2)."""
+    that may (RFC 9110 section 9.2).
+    """
     return SAFE_METHODS if effect == "safe" else CHANGING_METHODS
 
 
--- a/hillmux/tenants/registry.py
+++ b/hillmux/tenants/registry.py
@@ -33,8 +33,7 @@
             old is not None
             and new is not None
             and (
-                old.settings is not new.settings
-                and old.settings != new.settings
+                (old.settings is not new.settings and old.settings != new.settings)
                 or (old.dial_ms, old.idle_ms) != (new.dial_ms, new.idle_ms)
             )
         )
--- a/hillmux/tenants/target.py
+++ b/hillmux/tenants/target.py
@@ -63,7 +63,8 @@
 
 def host_name(value: bytes) -> str:
     """A Host header's value as the name it stands for: lower-case, without port or trailing dot; an IPv6
-    address in its shortest form, in brackets (RFC 5952). TargetError where it is no host."""
+    address in its shortest form, in brackets (RFC 5952). TargetError where it is no host.
+    """
     try:
         text = value.decode("ascii").strip(" \t").lower()
     except UnicodeDecodeError:
--- a/tests/capacity/test_counting.py
+++ b/tests/capacity/test_counting.py
@@ -100,7 +100,7 @@
         b"Host: counter\r\nContent-Length: 0\r\n\r\n"
     )
     assert reply_bytes(12.0) == len(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n12")
-    assert REJECTED_REPLY_BYTES == len(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 22\r\n\r\n") + 22
+    assert len(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 22\r\n\r\n") + 22 == REJECTED_REPLY_BYTES
 
 
 def test_what_eight_gateways_ask_of_the_counter_at_half_use() -> None:
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -143,7 +143,7 @@
 
 
 def test_example_of_the_platform_page_runs() -> None:
-    code = re.search(r"```python\n(.*?)```", (ROOT / "docs" / "platform.md").read_text(), re.S)
+    code = re.search(r"```python\n(.*?)```", (ROOT / "docs" / "platform.md").read_text(), re.DOTALL)
     assert code
     done = subprocess.run(
         [sys.executable, "-c", code[1]], capture_output=True, text=True, cwd=ROOT, check=False
