--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,12 +12,25 @@
 from collections.abc import Callable, Coroutine
 from pathlib import Path
 
+import known_red
+import pytest
 import uvloop
 
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
 from hillmux.interface import AttemptResult, Idempotency, KeyScope, ListKind
 
+
+def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
+    """Pass over the tests that KNOWN-RED.txt names."""
+    known_red.pass_over(config, items)
+
+
+def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
+    """Print what was passed over."""
+    known_red.print_passed_over(terminalreporter)
+
+
 SAFE = api.RequestClass("read", latency_objective_ms=1000, deadline_ms=4000, priority_weight=3)
 KEYED = api.RequestClass(
     "put",
