--- a/tests/decision/event_stream.py
+++ b/tests/decision/event_stream.py
@@ -367,4 +367,4 @@
         if result in ("Ok", "TimedOut"):
             self.totals[name] += amount + (self.rng.expovariate(0.5) if self.fleet_size > 1 else 0.0)
         total = f"{self.totals[name]:.6f}" if result == "Ok" else "-"
-        self._schedule(elapsed_ms, [f"COUNTER_REPLY {INSTANCE} {elapsed_ms:.3f} {result} {total} {name}"])
+        self._schedule(elapsed_ms, [f"COUNTER_REPLY {INSTANCE} {total} {result} {elapsed_ms:.3f} {name}"])
