--- a/hillmux/balancing/__init__.py
+++ b/hillmux/balancing/__init__.py
@@ -1,13 +1,13 @@
-"""What a gateway knows of the hosts, and the choice among them.
+"""The state that a gateway keeps of the hosts, and the selection among them.
 
-`load_balancer.LoadBalancer` is what the decision module calls; each other module holds one part of its work:
+The decision module calls `load_balancer.LoadBalancer`, which uses the other modules:
 
-    host, host_pool, host_set      one host; the hosts of a pool; all listed hosts and sums over them
-    indexed_set, load_ranking      containers: the cost of a choice does not grow with the number of hosts
-    latency_histogram, outliers    which hosts are worse than the others, and for how long one is ejected
-    slow_start                     how much a host may be sent after its start
-    aperture                       the hosts that this gateway prefers, where gateways are many
-    selection                      the choice of a host for one attempt
+    host, host_pool, host_set      one host; the hosts of a pool; all listed hosts and totals over them
+    indexed_set, load_ranking      containers; the cost of a selection does not grow with the number of hosts
+    latency_histogram, outliers    which hosts are worse than the others, and how long one is ejected
+    slow_start                     how much work a host may be sent after its start
+    aperture                       the subset of hosts that this gateway prefers where there are many gateways
+    selection                      the selection of a host for one attempt
 
-Free of I/O; times in milliseconds on the module's clock.
+Free of I/O; times are milliseconds on the decision module's clock.
 """
--- a/hillmux/balancing/aperture.py
+++ b/hillmux/balancing/aperture.py
@@ -1,9 +1,10 @@
-"""Deterministic aperture: the hosts that one of many gateways prefers.
+"""Deterministic aperture: the subset of hosts that a gateway prefers.
 
-Where many gateways each see little traffic, a gateway prefers some of its ready hosts, so that connections to
-them stay open and their latencies known: the deterministic subsets of Google's "Site Reliability Engineering"
-(2016), chapter 20, on a ring as in Finagle's aperture. All gateways lay the same hosts on one ring; each
-begins at its own position, so every host is in as many apertures as the next.
+Where each of many gateways has little traffic, a gateway prefers a subset of the ready hosts, so that its
+connections to them stay open and their latencies stay known. This is the deterministic subsetting of Google's
+"Site Reliability Engineering" (2016), chapter 20, on a ring as in Finagle's aperture. All gateways place the
+same hosts on one ring, and each aperture begins at its gateway's own position, so that the hosts are spread
+evenly over the apertures.
 """
 
 from __future__ import annotations
@@ -15,49 +16,51 @@
 from hillmux.balancing.host import UNAVAILABLE
 from hillmux.balancing.host_set import HostSet
 
-# A host in the aperture gets a request in this time on average: its connection stays open.
+# Mean time between requests to a host in the aperture, short enough to keep a connection to it open.
 REQUEST_SPACING_MS: Final = 1500.0
 MIN_APERTURE: Final = 8  # hosts
-APERTURES_PER_HOST: Final = 6  # at least: gateways' traffic is uneven
-RESIZE_FACTOR: Final = 1.25  # change of the size that is worth the new connections
+APERTURES_PER_HOST: Final = 6  # lower bound, since traffic is uneven across gateways
+RESIZE_FACTOR: Final = 1.25  # smallest change of the size that justifies the new connections
 
 
 class Aperture:
-    """The size of this gateway's aperture, by its traffic."""
+    """The aperture of this gateway, whose size follows the gateway's traffic."""
 
     __slots__ = ("settings", "size", "requests_since_sweep", "request_rate")
 
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
-        self.size = 0  # in hosts; 0: all
+        self.size = 0  # number of hosts; 0 if the aperture covers all
         self.requests_since_sweep = 0
-        self.request_rate = 0.0  # per ms
+        self.request_rate = 0.0  # requests per ms, moving average
 
-    def update_rate(self, span: float) -> None:
-        """Take the requests of the last `span` ms into the rate."""
-        memory = REQUEST_SPACING_MS / (REQUEST_SPACING_MS + span)
-        self.request_rate = memory * self.request_rate + (1 - memory) * self.requests_since_sweep / span
+    def update_rate(self, interval_ms: float) -> None:
+        """Add the requests of the last `interval_ms` to the rate."""
+        decay = REQUEST_SPACING_MS / (REQUEST_SPACING_MS + interval_ms)
+        self.request_rate = decay * self.request_rate + (1 - decay) * self.requests_since_sweep / interval_ms
         self.requests_since_sweep = 0
 
     def target_size(self, available_count: int) -> int:
-        """As many hosts as traffic keeps in use; 0 for all, and the present size where it differs little."""
-        wanted = max(
+        """The number of hosts that traffic keeps in use, or the present size if that is close; 0 for all."""
+        target = max(
             MIN_APERTURE,
             APERTURES_PER_HOST * available_count / self.settings.fleet_size,
             REQUEST_SPACING_MS * self.request_rate,
         )
         margin = RESIZE_FACTOR if self.size else RESIZE_FACTOR**2
-        size = int(wanted) if wanted * margin < available_count else 0
+        size = int(target) if target * margin < available_count else 0
         if self.size and size and 1 / RESIZE_FACTOR < size / self.size < RESIZE_FACTOR:
             return self.size
         return size
 
-    def layout(self, host_set: HostSet, now: float) -> None:
-        """Lay the aperture on the ring, from this gateway's position on, if its size or its hosts changed.
+    def update_members(self, host_set: HostSet, now: float) -> None:
+        """Update which hosts are in the aperture, if its size or the available hosts have changed.
 
-        Positions are those in the order of hosts, not angles: each host is in as many apertures as the next,
-        whatever its name; one in too few would idle, one in too many be flooded. So a host that comes or goes
-        moves the ends of all apertures by one, and so far may gateways whose lists differ disagree.
+        The aperture begins at this gateway's position on the ring. Positions are indices in the order of
+        hosts rather than angles, so that all hosts are in equally many apertures, whatever their names: a
+        host in too few would be idle, and one in too many overloaded. As a consequence, a host that is added
+        or removed moves the ends of all apertures by one position, and gateways with different lists may
+        disagree by as much.
         """
         size = self.target_size(host_set.available_count)
         if size == self.size and not (size and host_set.membership_changed):
--- a/hillmux/balancing/host.py
+++ b/hillmux/balancing/host.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of one host."""
+"""The state that a gateway keeps of one host."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from hillmux.balancing.load_ranking import RANK_OF_UNIT_LOAD, RANKS_PER_DOUBLING, RankedHosts
 from hillmux.interface import HostStatus
 
-MIN_CAPACITY: Final = 1e-6
-LATENCY_RATIO_WEIGHT: Final = 0.2  # weight of one outcome in a host's mean latency ratio
+MIN_CAPACITY: Final = 1e-6  # keeps the load and its logarithm finite
+LATENCY_RATIO_WEIGHT: Final = 0.2  # weight of one outcome in the moving average of a host's latency ratio
 MIN_LATENCY_RATIO: Final = 2.0**-6
 MAX_LATENCY_RATIO: Final = 20.0
 
-# The groups of hosts. Integers and no enum: they are compared several times for each request.
+# The groups of hosts: integers instead of an enum, since they are compared several times per request.
 UNAVAILABLE: Final = 0  # not listed, draining, or disabled by an operator
-READY: Final = 1  # ranked by load
+READY: Final = 1  # healthy and warm; ranked by load
 WARMING: Final = 2  # in slow start
-EJECTED: Final = 3  # failing
+EJECTED: Final = 3  # ejected because it failed
 
 
 class Host:
-    """One host, its health and where it is indexed."""
+    """One host: its endpoint, its health, and its place in groups and rankings."""
 
     __slots__ = (
         "name",
@@ -64,30 +64,31 @@
     def __init__(self, endpoint: api.Endpoint) -> None:
         self.name = endpoint.name
         self.open_requests = 0
-        self.latency_ratio = 1.0  # mean latency over the usual one of the request's class
+        self.latency_ratio = 1.0  # moving average of latency / usual latency of the request's class
         self.consecutive_failures = 0
-        self.ejections = 0  # in a row; 0: it is healthy
+        self.ejections = 0  # number of ejections in a row; 0 if the host is healthy
         self.ejected_until_ms = 0.0
-        self.connection_refused = False  # what answers next may have just started
+        # Whether the host refused connections since its last response: it may have been restarted.
+        self.connection_refused = False
         self.started_at_ms = 0.0
-        self.warming_since_ms = 0.0  # 0: it is warm
-        self.slow_start_credit = 0.0  # ms of work that it may be sent in slow start
-        self.slow_start_credit_at_ms = 0.0
+        self.warming_since_ms = 0.0  # start of slow start; 0 if the host is warm
+        self.slow_start_credit = 0.0  # ms of work that this gateway may send it in slow start
+        self.slow_start_credit_at_ms = 0.0  # time at which the credit was last updated
         self.listed = False
-        self.disabled = False  # by an operator
+        self.disabled = False  # whether an operator has disabled the host
         self.group: int = UNAVAILABLE
-        self.pool: HostPool | None = None  # None while it is unavailable
+        self.pool: HostPool | None = None  # None while the host is unavailable
         self.localities: list[Locality] = []
-        self.ring_position = blake2s(self.name.encode(), digest_size=8).digest()  # same on all gateways
+        self.ring_position = blake2s(self.name.encode(), digest_size=8).digest()  # equal on all gateways
         self.in_aperture = True
-        self.ranking: RankedHosts | None = None  # where it is ranked while it is ready
-        self.rank = -1  # -1: it has none
-        self.rank_index = 0  # its index in its rank's list
+        self.ranking: RankedHosts | None = None  # ranking for the host while it is ready
+        self.rank = -1  # -1 while the host has no rank
+        self.rank_index = 0  # index in the list of hosts of the rank
         self.latency_bin: int = BIN_OF_RATIO_1
         self.update(endpoint)
 
     def update(self, endpoint: api.Endpoint) -> None:
-        """Take over an entry of the endpoint list; a later start resets health and begins slow start."""
+        """Apply an entry of the endpoint list; a later start time resets health and begins slow start."""
         self.endpoint = endpoint
         self.zone, self.cell, self.capacity = (
             endpoint.zone,
@@ -104,18 +105,18 @@
         self.update_load()
 
     def record_latency_ratio(self, ratio: float) -> None:
-        """Take an outcome whose latency was so many times the usual one into the mean."""
+        """Add an outcome whose latency was `ratio` times the usual latency to the moving average."""
         bounded = ratio if ratio < MAX_LATENCY_RATIO else MAX_LATENCY_RATIO
         mean = self.latency_ratio + LATENCY_RATIO_WEIGHT * (bounded - self.latency_ratio)
         self.latency_ratio = mean if mean > MIN_LATENCY_RATIO else MIN_LATENCY_RATIO
         self.update_load()
 
     def update_load(self) -> None:
-        """Derive the load of one request, and the idle host's rank and bin, from latency ratio and capacity.
+        """Compute the load per request, the idle host's rank and its bin, from latency ratio and capacity.
 
-        The latency ratio weighs by its root: it depends on what other gateways send, and in full it would
-        have all of them choose one host. No zone is preferred: where traffic leans to one for good, its hosts
-        alone would bear it.
+        The load grows with the square root of the latency ratio. The ratio depends on the requests of other
+        gateways too, and if the load were proportional to it, all gateways would select the same host. No
+        zone is preferred: if most traffic came from one zone permanently, its hosts alone would carry it.
         """
         log_ratio = log2(self.latency_ratio)
         self.load_per_request = sqrt(self.latency_ratio) / self.capacity
@@ -123,11 +124,11 @@
         self.latency_bin = int(BIN_OF_RATIO_1 + BINS_PER_DOUBLING * log_ratio)
 
     def leave_rank(self) -> None:
-        """Take its rank away; it must have one."""
+        """Remove the host from its rank; it must have one."""
         assert self.ranking is not None
         self.ranking.remove(self)
         self.rank = -1
 
     def load(self) -> float:
-        """Its load with one more request: requests and latency ratio over capacity."""
+        """The load with one more request: number of requests times the load per request."""
         return (self.open_requests + 1) * self.load_per_request
--- a/hillmux/balancing/host_set.py
+++ b/hillmux/balancing/host_set.py
@@ -1,4 +1,4 @@
-"""All listed hosts, the group and pool that each is in, and sums over them that are kept as hosts change."""
+"""All listed hosts by name, group and pool, with totals that are updated as hosts change."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 def locality_scopes(settings: api.Settings) -> set[KeyScope]:
-    """The scopes to which retries with an idempotency key are bound, for which localities are kept."""
+    """The scopes that retries with an idempotency key are bound to; localities are kept for these."""
     return {c.key_scope for c in settings.classes if c.idempotency == Idempotency.KEYED}
 
 
 class HostSet:
-    """The hosts that are listed, by name, pool and group.
+    """The listed hosts, by name, pool and group.
 
-    Each change of a host's state ends in `reindex`, which moves it where it belongs.
+    Each change of a host's state must be followed by `reindex`, which updates the host's group and rank.
     """
 
     __slots__ = (
@@ -41,38 +41,37 @@
         self.locality_scopes = locality_scopes(settings)
         self.hosts: dict[str, Host] = {}
         self.pools: dict[str, HostPool] = {}
-        self.open_on_healthy = 0  # requests open on listed hosts that are not ejected
-        self.available_count = 0  # hosts in any group but UNAVAILABLE
+        self.open_on_healthy = 0  # open requests on listed hosts that are not ejected
+        self.available_count = 0  # hosts in any group except UNAVAILABLE
         self.warming_count = 0
         self.ejected_count = 0
-        self.latency_ratios = LatencyHistogram()  # of the available hosts
-        self.membership_changed = (
-            True  # hosts became available or unavailable since the aperture was laid out
-        )
+        self.latency_ratios = LatencyHistogram()  # latency ratios of the available hosts
+        # Whether hosts became available or unavailable since the aperture was last updated.
+        self.membership_changed = True
         self.aperture_covers_all = True
 
     # Listing
 
     def add(self, endpoint: api.Endpoint, disabled: bool, now: float) -> None:
-        """List a host that was not listed."""
+        """Add a host that is not listed."""
         host = self.hosts[endpoint.name] = Host(endpoint)
         host.listed, host.disabled = True, disabled
         self.reindex(host, now)
 
     def remove(self, name: str) -> None:
-        """Unlist a host; its open requests go on."""
+        """Remove a listed host; its open requests continue."""
         host = self.hosts.pop(name)
         self.detach(host)
         host.listed = False
 
     def detach(self, host: Host) -> None:
-        """Take a listed host out of its group and of all sums, so that its state may be replaced."""
+        """Remove a listed host from its group and from all totals, so that its endpoint may be replaced."""
         self.move(host, UNAVAILABLE)
         if not host.ejections:
             self.open_on_healthy -= host.open_requests
 
     def attach(self, host: Host, now: float) -> None:
-        """Put a host that was detached back, by its new state."""
+        """Add a detached host to the group and the totals that its new state requires."""
         if not host.ejections:
             self.open_on_healthy += host.open_requests
         self.reindex(host, now)
@@ -80,7 +79,7 @@
     # Groups and ranks
 
     def reindex(self, host: Host, now: float) -> None:
-        """Move a host to the group, and a ready one to the rank, where its state belongs at `now` (ms)."""
+        """Move a host to the group, and a ready host to the rank, that match its state at `now` (ms)."""
         if host.group != READY or host.ejections or host.warming_since_ms:
             group = self._group_of(host, now)
             if group == READY:
@@ -111,19 +110,19 @@
         return READY
 
     def move(self, host: Host, group: int) -> None:
-        """Move a host to another group, with all sums; `reindex` gives a ready one its rank."""
-        old, host.group = host.group, group
-        if old == group:
+        """Move a host to another group and update all totals; a ready host gets its rank from `reindex`."""
+        old_group, host.group = host.group, group
+        if old_group == group:
             return
-        if old == UNAVAILABLE:
+        if old_group == UNAVAILABLE:
             self._add_to_pool(host)
         pool = host.pool
         assert pool is not None
-        self._leave_group(host, pool, old)
+        self._leave_group(host, pool, old_group)
         self._enter_group(host, pool, group)
         for locality in host.localities:
-            if old != UNAVAILABLE:
-                (locality.ejected if old == EJECTED else locality.usable).remove(host)
+            if old_group != UNAVAILABLE:
+                (locality.ejected if old_group == EJECTED else locality.usable).remove(host)
             if group != UNAVAILABLE:
                 (locality.ejected if group == EJECTED else locality.usable).add(host)
         if group == UNAVAILABLE:
@@ -149,7 +148,7 @@
             self.ejected_count += 1
 
     def _add_to_pool(self, host: Host) -> None:
-        """Add a host that became available to its pool, and to its localities where retries need them."""
+        """Add a host that became available to its pool, and to the localities that keyed retries need."""
         self.available_count += 1
         self.membership_changed = True
         self.latency_ratios.add(host.latency_bin)
@@ -157,9 +156,9 @@
         if pool is None:
             pool = host.pool = self.pools[host.pool_name] = HostPool()
         pool.host_count += 1
-        # A host that was outside of the aperture when it left would stay outside of one that covers all now.
+        # The aperture may have grown to all hosts while this host was unavailable, which left it outside.
         host.in_aperture = host.in_aperture or self.aperture_covers_all
-        host.ranking = pool.inside if host.in_aperture else pool.outside
+        host.ranking = pool.inside_aperture if host.in_aperture else pool.outside_aperture
         if KeyScope.ZONE in self.locality_scopes:
             self._add_to_locality(host, pool, (host.zone,))
         if KeyScope.CELL in self.locality_scopes:
@@ -175,7 +174,7 @@
     def _remove_from_pool(self, host: Host, pool: HostPool) -> None:
         """Remove a host that became unavailable from its pool.
 
-        Pools and localities that are left empty go: renamed ones must not fill the memory.
+        Pools and localities that become empty are deleted; otherwise memory would grow with every renaming.
         """
         self.available_count -= 1
         self.membership_changed = True
@@ -192,13 +191,13 @@
         host.localities = []
 
     def set_in_aperture(self, host: Host, in_aperture: bool, now: float) -> None:
-        """Move an available host into the aperture, or out of it."""
+        """Add an available host to the aperture, or remove it from there."""
         pool, ranked = host.pool, host.rank >= 0
         assert pool is not None
         host.in_aperture = in_aperture
         if ranked:
             host.leave_rank()
-        host.ranking = pool.inside if in_aperture else pool.outside
+        host.ranking = pool.inside_aperture if in_aperture else pool.outside_aperture
         if ranked:
             self.reindex(host, now)
 
--- a/hillmux/balancing/indexed_set.py
+++ b/hillmux/balancing/indexed_set.py
@@ -1,4 +1,4 @@
-"""A set of hosts from which a bounded sample is taken in constant time."""
+"""A set of hosts that can be sampled in constant time."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class IndexedSet:
-    """Hosts without order; adding and removing one take constant time."""
+    """An unordered set of hosts; adding and removing a host take constant time."""
 
     __slots__ = ("hosts", "_index")
 
     def __init__(self) -> None:
         self.hosts: list[Host] = []
-        self._index: dict[Host, int] = {}  # of each host in `hosts`
+        self._index: dict[Host, int] = {}  # index of each host in `hosts`
 
     def add(self, host: Host) -> None:
         """Add a host that is not in the set."""
@@ -24,18 +24,25 @@
         self.hosts.append(host)
 
     def remove(self, host: Host) -> None:
-        """Remove a host; the last one takes its index. KeyError if it is not in the set."""
+        """Remove a host; the last one takes its index.
+
+        Raises:
+            KeyError: the host is not in the set.
+        """
         index, last = self._index.pop(host), self.hosts.pop()
         if last is not host:
             self.hosts[index], self._index[last] = last, index
 
     def sample(self, limit: int, rng: random.Random) -> list[Host]:
-        """Some of the hosts; see `sample`."""
+        """At most `limit` of the hosts; see the function `sample`."""
         return sample(self.hosts, limit, rng)
 
 
 def sample(hosts: list[Host], limit: int, rng: random.Random) -> list[Host]:
-    """All hosts if they are at most `limit`, else `limit` consecutive ones from a random start."""
+    """All hosts if there are at most `limit`, else `limit` consecutive ones from a random start.
+
+    Those from a start near the end continue at the beginning.
+    """
     count = len(hosts)
     if count <= limit:
         return hosts
--- a/hillmux/balancing/latency_histogram.py
+++ b/hillmux/balancing/latency_histogram.py
@@ -1,16 +1,16 @@
-"""A histogram of the hosts' latency ratios, from which their median is read."""
+"""A histogram of the hosts' latency ratios, used to compute their median."""
 
 from __future__ import annotations
 
 from typing import Final
 
-BINS_PER_DOUBLING: Final = 16  # of the latency ratio
-LATENCY_BINS: Final = 176
-BIN_OF_RATIO_1: Final = 96
+BINS_PER_DOUBLING: Final = 16  # bins that the latency ratio needs to double
+LATENCY_BINS: Final = 176  # number of bins
+BIN_OF_RATIO_1: Final = 96  # bin that begins at latency ratio 1
 
 
 class LatencyHistogram:
-    """How many hosts have a latency ratio in each bin."""
+    """The number of hosts whose latency ratio is in each bin."""
 
     __slots__ = ("counts", "total")
 
@@ -19,12 +19,12 @@
         self.total = 0
 
     def add(self, latency_bin: int) -> None:
-        """Count one more host in a bin."""
+        """Add one host to a bin."""
         self.counts[latency_bin] += 1
         self.total += 1
 
     def remove(self, latency_bin: int) -> None:
-        """Count one host less in a bin."""
+        """Remove one host from a bin."""
         self.counts[latency_bin] -= 1
         self.total -= 1
 
@@ -34,11 +34,11 @@
         self.counts[new_bin] += 1
 
     def median(self) -> float:
-        """The median ratio, to the middle of its bin, and at least 1; 1 if no host is counted."""
-        half, seen = self.total // 2, 0
+        """The median ratio as the middle of its bin, and at least 1; 1 if the histogram is empty."""
+        half, cumulative_count = self.total // 2, 0
         for latency_bin, count in enumerate(self.counts):
-            seen += count
-            if seen > half:
+            cumulative_count += count
+            if cumulative_count > half:
                 ratio: float = 2.0 ** ((latency_bin + 0.5 - BIN_OF_RATIO_1) / BINS_PER_DOUBLING)
                 return max(ratio, 1.0)
         return 1.0
--- a/hillmux/balancing/load_balancer.py
+++ b/hillmux/balancing/load_balancer.py
@@ -1,9 +1,9 @@
-"""What a gateway knows of the hosts, and which of them is the best for a request.
+"""Load balancer: the state of the listed hosts, and the selection of a host for each attempt.
 
-Each listed host that is available stands in one group of its pool: ready (healthy and warm), warming, or
-ejected. Ready ones are ranked by load: open requests and latency ratio over capacity (`load_ranking`). To
-choose, a few hosts of the lowest ranks are drawn and scored (`selection`). So no cost of a request grows with
-the number of hosts.
+Each available host is in one group of its pool: ready (healthy and warm), warming up, or ejected. Ready hosts
+are ranked by load, that is, by open requests and latency ratio over capacity (`load_ranking`). To select one,
+a few hosts of the lowest ranks are sampled and scored (`selection`), so the cost of a request does not grow
+with the number of hosts.
 """
 
 from __future__ import annotations
@@ -22,14 +22,15 @@
 
 
 class LoadBalancer:
-    """All listed hosts, and the choice among them.
+    """Maintains the listed hosts and selects among them.
 
-    `now` (ms) is to be set before each call; it never runs backwards.
+    The caller sets `now` (ms) before each call; it must never decrease.
     """
 
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
         self.now = 0.0
-        self.disabled_since: dict[str, float] = {}  # by host, listed or not, that an operator disabled
+        # Time (ms) at which an operator disabled a host, by the host's name; the host may be unlisted.
+        self.disabled_since: dict[str, float] = {}
         self.slow_start = SlowStart(settings, rng)
         self.host_set = HostSet(settings, self.slow_start)
         self.hosts = self.host_set.hosts
@@ -40,7 +41,7 @@
     # Endpoints, operators and settings
 
     def update_endpoints(self, event: api.EndpointList) -> None:
-        """Take over a list of endpoints: a whole one, or changes."""
+        """Apply an endpoint list: a full one, or changes to the present one."""
         if event.kind != ListKind.CHANGES:
             listed = {endpoint.name for endpoint in event.endpoints}
             for name in [name for name in self.hosts if name not in listed]:
@@ -48,7 +49,7 @@
         for endpoint in event.endpoints:
             self._update_endpoint(endpoint)
         if event.kind != ListKind.CHANGES:
-            self.layout_aperture()
+            self.update_aperture()
 
     def _update_endpoint(self, endpoint: api.Endpoint) -> None:
         host = self.hosts.get(endpoint.name)
@@ -57,13 +58,13 @@
                 self.host_set.remove(endpoint.name)
         elif host is None:
             self.host_set.add(endpoint, endpoint.name in self.disabled_since, self.now)
-        elif host.endpoint != endpoint:  # most of a whole list is known already
+        elif host.endpoint != endpoint:  # most entries of a full list are unchanged
             self.host_set.detach(host)
             host.update(endpoint)
             self.host_set.attach(host, self.now)
 
     def set_disabled(self, name: str, disabled: bool) -> None:
-        """Disable a host for an operator, or enable it again. Its open requests go on."""
+        """Disable a host on behalf of an operator, or enable it again; its open requests continue."""
         since = self.disabled_since.get(name) if disabled else self.disabled_since.pop(name, None)
         if disabled:
             self.disabled_since.setdefault(name, self.now)
@@ -73,14 +74,15 @@
         self.host_set.move(host, UNAVAILABLE)
         host.disabled = disabled
         if not disabled and since is not None:
-            # It was most likely restarted meanwhile, of which the list tells late: unless it has told of a
-            # start since, the host warms up from now on. One that was left running gets little at first.
+            # The host was probably restarted while it was disabled, and the endpoint list reports a start
+            # late. Unless the list has reported a start since then, the host warms up from now on, so a host
+            # that kept running gets little load at first.
             host.connection_refused = host.started_at_ms < since
             self.record_success(host)
         self.reindex(host)
 
     def change_settings(self, settings: api.Settings) -> None:
-        """Go over to new settings: slow start and the scopes of keys may differ."""
+        """Apply new settings, which may change slow start and the key scopes."""
         for host in self.hosts.values():
             self.host_set.move(host, UNAVAILABLE)
         self.slow_start.settings = self.aperture.settings = settings
@@ -91,11 +93,11 @@
     # Requests and their outcomes
 
     def reindex(self, host: Host) -> None:
-        """Move a host where its state belongs; to be called after each change of it."""
+        """Update the group and rank of a host; must be called after each change of its state."""
         self.host_set.reindex(host, self.now)
 
     def request_started(self, host: Host, work: float) -> None:
-        """Note that a request with `work` (ms of service) is sent to a host."""
+        """Record that a request with `work` (ms of service) is sent to a host."""
         host.open_requests += 1
         if not host.ejections and host.listed:
             self.host_set.open_on_healthy += 1
@@ -107,30 +109,35 @@
         self.host_set.reindex(host, self.now)
 
     def request_ended(self, host: Host) -> None:
-        """Note that a request is over; `reindex` is to follow once its outcome is recorded."""
+        """Record that a request has ended; call `reindex` once its outcome is recorded."""
         host.open_requests -= 1
         if not host.ejections and host.listed:
             self.host_set.open_on_healthy -= 1
 
     def record_latency_ratio(self, host: Host, ratio: float) -> None:
-        """Record an outcome that took so many times the usual latency; `reindex` is to follow."""
+        """Record an outcome whose latency was `ratio` times the usual latency; call `reindex` afterwards."""
         old_bin = host.latency_bin
         host.record_latency_ratio(ratio)
         if host.latency_bin != old_bin and host.group != UNAVAILABLE:
             self.host_set.latency_ratios.move(old_bin, host.latency_bin)
 
     def record_success(self, host: Host) -> None:
-        """Record that a host answered: it is healthy; `reindex` is to follow."""
+        """Record that a host responded, which marks it as healthy; call `reindex` afterwards."""
         if host.connection_refused:
-            # It was restarted: it is warming up long before the list says so.
+            # The host refused connections and now responds, so it was restarted. It warms up from now on,
+            # long before the endpoint list reports the start.
             host.warming_since_ms, host.connection_refused = max(host.warming_since_ms, self.now), False
         if host.ejections and host.listed:
             self.host_set.open_on_healthy += host.open_requests
         host.consecutive_failures = host.ejections = 0
 
     def eject(self, host: Host) -> bool:
-        """Eject a host, longer each time; `reindex` is to follow. False if its ejection lasts already."""
-        if outliers.is_resting(host, self.now):
+        """Eject a host, for longer each time in a row; call `reindex` afterwards.
+
+        Returns:
+            False if the host is ejected already and its ejection has not expired; nothing changes then.
+        """
+        if outliers.is_ejection_active(host, self.now):
             return False
         if not host.ejections and host.listed:
             self.host_set.open_on_healthy -= host.open_requests
@@ -138,42 +145,45 @@
         return True
 
     def skipped_count(self) -> int:
-        """Listed hosts that get no request now: draining, disabled or ejected ones."""
+        """The number of listed hosts that get no requests now: draining, disabled or ejected ones."""
         return sum(
-            host.group == UNAVAILABLE or outliers.is_resting(host, self.now) for host in self.hosts.values()
+            host.group == UNAVAILABLE or outliers.is_ejection_active(host, self.now)
+            for host in self.hosts.values()
         )
 
     def capacity_share(self, host: Host) -> float:
-        """The part of its capacity, up to 1, that a host has at least; less than 1 in slow start."""
+        """The lower bound of a host's present share of its capacity: 1, or less in slow start."""
         return self.slow_start.capacity_share(host, self.now)
 
     # Time
 
     def finish_warm_ups(self) -> None:
-        """Move hosts whose slow start is over to the ready ones."""
+        """Move hosts whose slow start has ended to the ready group."""
         host = self.slow_start.pop_warm(self.now)
         while host is not None:
             self.reindex(host)
             host = self.slow_start.pop_warm(self.now)
 
-    def sweep(self, span: float, keep: float) -> None:
-        """Refresh medians, rates and the aperture, `span` ms after the last time.
+    def sweep(self, interval_ms: float, decay: float) -> None:
+        """Update medians, rates and the aperture; called at regular intervals.
 
-        `keep`: the weight of old values in the rate of work.
+        Args:
+            interval_ms: time since the last call.
+            decay: the weight, below 1, of the old value in the moving average of the rate of work.
         """
         self.finish_warm_ups()
-        self.aperture.update_rate(span)
-        self.layout_aperture()
+        self.aperture.update_rate(interval_ms)
+        self.update_aperture()
         host_set = self.host_set
         self.outliers.update(host_set.latency_ratios, host_set.ejected_count, host_set.available_count)
         warm_count = host_set.available_count - host_set.ejected_count - host_set.warming_count
-        self.slow_start.update_rate(span, keep, warm_count)
+        self.slow_start.update_rate(interval_ms, decay, warm_count)
         if self.slow_start.needs_compaction(host_set.warming_count):
             self.slow_start.compact(host_set.warming_hosts())
 
-    def layout_aperture(self) -> None:
-        """Lay out the aperture anew if it has to change."""
-        self.aperture.layout(self.host_set, self.now)
+    def update_aperture(self) -> None:
+        """Update the aperture if its size or the available hosts have changed."""
+        self.aperture.update_members(self.host_set, self.now)
 
     # Selection
 
@@ -185,14 +195,15 @@
         tried: list[Host],
         locality_key: tuple[str | int, ...] = (),
     ) -> Host | None:
-        """The host for an attempt with `work` (ms of service), None if there is none.
+        """Select the host for an attempt; None if no host can take it.
 
         Args:
             pool_name: the pool whose hosts serve the request.
-            work: expected ms of service.
-            may_probe: whether the request may be sent to an ejected host to see if it has recovered.
-            tried: hosts that the request was sent to before.
-            locality_key: zone, or zone and cell, that a retry with a key must stay in; () for none.
+            work: the expected service time of the request, in ms.
+            may_probe: whether the request may be sent to an ejected host to check whether it has recovered.
+            tried: the hosts of the request's earlier attempts.
+            locality_key: the zone, or the zone and cell, that a retry with an idempotency key must stay in;
+                () if it may go to any.
         """
         pool = self.host_set.pools.get(pool_name)
         if pool is None:
--- a/hillmux/balancing/load_ranking.py
+++ b/hillmux/balancing/load_ranking.py
@@ -1,8 +1,8 @@
-"""Ready hosts ranked by load, so that the least loaded are found without looking at all of them.
+"""Ready hosts ranked by load, so that the least loaded are found without examining all of them.
 
-A rank is a sixth of a doubling of load, and a list of hosts without order. One integer has a bit for each
-rank that holds a host, so the lowest rank in use is found in one step; a request that starts or ends moves
-one host to a rank nearby.
+A rank spans a sixth of a doubling of load and holds an unordered list of hosts. An integer has one bit per
+rank, set if the rank holds a host, so the lowest occupied rank is found in one step; a request that starts or
+ends moves one host to a nearby rank.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 if TYPE_CHECKING:
     from hillmux.balancing.host import Host
 
-RANKS_PER_DOUBLING: Final = 6  # of load
-RANKS: Final = 512
-RANK_OF_UNIT_LOAD: Final = 256
-RANK_TABLE_SIZE: Final = 1024
-# The least load of each rank.
+RANKS_PER_DOUBLING: Final = 6  # ranks that the load needs to double
+RANKS: Final = 512  # number of ranks
+RANK_OF_UNIT_LOAD: Final = 256  # rank of a host whose load is 1
+RANK_TABLE_SIZE: Final = 1024  # numbers of open requests whose ranks are precomputed
+# The lower bound of the load in each rank.
 MIN_LOAD_OF_RANK = [0.0, *(2.0 ** ((r - RANK_OF_UNIT_LOAD) / RANKS_PER_DOUBLING) for r in range(1, RANKS))]
 
 
 def ranks_for_requests(count: int) -> float:
-    """The ranks that so many open requests add to the rank of an idle host."""
+    """The number of ranks that `count` open requests add to the rank of an idle host."""
     return RANKS_PER_DOUBLING * log2(count + 1)
 
 
@@ -30,7 +30,7 @@
 
 
 class RankedHosts:
-    """Hosts by rank."""
+    """Hosts by rank, without order within a rank."""
 
     __slots__ = ("by_rank", "occupied_ranks")
 
@@ -39,7 +39,7 @@
         self.occupied_ranks = 0  # bit r is set if rank r holds a host
 
     def add(self, host: Host, rank: int) -> None:
-        """Add a host that has no rank; one beyond the ranks goes to the first or the last."""
+        """Add a host that has no rank; `rank` is limited to the range of ranks."""
         hosts = self.by_rank.get(rank)
         if hosts is None:
             rank = min(max(rank, 0), RANKS - 1)
@@ -50,7 +50,7 @@
         hosts.append(host)
 
     def remove(self, host: Host) -> None:
-        """Remove a host from its rank, whose number it keeps until it is given another."""
+        """Remove a host from its rank; `host.rank` keeps its value, which the caller must replace."""
         hosts = self.by_rank[host.rank]
         last = hosts.pop()
         if last is not host:
--- a/tests/balancing/reference_model.py
+++ b/tests/balancing/reference_model.py
@@ -52,7 +52,7 @@
                 continue
             assert {h for h in members if groups[h] == WARMING} == set(pool.warming.hosts)
             assert {h for h in members if groups[h] == EJECTED} == set(pool.ejected.hosts)
-            rankings = (pool.inside, pool.outside)
+            rankings = (pool.inside_aperture, pool.outside_aperture)
             ranked = {
                 h: r
                 for ranking in rankings
@@ -65,7 +65,7 @@
                     1 << r for r, ranked_hosts in ranking.by_rank.items() if ranked_hosts
                 )
             for host, rank in ranked.items():
-                assert host.ranking is (pool.inside if host.in_aperture else pool.outside)
+                assert host.ranking is (pool.inside_aperture if host.in_aperture else pool.outside_aperture)
                 assert host.ranking.by_rank[rank][host.rank_index] is host
                 load = (host.open_requests + 1) * host.latency_ratio**0.5 / host.capacity
                 assert MIN_LOAD_OF_RANK[rank] <= load * 1.000001
--- a/tests/balancing/test_aperture.py
+++ b/tests/balancing/test_aperture.py
@@ -83,7 +83,8 @@
     balancer = make_balancer(0, gateways, hosts)
     send_requests(balancer, 10, 2)
     assert (
-        len(names_in_aperture(balancer)) == hosts and not balancer.host_set.pools[""].outside.occupied_ranks
+        len(names_in_aperture(balancer)) == hosts
+        and not balancer.host_set.pools[""].outside_aperture.occupied_ranks
     )
 
 
@@ -161,10 +162,10 @@
     number = int(far.name[1:])
     balancer.update_endpoints(api.EndpointList(ListKind.CHANGES, (endpoint(number, HostStatus.DRAINING),)))
     send_requests(balancer, 30, 5)  # 50 a second: it takes in all hosts
-    assert not balancer.host_set.pools[""].outside.occupied_ranks
+    assert not balancer.host_set.pools[""].outside_aperture.occupied_ranks
     balancer.update_endpoints(api.EndpointList(ListKind.CHANGES, (endpoint(number),)))
     send_requests(balancer, 5, 5)
-    assert far.in_aperture and not balancer.host_set.pools[""].outside.occupied_ranks
+    assert far.in_aperture and not balancer.host_set.pools[""].outside_aperture.occupied_ranks
 
 
 def test_a_size_near_the_number_of_hosts_does_not_change_at_each_sweep() -> None:
@@ -174,6 +175,6 @@
         balancer.aperture.request_rate = (
             15.5 if turn % 2 else 16.5
         ) / REQUEST_SPACING_MS  # about 20 / RESIZE
-        balancer.layout_aperture()
+        balancer.update_aperture()
         sizes.append(balancer.aperture.size)
     assert len(set(sizes[2:])) == 1
--- a/tests/balancing/test_selection.py
+++ b/tests/balancing/test_selection.py
@@ -201,7 +201,10 @@
     assert balancer.host_set.open_on_healthy == 0 and balancer.host_set.available_count == 50
     for rid in rids:  # their outcomes come from hosts that are off the list
         d.end(rid)
-    assert balancer.host_set.open_on_healthy == 0 and len(balancer.host_set.pools[""].inside.by_rank) < 20
+    assert (
+        balancer.host_set.open_on_healthy == 0
+        and len(balancer.host_set.pools[""].inside_aperture.by_rank) < 20
+    )
     sent = [of(d.ask()[1], api.SendAttempt)[0].host for _ in range(50)]
     assert len(set(sent)) > 40 and all(int(name[1:]) >= 100 for name in sent)
 
