--- a/tests/balancing/balancers.py
+++ b/tests/balancing/balancers.py
@@ -1,4 +1,4 @@
-"""Load balancers with endpoints, for tests."""
+"""Creates load balancers with endpoints for tests."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 
 def make_balancer(hosts: int = 0, seed: int = 1, **changes: object) -> LoadBalancer:
-    given = settings(
+    balancer_settings = settings(
         slow_start_ms=10_000.0,
         slow_start_min_share=0.2,
         overload_after_ms=2000.0,
         overload_multiple=3.0,
         **changes,
     )
-    balancer = LoadBalancer(given, random.Random(seed))
+    balancer = LoadBalancer(balancer_settings, random.Random(seed))
     balancer.now = 100_000.0
     balancer.update_endpoints(api.EndpointList(ListKind.FULL, tuple(endpoint(i) for i in range(hosts))))
     return balancer
--- a/tests/balancing/reference_model.py
+++ b/tests/balancing/reference_model.py
@@ -1,4 +1,4 @@
-"""A model of the load balancer that looks at every host, to compare it with."""
+"""A reference model of the load balancer, which recomputes its state from all hosts."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class ReferenceModel:
-    """What groups, sums and choices must be, found by looking at every host."""
+    """Compares groups, totals and selections of a load balancer with those computed from all hosts."""
 
     def __init__(self, balancer: LoadBalancer) -> None:
         self.balancer = balancer
 
     def group(self, host: Host) -> int:
-        """The group that a host must be in."""
+        """The group that a host should be in."""
         if not host.up:
             return UNAVAILABLE
         if host.ejections:
@@ -28,24 +28,24 @@
         return WARMING if self.balancer.capacity_share(host) < 1 else READY
 
     def check(self) -> None:
-        """Compare groups, sums, ranks and localities."""
+        """Compare groups, totals, ranks and localities."""
         balancer, hosts = self.balancer, self.balancer.hosts.values()
         groups = {h: self.group(h) for h in hosts}
         assert {h: h.group for h in hosts} == groups
         assert balancer.host_set.open_on_healthy == sum(h.open_requests for h in hosts if not h.ejections)
-        up = [h for h in hosts if h.up]
-        count = collections.Counter(groups.values())
+        available = [h for h in hosts if h.up]
+        group_sizes = collections.Counter(groups.values())
         assert (
             balancer.host_set.available_count,
             balancer.host_set.warming_count,
             balancer.host_set.ejected_count,
         ) == (
-            len(up),
-            count[WARMING],
-            count[EJECTED],
+            len(available),
+            group_sizes[WARMING],
+            group_sizes[EJECTED],
         )
         for pool_name in {h.pool_name for h in hosts}:
-            members = [h for h in up if h.pool_name == pool_name]
+            members = [h for h in available if h.pool_name == pool_name]
             pool = balancer.host_set.pools.get(pool_name)
             if pool is None:
                 assert not members
@@ -75,7 +75,7 @@
                 local = [h for h in members if (h.zone, h.cell)[: len(key)] == key]
                 assert set(locality.usable.hosts) == {h for h in local if groups[h] != EJECTED}
                 assert set(locality.ejected.hosts) == {h for h in local if groups[h] == EJECTED}
-        assert set(balancer.host_set.pools) == {h.pool_name for h in up}
+        assert set(balancer.host_set.pools) == {h.pool_name for h in available}
 
     def check_sweep(self) -> None:
         """Sweep, and compare rates and medians."""
@@ -91,7 +91,7 @@
         self.check_median()
 
     def check_median(self) -> None:
-        """Compare what the last sweep found of all hosts."""
+        """Compare the values that the last sweep computed over all hosts."""
         ratios = sorted(h.latency_ratio for h in self.balancer.hosts.values() if h.up)
         median = max(ratios[len(ratios) // 2], 1.0) if ratios else 1.0
         assert self.balancer.outliers.median_latency_ratio == pytest.approx(
@@ -103,7 +103,7 @@
     def check_selection(
         self, pool_name: str, may_probe: bool, tried: list[Host], locality_key: tuple[str | int, ...]
     ) -> None:
-        """Select a host, and compare it with those that could be."""
+        """Select a host, and compare it with the hosts that may be selected."""
         balancer = self.balancer
         members = [
             h
@@ -127,7 +127,7 @@
         if selected.ejections:
             assert selected not in tried
             if may_probe and not selected.open_requests and balancer.now >= selected.ejected_until_ms:
-                return  # a lone probe
+                return  # probe of a host without open requests
             assert not ready
             assert selected.open_requests or balancer.now < selected.ejected_until_ms
         elif self.group(selected) == READY:
@@ -135,6 +135,6 @@
             def load(h: Host) -> float:
                 return (h.open_requests + 1) * h.load_per_request * (TRIED_LOAD_FACTOR if h in tried else 1.0)
 
-            # Chance adds a fifth at most; of many hosts, one rank's hosts are drawn from alike.
-            slack = (1 + MAX_LOAD_NOISE) * (1 if len(ready) <= CANDIDATES else 2 ** (1 / RANKS_PER_DOUBLING))
-            assert load(selected) <= min(map(load, ready)) * slack * 1.000001
+            # Noise adds at most a fifth. Of many hosts, only some of the lowest rank are candidates.
+            factor = (1 + MAX_LOAD_NOISE) * (1 if len(ready) <= CANDIDATES else 2 ** (1 / RANKS_PER_DOUBLING))
+            assert load(selected) <= min(map(load, ready)) * factor * 1.000001
