--- a/hillmux/simulator/__init__.py
+++ b/hillmux/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's edge: its wire format, and the adapter that hosts gateways behind it."""
+"""Interface to the simulator: its wire format, and the adapter that runs gateways for it."""
--- a/hillmux/simulator/adapter.py
+++ b/hillmux/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Hosts gateways for the simulator, which sends batches of events and reads actions on standard streams."""
+"""Runs gateways for the simulator, which sends batches of events and reads actions over standard streams."""
 
 from __future__ import annotations
 
@@ -19,32 +19,32 @@
 
 
 class SimulatorAdapter:
-    """Reads batches, gives each event to its gateway, and writes the actions."""
+    """Reads batches, passes each event to its gateway, and writes the resulting actions."""
 
     def __init__(self, lines: Iterable[str], out: TextIO) -> None:
         self._lines: Iterator[str] = iter(lines)
         self._out = out
-        self.line_number = 0  # of the line that was read last
-        self.gateways: dict[str, Gateway] = {}  # by the instance's name
-        self._endpoint_lists: dict[int, tuple[api.Endpoint, ...]] = {}  # by the list's number
+        self.line_number = 0  # number of the line that was read last
+        self.gateways: dict[str, Gateway] = {}  # by instance name
+        self._endpoint_lists: dict[int, tuple[api.Endpoint, ...]] = {}  # by list number
 
     def run(self) -> None:
-        """Answer batches until the input ends between two of them.
+        """Answer batches until the input ends.
 
         Raises:
-            WireFormatError: the input is malformed.
+            WireFormatError: the input is malformed, or ends inside a batch.
         """
         while (parts := self._read_line()) is not None:
             if parts == [""]:
                 continue
             if parts[0] != "BATCH" or len(parts) != 2:
-                raise WireFormatError("expected BATCH and the clock")
+                raise WireFormatError("expected BATCH and the clock time")
             reply = self.answer_batch(codec.parse_float(parts[1]))
             self._out.write("".join(line + "\n" for line in reply))
             self._out.flush()
 
     def answer_batch(self, now_ms: float) -> list[str]:
-        """Read the events of one batch, and return all lines of its reply.
+        """Read and handle the events of one batch, and return all lines of its reply.
 
         Raises:
             WireFormatError: the batch is malformed.
@@ -53,7 +53,7 @@
         while True:
             parts = self._read_line()
             if parts is None:
-                raise WireFormatError("input ended inside a batch")
+                raise WireFormatError("input ended inside a batch: expected END")
             if parts == ["END"]:
                 return [*reply, "OK"]
             if parts[0] == "CATALOG":
@@ -63,13 +63,13 @@
                 event = self._parse_event(parts)
             except WireFormatError:
                 raise
-            except ValueError as error:  # settings that make no sense
+            except ValueError as error:  # invalid settings
                 reply.append(codec.format_failure(parts[1], error))
                 continue
             reply.extend(self.deliver(now_ms, parts[1], event))
 
     def deliver(self, now_ms: float, instance: str, event: WireEvent) -> list[str]:
-        """Give an event to its gateway; returns the lines of its actions, or one that reports its failure."""
+        """Pass an event to its gateway; returns the lines of its actions, or one that reports a failure."""
         try:
             if isinstance(event, InstanceOpened):
                 self.gateways[instance] = Gateway(event.settings, event.seed)
@@ -81,29 +81,37 @@
             if gateway is None:
                 return []
             return [codec.format_action(instance, action) for action in gateway.handle(now_ms, event)]
-        except Exception as error:  # one gateway's failure must not end the others
+        except Exception as error:  # a failure of one gateway must not stop the others
             return [codec.format_failure(instance, error)]
 
     def _read_line(self) -> list[str] | None:
-        """The next line, split at single spaces; None at the end of input."""
+        """Read the next line and split it at single spaces; None at the end of input.
+
+        Raises:
+            WireFormatError: the line has no line feed.
+        """
         line = next(self._lines, None)
         if line is None:
             return None
         self.line_number += 1
         if not line.endswith("\n"):
-            raise WireFormatError("truncated line")
+            raise WireFormatError("truncated line: no line feed before the end of input")
         return line.rstrip("\r\n").split(" ")
 
     def _read_endpoint_list(self, parts: list[str]) -> None:
-        """Store a numbered endpoint list, to which later events refer."""
+        """Read an endpoint list and store it by number, for the events that refer to it.
+
+        Raises:
+            WireFormatError: the list or an entry is malformed.
+        """
         if len(parts) != 3:
-            raise WireFormatError("CATALOG: wrong number of values")
+            raise WireFormatError("CATALOG: wrong number of values, expected 2")
         number, count = codec.parse_int(parts[1]), codec.parse_int(parts[2])
         endpoints = []
         for _ in range(count):
             entry = self._read_line()
             if entry is None:
-                raise WireFormatError("input ended inside a list")
+                raise WireFormatError("input ended inside an endpoint list")
             endpoints.append(codec.parse_endpoint(entry))
         self._endpoint_lists[number] = tuple(endpoints)
 
@@ -113,21 +121,24 @@
         return codec.parse_event(parts)
 
     def _parse_directory_update(self, parts: list[str]) -> api.EndpointList:
-        """An endpoint list event, with the list whose number it names."""
+        """Parse an endpoint list event, which refers to a list by its number."""
         if len(parts) != 5:
-            raise WireFormatError("DIRECTORY_UPDATE: wrong number of values")
+            raise WireFormatError("DIRECTORY_UPDATE: wrong number of values, expected 4")
         kind = codec.parse_member(codec.LIST_KINDS, parts[2])
         codec.parse_int(parts[3])
         if kind == ListKind.FAILED:
             return api.EndpointList(kind)
         number = codec.parse_int(parts[4])
         if number not in self._endpoint_lists:
-            raise WireFormatError(f"no list number {number}")
+            raise WireFormatError(f"DIRECTORY_UPDATE: no endpoint list has number {number}")
         return api.EndpointList(kind, self._endpoint_lists[number])
 
 
 def main() -> int:
-    """Serve standard input; on malformed input, print one line that says where and what."""
+    """Serve standard input until it ends; returns the exit status.
+
+    On malformed input, one line on standard error gives the line number and the error.
+    """
     for stream in (sys.stdin, sys.stdout):
         cast(io.TextIOWrapper, stream).reconfigure(encoding="utf-8", newline="\n")
     adapter = SimulatorAdapter(sys.stdin, sys.stdout)
--- a/hillmux/simulator/codec.py
+++ b/hillmux/simulator/codec.py
@@ -1,4 +1,4 @@
-"""The simulator's wire format: lines to events of the decision module, its actions to lines."""
+"""The simulator's wire format: parses lines to events of the decision module, formats actions as lines."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     "Error": ListKind.FAILED,
 }
 ENDPOINT_TAG = "M"
-RETRY_FLAG = 2  # in the flags of a request
+RETRY_FLAG = 2  # bit in the flags of a request, set if the client retries
 
 Member = TypeVar("Member")
 
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class InstanceOpened:
-    """A gateway starts, with its seed and settings."""
+    """A gateway instance was started with this seed and these settings."""
 
     seed: int
     settings: api.Settings
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class InstanceClosed:
-    """A gateway was killed."""
+    """A gateway instance was killed."""
 
 
 WireEvent = api.Event | InstanceOpened | InstanceClosed
@@ -56,10 +56,10 @@
 
 
 def parse_float(text: str) -> float:
-    """A finite number; an absent one reads as 0.
+    """Parse a finite number; an absent one is 0.
 
     Raises:
-        WireFormatError: it is none.
+        WireFormatError: the text is not a finite number.
     """
     try:
         return parse_number(text)
@@ -68,46 +68,46 @@
 
 
 def parse_int(text: str) -> int:
-    """A whole number; an absent one reads as 0.
+    """Parse an integer; an absent one is 0.
 
     Raises:
-        WireFormatError: it is none.
+        WireFormatError: the text is not an integer.
     """
     if text == ABSENT:
         return 0
     try:
         return int(text)
     except ValueError:
-        raise WireFormatError(f"bad whole number {text!r}") from None
+        raise WireFormatError(f"expected a whole number, found {text!r}") from None
 
 
 def parse_flag(text: str) -> bool:
-    """1, or 0; an absent one reads as 0.
+    """Parse a flag, 1 or 0; an absent one is False.
 
     Raises:
-        WireFormatError: it is neither.
+        WireFormatError: the text is neither.
     """
     if text not in ("0", "1", ABSENT):
-        raise WireFormatError(f"bad truth value {text!r}")
+        raise WireFormatError(f"expected 0 or 1, found {text!r}")
     return text == "1"
 
 
 def parse_member(table: dict[str, Member], text: str) -> Member:
-    """What a word stands for.
+    """Look up the value that a word of the wire format stands for.
 
     Raises:
-        WireFormatError: the table does not have it.
+        WireFormatError: the word is not in the table.
     """
     if text not in table:
-        raise WireFormatError(f"unknown word {text!r}")
+        raise WireFormatError(f"unknown word {text!r}, expected one of {', '.join(table)}")
     return table[text]
 
 
 def parse_load_report(text: str) -> dict[str, float]:
-    """The name:value pairs of a load report, separated by commas.
+    """Parse a load report: name:value pairs separated by commas.
 
     Raises:
-        WireFormatError: a pair has no colon, or its value is no number.
+        WireFormatError: a pair has no colon, or its value is not a finite number.
     """
     values: dict[str, float] = {}
     if text == ABSENT:
@@ -115,22 +115,25 @@
     for pair in text.split(","):
         name, colon, value = pair.partition(":")
         if not colon:
-            raise WireFormatError(f"bad load report {text!r}")
+            raise WireFormatError(f"load report: expected name:value pairs, found {text!r}")
         values[name] = parse_float(value)
     return values
 
 
 def parse_endpoint(parts: list[str]) -> api.Endpoint:
-    """One entry of an endpoint list, split at single spaces.
+    """Parse one entry of an endpoint list.
+
+    Args:
+        parts: the entry's line, split at single spaces.
 
     Raises:
         WireFormatError: a value is missing or malformed.
     """
     if len(parts) != 8 or parts[0] != ENDPOINT_TAG:
-        raise WireFormatError("a list entry needs M and 7 values")
+        raise WireFormatError("endpoint list entry: expected M and 7 values")
     _, name, zone, _, cell, status, capacity, started_at_ms = parts
     if status not in set(HostStatus):
-        raise WireFormatError(f"unknown status {status!r}")
+        raise WireFormatError(f"endpoint list entry: unknown status {status!r}")
     return api.Endpoint(
         name,
         zone,
@@ -141,16 +144,16 @@
     )
 
 
-# --- Events: each reader gets the values that follow the instance's name ---
+# --- Events: each parser gets the values that follow the instance name ---
 
 
-def _instance_opened(values: list[str]) -> InstanceOpened:
+def _parse_instance_opened(values: list[str]) -> InstanceOpened:
     seed = parse_int(values[0])
     pairs: dict[str, str] = {}
     for pair in values[1:]:
         path, equals, value = pair.partition("=")
         if not equals:
-            raise WireFormatError(f"bad setting {pair!r}")
+            raise WireFormatError(f"expected a setting path=value, found {pair!r}")
         pairs[path] = value
     try:
         return InstanceOpened(seed, parse_settings(pairs))
@@ -158,11 +161,11 @@
         raise WireFormatError(str(error)) from None
 
 
-def _instance_closed(values: list[str]) -> InstanceClosed:
+def _parse_instance_closed(values: list[str]) -> InstanceClosed:
     return InstanceClosed()
 
 
-def _request(values: list[str]) -> api.Request:
+def _parse_request(values: list[str]) -> api.Request:
     request_id, class_name, plan_name, customer, time_left_ms, units, replicas, first_replica, flags = values
     return api.Request(
         request_id,
@@ -177,7 +180,7 @@
     )
 
 
-def _attempt_ended(values: list[str]) -> api.AttemptEnded:
+def _parse_attempt_ended(values: list[str]) -> api.AttemptEnded:
     request_id, attempt, host, result, elapsed_ms, final, usage_percent, actual_units, load_report = values
     return api.AttemptEnded(
         request_id,
@@ -192,15 +195,15 @@
     )
 
 
-def _gossip_message(values: list[str]) -> api.GossipMessage:
+def _parse_gossip_message(values: list[str]) -> api.GossipMessage:
     sender, data = values
     try:
         return api.GossipMessage(parse_int(sender), bytes.fromhex("" if data == ABSENT else data))
     except ValueError:
-        raise WireFormatError(f"bad bytes {data!r}") from None
+        raise WireFormatError(f"expected bytes in hexadecimal, found {data!r}") from None
 
 
-def _health_check_reply(values: list[str]) -> api.HealthCheckReply:
+def _parse_health_check_reply(values: list[str]) -> api.HealthCheckReply:
     elapsed_ms, host, result, load_report = values
     return api.HealthCheckReply(
         host,
@@ -210,60 +213,67 @@
     )
 
 
-def _client_disconnected(values: list[str]) -> api.ClientDisconnected:
+def _parse_client_disconnected(values: list[str]) -> api.ClientDisconnected:
     return api.ClientDisconnected(values[0])
 
 
-def _response_started(values: list[str]) -> api.ResponseStarted:
+def _parse_response_started(values: list[str]) -> api.ResponseStarted:
     request_id, attempt, _, _ = values
     return api.ResponseStarted(request_id, parse_int(attempt))
 
 
-def _timer_fired(values: list[str]) -> api.TimerFired:
+def _parse_timer_fired(values: list[str]) -> api.TimerFired:
     return api.TimerFired(values[0])
 
 
-def _counter_reply(values: list[str]) -> api.CounterReply:
+def _parse_counter_reply(values: list[str]) -> api.CounterReply:
     total, result, elapsed_ms, name = values
     return api.CounterReply(
         name, parse_member(ATTEMPT_RESULTS, result), parse_float(total), parse_float(elapsed_ms)
     )
 
 
-# By message name: the number of values after the instance (None: one or more), and their reader.
-EVENT_READERS: dict[str, tuple[int | None, Callable[[list[str]], WireEvent]]] = {
-    "OPEN_INSTANCE": (None, _instance_opened),
-    "REQ": (9, _request),
-    "ENDED": (9, _attempt_ended),
-    "INBOX": (2, _gossip_message),
-    "DETACH": (0, _instance_closed),
-    "PROBE_DONE": (4, _health_check_reply),
-    "CLIENT_LEFT": (1, _client_disconnected),
-    "HEAD_RECEIVED": (4, _response_started),
-    "TICK_DUE": (1, _timer_fired),
-    "COUNTER_REPLY": (4, _counter_reply),
+# By message name: the number of values after the instance name (None: one or more), and their parser.
+EVENT_PARSERS: dict[str, tuple[int | None, Callable[[list[str]], WireEvent]]] = {
+    "OPEN_INSTANCE": (None, _parse_instance_opened),
+    "REQ": (9, _parse_request),
+    "ENDED": (9, _parse_attempt_ended),
+    "INBOX": (2, _parse_gossip_message),
+    "DETACH": (0, _parse_instance_closed),
+    "PROBE_DONE": (4, _parse_health_check_reply),
+    "CLIENT_LEFT": (1, _parse_client_disconnected),
+    "HEAD_RECEIVED": (4, _parse_response_started),
+    "TICK_DUE": (1, _parse_timer_fired),
+    "COUNTER_REPLY": (4, _parse_counter_reply),
 }
 
 
 def parse_event(parts: list[str]) -> WireEvent:
-    """The event of one line, split at single spaces.
+    """Parse the event of one line.
+
+    Args:
+        parts: the line, split at single spaces.
 
     Raises:
         WireFormatError: the line is malformed.
-        ValueError: settings have a value that is none of its choices.
+        ValueError: a setting has a value that is not one of the allowed choices.
     """
     name = parts[0]
-    if name not in EVENT_READERS:
-        raise WireFormatError(f"unknown message {name!r}")
-    count, reader = EVENT_READERS[name]
+    if name not in EVENT_PARSERS:
+        raise WireFormatError(f"unknown message name {name!r}")
+    count, parser = EVENT_PARSERS[name]
     values = parts[2:]
     if len(parts) < 2 or (count is None and not values) or (count is not None and len(values) != count):
         raise WireFormatError(f"{name}: wrong number of values")
-    return reader(values)
+    return parser(values)
 
 
 def format_action(instance: str, action: api.Action) -> str:
-    """The line of one action."""
+    """Format one action as a line.
+
+    Raises:
+        TypeError: the action has no line in this format.
+    """
     match action:
         case api.SendAttempt():
             return f"DELIVER {instance} {action.request_id} {action.timeout_ms:.3f} {action.host}"
@@ -285,10 +295,10 @@
 
 
 def format_failure(instance: str, error: Exception) -> str:
-    """The line that reports that an instance's decision module failed."""
+    """Format the line that reports a failure of an instance's decision module."""
     return f"BROKEN {instance} {type(error).__name__}: {single_line(str(error))}"
 
 
 def single_line(text: str) -> str:
-    """The text with single spaces in place of all white space."""
+    """Replace each run of white space in a text by a single space, so that it fits on one line."""
     return " ".join(text.split())
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter by transcript: good batches, malformed lines, the example of the docs."""
+"""The simulator's adapter as a process: valid batches, malformed lines, the example in docs/platform.md."""
 
 from __future__ import annotations
 
@@ -53,23 +53,23 @@
 
 
 def test_request_waits_for_the_counter_and_is_sent_to_a_host() -> None:
-    done = run_adapter(
+    completed = run_adapter(
         "BATCH 900\nEND\n" + open_instances("gateway/0") + batch(1010, request("gateway/0", "r-a"))
     )
-    assert done.returncode == 0 and done.stderr == ""
-    lines = done.stdout.splitlines()
+    assert completed.returncode == 0 and completed.stderr == ""
+    lines = completed.stdout.splitlines()
     assert lines[0] == "OK" and lines.count("OK") == 3
-    name = re.search(r"ADD gateway/0 (\S+) \S+ \S+", done.stdout)
+    name = re.search(r"ADD gateway/0 (\S+) \S+ \S+", completed.stdout)
     assert name and name[1].isascii() and len(name[1]) <= 64
-    again = run_adapter(
+    delivered = run_adapter(
         "BATCH 900\nEND\n"
         + open_instances("gateway/0")
         + batch(1010, request("gateway/0", "r-a"))
         + batch(1014, f"COUNTER_REPLY gateway/0 1 Ok 2.15 {name[1]}")
     )
-    sent = re.search(r"DELIVER gateway/0 r-a ([\d.]+) (10\.0\.0\.\d:80)", again.stdout)
+    sent = re.search(r"DELIVER gateway/0 r-a ([\d.]+) (10\.0\.0\.\d:80)", delivered.stdout)
     assert sent and 0 < float(sent[1]) <= 1000
-    served = run_adapter(
+    finished = run_adapter(
         "BATCH 900\nEND\n"
         + open_instances("gateway/0")
         + batch(1010, request("gateway/0", "r-a"))
@@ -81,8 +81,8 @@
             "TICK_DUE gateway/0 sweep",
         )
     )
-    assert served.returncode == 0
-    assert "REFUSE" not in served.stdout and "GIVE_UP" not in served.stdout
+    assert finished.returncode == 0
+    assert "REFUSE" not in finished.stdout and "GIVE_UP" not in finished.stdout
 
 
 @pytest.mark.parametrize(
@@ -101,27 +101,27 @@
         "",
     ],
 )
-def test_malformed_line_ends_the_adapter_with_one_line_that_names_it(line: str) -> None:
-    done = run_adapter(open_instances("gateway/0") + f"BATCH 1010\n{line}\nEND\n")
-    assert done.returncode not in (0, 1)
-    assert re.fullmatch(r"line \d+: .+\n", done.stderr)
-    assert "Traceback" not in done.stderr
-    assert done.stdout.endswith("OK\n") and done.stdout.count("OK") == 1
+def test_adapter_exits_with_one_line_of_error_for_a_malformed_line(line: str) -> None:
+    completed = run_adapter(open_instances("gateway/0") + f"BATCH 1010\n{line}\nEND\n")
+    assert completed.returncode not in (0, 1)
+    assert re.fullmatch(r"line \d+: .+\n", completed.stderr)
+    assert "Traceback" not in completed.stderr
+    assert completed.stdout.endswith("OK\n") and completed.stdout.count("OK") == 1
 
 
-def test_truncated_input_ends_the_adapter() -> None:
+def test_adapter_exits_with_one_line_of_error_for_truncated_input() -> None:
     for text in (
         open_instances("gateway/0") + "BATCH 1010\nREQ gate",
         open_instances("gateway/0") + "BATCH 1010\n",
     ):
-        done = run_adapter(text)
-        assert done.returncode != 0 and done.stderr.count("\n") == 1
+        completed = run_adapter(text)
+        assert completed.returncode != 0 and completed.stderr.count("\n") == 1
 
 
 def test_failure_of_a_gateway_is_reported_for_its_instance() -> None:
-    done = run_adapter("BATCH 1\nOPEN_INSTANCE gateway/0 5 fleet_size=0 grades.count=0\nEND\n")
-    assert done.returncode == 0
-    assert done.stdout == "BROKEN gateway/0 ValueError: classes: found none, expected at least one\nOK\n"
+    completed = run_adapter("BATCH 1\nOPEN_INSTANCE gateway/0 5 fleet_size=0 grades.count=0\nEND\n")
+    assert completed.returncode == 0
+    assert completed.stdout == "BROKEN gateway/0 ValueError: classes: found none, expected at least one\nOK\n"
 
 
 def transcript(*names: str) -> str:
@@ -134,25 +134,25 @@
 
 
 def test_actions_do_not_depend_on_the_hash_seed_or_on_other_instances() -> None:
-    together = run_adapter(transcript("gateway/0", "gateway/1")).stdout
-    assert together.count("DELIVER") + together.count("ADD") > 20
-    assert run_adapter(transcript("gateway/0", "gateway/1"), hash_seed="99").stdout == together
-    alone = run_adapter(transcript("gateway/0")).stdout.splitlines()
-    mine = [x for x in together.splitlines() if " gateway/0 " in x]
-    assert mine == [x for x in alone if x != "OK"]
+    joint_output = run_adapter(transcript("gateway/0", "gateway/1")).stdout
+    assert joint_output.count("DELIVER") + joint_output.count("ADD") > 20
+    assert run_adapter(transcript("gateway/0", "gateway/1"), hash_seed="99").stdout == joint_output
+    separate_lines = run_adapter(transcript("gateway/0")).stdout.splitlines()
+    own_lines = [x for x in joint_output.splitlines() if " gateway/0 " in x]
+    assert own_lines == [x for x in separate_lines if x != "OK"]
 
 
-def test_example_of_the_platform_page_runs() -> None:
+def test_example_in_the_platform_docs_runs() -> None:
     code = re.search(r"```python\n(.*?)```", (ROOT / "docs" / "platform.md").read_text(), re.DOTALL)
     assert code
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code[1]], capture_output=True, text=True, cwd=ROOT, check=False
     )
-    assert done.returncode == 0, done.stderr
-    assert done.stdout.splitlines()[-1] == "served by 10.0.0.1:80"
+    assert completed.returncode == 0, completed.stderr
+    assert completed.stdout.splitlines()[-1] == "served by 10.0.0.1:80"
 
 
-def test_deploy_file_names_every_decision_module_and_the_adapter() -> None:
+def test_deploy_file_lists_every_decision_module_and_the_adapter() -> None:
     text = (ROOT / "deploy" / "balancer.toml").read_text()
     modules = [
         str(file.relative_to(ROOT))
