--- a/hillmux/balancing/__init__.py
+++ b/hillmux/balancing/__init__.py
@@ -1,4 +1,4 @@
-"""The state that a gateway keeps of the hosts, and the selection among them.
+"""The state that a gateway keeps for the hosts, and the selection among them.
 
 The decision module calls `load_balancer.LoadBalancer`, which uses the other modules:
 
--- a/hillmux/balancing/host.py
+++ b/hillmux/balancing/host.py
@@ -1,4 +1,4 @@
-"""The state that a gateway keeps of one host."""
+"""The state that a gateway keeps for one host."""
 
 from __future__ import annotations
 
--- a/hillmux/balancing/host_pool.py
+++ b/hillmux/balancing/host_pool.py
@@ -11,7 +11,7 @@
 
 
 class Locality:
-    """The available hosts of one zone, or of one cell, for requests that are bound to it."""
+    """The available hosts of one zone, or of one cell in it, for requests that are bound to it."""
 
     __slots__ = ("usable", "ejected")
 
--- a/hillmux/balancing/indexed_set.py
+++ b/hillmux/balancing/indexed_set.py
@@ -41,7 +41,7 @@
 def sample(hosts: list[Host], limit: int, rng: random.Random) -> list[Host]:
     """All hosts if there are at most `limit`, else `limit` consecutive ones from a random start.
 
-    Those from a start near the end continue at the beginning.
+    The sample wraps around at the end of the list.
     """
     count = len(hosts)
     if count <= limit:
--- a/hillmux/balancing/latency_histogram.py
+++ b/hillmux/balancing/latency_histogram.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-BINS_PER_DOUBLING: Final = 16  # bins that the latency ratio needs to double
+BINS_PER_DOUBLING: Final = 16  # number of bins per doubling of the latency ratio
 LATENCY_BINS: Final = 176  # number of bins
 BIN_OF_RATIO_1: Final = 96  # bin that begins at latency ratio 1
 
--- a/hillmux/balancing/load_ranking.py
+++ b/hillmux/balancing/load_ranking.py
@@ -13,10 +13,10 @@
 if TYPE_CHECKING:
     from hillmux.balancing.host import Host
 
-RANKS_PER_DOUBLING: Final = 6  # ranks that the load needs to double
+RANKS_PER_DOUBLING: Final = 6  # number of ranks per doubling of the load
 RANKS: Final = 512  # number of ranks
 RANK_OF_UNIT_LOAD: Final = 256  # rank of a host whose load is 1
-RANK_TABLE_SIZE: Final = 1024  # numbers of open requests whose ranks are precomputed
+RANK_TABLE_SIZE: Final = 1024  # number of entries of RANKS_FOR_REQUESTS
 # The lower bound of the load in each rank.
 MIN_LOAD_OF_RANK = [0.0, *(2.0 ** ((r - RANK_OF_UNIT_LOAD) / RANKS_PER_DOUBLING) for r in range(1, RANKS))]
 
--- a/hillmux/balancing/outliers.py
+++ b/hillmux/balancing/outliers.py
@@ -45,7 +45,7 @@
 
 
 def extend_ejection(host: Host, now: float) -> None:
-    """Eject a host from `now` (ms) on, for twice as long as the last time, up to a limit."""
+    """Eject a host from `now` (ms) on, for twice as long as the last time in a row, up to a limit."""
     host.ejected_until_ms = now + min(BASE_EJECTION_MS * 2**host.ejections, MAX_EJECTION_MS)
     host.ejections = min(host.ejections + 1, MAX_EJECTIONS)
 
--- a/hillmux/balancing/selection.py
+++ b/hillmux/balancing/selection.py
@@ -1,6 +1,6 @@
 """The selection of a host for one attempt.
 
-An ejected host whose ejection has expired is probe_host with a single request; a host that warms up gets this
+An ejected host whose ejection has expired is probed with a single request; a host that warms up gets this
 gateway's share of its slow-start budget; otherwise the least loaded ready host is selected. At most a fixed
 number of hosts is examined, regardless of the size of the pool: ready hosts from the lowest rank upwards,
 others from a random start.
@@ -108,7 +108,8 @@
     def _least_loaded_ranked(self, pool: HostPool, ranking: RankedHosts, tried: list[Host]) -> Host | None:
         """The least loaded of a few hosts of the lowest ranks.
 
-        Ranks whose least load is not below the best load found are not examined.
+        At most `CANDIDATES` untried hosts are examined. The search ends earlier, with an exact result, at a
+        rank whose lower bound is not below the best load found.
         """
         best, best_load, remaining = None, inf, CANDIDATES
         ranks, rng = ranking.occupied_ranks, self.rng
