--- a/hillmux/net/attempt.py
+++ b/hillmux/net/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request that is sent to one upstream host, until its single outcome."""
+"""An attempt: one request sent to one upstream host, with exactly one outcome."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 class StreamedRequestBody(Protocol):
     """A request body that is still arriving from the client."""
 
-    complete: bool  # its last byte has arrived
-    client: Any  # the client's connection; `hold` pauses and resumes reading from it
+    complete: bool  # whether its last byte has arrived
+    client: Any  # the client's connection; `pause_body` pauses and resumes reading from it
 
     def attach(self, connection: Any) -> None:
-        """Write what has arrived, and what still arrives, to a connection."""
+        """Write the data that has arrived, and all further data, to a connection."""
 
     def detach(self, connection: Any) -> None:
         """Stop writing to a connection."""
 
 
 class Attempt:
-    """One `SendAttempt` action from its decision to its outcome.
+    """One `SendAttempt` action, from the decision to its outcome.
 
-    Times are in seconds of `time.monotonic`.
+    Times are in seconds, by the clock of `time.monotonic`.
     """
 
     __slots__ = (
@@ -59,18 +59,18 @@
     ) -> None:
         self.request_id, self.number, self.host = request_id, number, host
         self.head, self.body, self.sent_at = head, body, sent_at
-        self.delivery_deadline = delivery_deadline  # its last byte must have left by then
+        self.delivery_deadline = delivery_deadline  # time by which the last byte must have been sent
         self.connection: UpstreamConnection | None = None
         self.dial_task: asyncio.Task[Any] | None = None
-        self.dialled_connection: UpstreamConnection | None = None  # created by the dial, perhaps not up yet
-        self.timeout_slot = 0  # of its time-out in `UpstreamPool.timeouts`
-        self.timeout_timer: asyncio.TimerHandle | None = None  # the grace period after that time-out
+        self.dialled_connection: UpstreamConnection | None = None  # created by the dial; may not be open yet
+        self.timeout_slot = 0  # slot number of its time-out in `UpstreamPool.timeouts`
+        self.timeout_timer: asyncio.TimerHandle | None = None  # READ_GRACE_S timer, set by the time-out
         self.dial_timer: asyncio.TimerHandle | None = None
         self.done = False
-        self.streamed_body: StreamedRequestBody | None = None  # the rest of a body that is streamed
-        self.timeout_s = 0.0  # from the decision on, or from the body's last byte
+        self.streamed_body: StreamedRequestBody | None = None  # remainder of the body, if it is streamed
+        self.timeout_s = 0.0  # counted from `sent_at`, which is reset by a streamed body's last byte
 
     def payload(self, now: float) -> bytes:
-        """The request as it is written now; X-Deadline tells the host how long the answer is awaited."""
+        """Return the request's bytes, with X-Deadline set to the time left until the time-out, in ms."""
         wait_ms = max((self.sent_at + self.timeout_s - now) * 1000, 1)
         return b"%bX-Deadline: %dm\r\n\r\n%b" % (self.head, wait_ms, self.body)
--- a/hillmux/net/deadlines.py
+++ b/hillmux/net/deadlines.py
@@ -1,9 +1,9 @@
-"""Many deadlines, nearly all of which are cancelled, on one timer of the event loop.
+"""A timing wheel: many deadlines, most of which are cancelled, on one timer of the event loop.
 
-A hashed timing wheel (Varghese and Lauck, 1987, scheme 6): a deadline belongs to the slot of TICK_S in which
-it falls, a dictionary under the slot's number, so that adding and cancelling are one look-up each. A heap
-holds the numbers in use, and the timer of the loop is set to the first slot that holds anything. A deadline
-expires up to TICK_S late, never early.
+Hashed timing wheel (Varghese and Lauck, 1987, scheme 6): time is divided into numbered slots of TICK_S, and
+each deadline is kept in the dictionary of the slot in which it falls, so that adding and cancelling take one
+look-up each. A heap holds the numbers of the slots in use, and the event loop's timer is set to the first
+of them. A deadline expires up to TICK_S late, never early.
 """
 
 from __future__ import annotations
@@ -15,22 +15,26 @@
 
 T = TypeVar("T")
 
-TICK_S: Final = 0.004  # a shorter one would keep more slots
-MAX_EXPIRED_PER_TURN: Final = 64  # of the event loop
+TICK_S: Final = 0.004  # width of a slot; narrower slots would increase their number
+MAX_EXPIRED_PER_ITERATION: Final = 64  # items reported in one iteration of the event loop
 
 
 class TimingWheel(Generic[T]):
-    """Calls `on_expired` with each item that was added and not cancelled once its deadline is reached."""
+    """Calls `on_expired` with each item whose deadline passes before it is cancelled."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, on_expired: Callable[[T], None]) -> None:
         self._loop, self._on_expired = loop, on_expired
         self._slots: dict[int, dict[T, None]] = {}
-        self._slot_numbers: list[int] = []  # a heap of the keys of `_slots`
+        self._slot_numbers: list[int] = []  # heap of the keys of `_slots`
         self._wakeup: asyncio.TimerHandle | None = None
-        self._wakeup_slot = 0  # its slot, while there is a timer
+        self._wakeup_slot = 0  # slot number to which `_wakeup` is set; valid only while it is not None
 
     def add(self, item: T, delay_s: float) -> int:
-        """Add an item that is in no slot yet; returns its slot, which `cancel` takes."""
+        """Add an item that is not in the wheel.
+
+        Returns:
+            The number of its slot, which `cancel` needs.
+        """
         number = int((self._loop.time() + delay_s) / TICK_S) + 1
         slot = self._slots.get(number)
         if slot is None:
@@ -41,7 +45,7 @@
         return number
 
     def cancel(self, item: T, number: int) -> None:
-        """Cancel an item; does nothing if it has expired already."""
+        """Cancel an item in the slot that `add` returned; does nothing if the item has expired."""
         slot = self._slots.get(number)
         if slot is not None:
             slot.pop(item, None)
@@ -54,7 +58,7 @@
         self._slot_numbers.clear()
 
     def _schedule_wakeup(self, number: int) -> None:
-        """Set the timer to a slot, unless it is set to an earlier one."""
+        """Set the timer to a slot, unless it is already set to this or an earlier one."""
         if self._wakeup is not None and number >= self._wakeup_slot:
             return
         if self._wakeup is not None:
@@ -63,12 +67,13 @@
         self._wakeup = self._loop.call_later(max(number * TICK_S - self._loop.time(), 0.0), self._expire)
 
     def _expire(self) -> None:
-        """Report expired items, at most MAX_EXPIRED_PER_TURN before the loop reads its sockets again.
+        """Report expired items, at most MAX_EXPIRED_PER_ITERATION before the event loop reads its sockets.
 
-        After a stall all are due at once, while unread responses would cancel most of them.
+        After a stall of the event loop many items are due at once, although responses that have arrived
+        unread would cancel most of them. The limit lets the loop read these responses in between.
         """
         self._wakeup = None
-        now, remaining = int(self._loop.time() / TICK_S), MAX_EXPIRED_PER_TURN
+        now, remaining = int(self._loop.time() / TICK_S), MAX_EXPIRED_PER_ITERATION
         try:
             while self._slot_numbers:
                 number = self._slot_numbers[0]
@@ -82,6 +87,6 @@
                 del slot[item]
                 remaining -= 1
                 self._on_expired(item)
-        finally:  # what the callback raises goes to the loop's handler; the other deadlines still hold
+        finally:  # an exception of the callback goes to the loop's handler; other deadlines must still expire
             if self._slot_numbers:
                 self._schedule_wakeup(self._slot_numbers[0])
--- a/hillmux/net/dialer.py
+++ b/hillmux/net/dialer.py
@@ -1,4 +1,4 @@
-"""Dialling upstream hosts: one connection attempt with its time-out and its errors."""
+"""Dialling upstream hosts: opens one connection, with a time-out, and classifies errors."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 if TYPE_CHECKING:
     from hillmux.net.upstream_pool import UpstreamPool
 
-# One or two turns of the loop, in which data that has already arrived is read before a time-out counts.
+# A time-out takes effect after this delay, which lasts one or two iterations of the event loop, so that data
+# that has already arrived is read first.
 READ_GRACE_S: Final = 0.002
-# Failures to open a socket that say nothing about the host.
+# Errors of opening a socket that are caused by local resource limits rather than by the host.
 LOCAL_LIMIT_ERRNOS: Final = frozenset(
     (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 )
@@ -29,10 +30,13 @@
         self._pool, self.timeout_s = pool, timeout_s
 
     def dial(self, host: UpstreamHost, attempt: Attempt) -> None:
-        """Open a connection to a host for an attempt; the pool learns of it by `dialled` or `finish`."""
+        """Open a connection to a host for an attempt.
+
+        Calls the pool's `dialled` when the connection is open, or `finish` if it cannot be opened.
+        """
         pool = self._pool
         if not pool.reserve_dial():
-            # The limit is the gateway's own, so it is not reported as a failure of the host.
+            # The limit is the gateway's own, so it must not count as a failure of the host.
             pool.finish(attempt, AttemptResult.LOCAL_LIMIT)
             return
         pool.dials += 1
@@ -59,7 +63,7 @@
         if task.cancelled():
             self._pool.finish(attempt, AttemptResult.CONNECT_FAILED)
         elif error is not None:
-            self._pool.finish(attempt, _result_of(error))
+            self._pool.finish(attempt, _classify_dial_error(error))
         else:
             self._pool.dialled(attempt, host, task.result()[1])
 
@@ -72,10 +76,11 @@
             self._pool.finish(attempt, AttemptResult.CONNECT_FAILED)
 
 
-def _result_of(error: BaseException) -> AttemptResult:
-    """What a failed dial means for its attempt.
+def _classify_dial_error(error: BaseException) -> AttemptResult:
+    """Return the result of an attempt whose dial failed.
 
-    A lack of local resources must not count against the host: it would be ejected for a fault of ours.
+    A lack of local resources must not count against the host, which would be ejected for a fault of the
+    gateway.
     """
     if isinstance(error, OSError) and error.errno in LOCAL_LIMIT_ERRNOS:
         return AttemptResult.LOCAL_LIMIT
--- a/hillmux/net/event_dispatcher.py
+++ b/hillmux/net/event_dispatcher.py
@@ -1,4 +1,4 @@
-"""Events to the decision module, one at a time; the actions that it returns are executed in order."""
+"""Passes events to the decision module one at a time, and executes the actions that it returns in order."""
 
 from __future__ import annotations
 
@@ -13,35 +13,36 @@
 
 log = logging.getLogger(__name__)
 
-# Longer than the turn of the loop in which everything that waited on sockets is read.
+# Interval at which held events are checked for release. It is longer than the iteration of the event loop
+# that reads all data that arrived during a stall.
 ENDPOINTS_POLL_INTERVAL_S: Final = 0.002
-ENDPOINTS_WAIT_TIMEOUT_S: Final = 0.25  # for discovery's answer after a stall
+ENDPOINTS_WAIT_TIMEOUT_S: Final = 0.25  # maximum time for which events are held for discovery's response
 
 
 class UnixClock:
-    """Unix time in milliseconds, which all gateways share, but never set back."""
+    """Unix time, which all gateways share, on a monotonic clock: it never runs backwards."""
 
     def __init__(self) -> None:
         self._offset = time.time() - time.monotonic()
 
     def now_ms(self) -> float:
-        """The time now."""
+        """Return the current time in milliseconds since the epoch."""
         return (self._offset + time.monotonic()) * 1000
 
 
 class EventDispatcher:
-    """Owns the decision module and the order of its events. Subclasses execute the actions."""
+    """Owns the decision module and orders its events; subclasses execute the actions."""
 
     def __init__(self, settings: api.Settings, seed: int, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.clock = UnixClock()
         self.decision_module = Gateway(settings, seed)
         self._queued_events: deque[api.Event] = deque()
-        self._handling = False  # an event is being handled, or events are held
-        self._held_until = 0.0  # by time.monotonic; 0: events are not held
+        self._handling = False  # whether an event is being handled or events are held; new ones are queued
+        self._held_until = 0.0  # time.monotonic until which events are held at most; 0 if none are held
 
     def post(self, event: api.Event) -> None:
-        """Have an event handled after those that were posted before it, also during an action."""
+        """Handle an event now, or after those already queued; may be called while an action is executed."""
         if self._handling:
             self._queued_events.append(event)
             return
@@ -54,17 +55,17 @@
             self._handling = False
 
     def post_endpoints(self, event: api.EndpointList) -> None:
-        """Post news of the hosts, which pass events that are held."""
+        """Post an endpoint list; it is handled at once, ahead of the queue, while events are held."""
         if self._held_until:
             self.handle(event)
         else:
             self.post(event)
 
     def handle(self, event: api.Event) -> None:
-        """Handle an event at once."""
+        """Handle an event at once and execute the resulting actions; exceptions are logged."""
         try:
             actions = self.decision_module.handle(self.clock.now_ms(), event)
-        except Exception:  # one event that the module fails on must not harm other requests
+        except Exception:  # a failure on one event must not affect other requests
             self.log_message(logging.ERROR, f"decision module failed on {type(event).__name__}", True)
             self.decision_failed(event)
             return
@@ -77,15 +78,15 @@
             except Exception:
                 self.log_message(logging.ERROR, f"action failed: {type(action).__name__}", True)
 
-    # Events that are held after a stall
+    # Holding events after a stall
 
     def hold_events(self) -> None:
-        """Queue events after a stall of the loop until the news of the hosts has been read.
+        """Queue events after a stall of the event loop until the current endpoint list has been read.
 
-        After a stall sockets are read in any order, and a watch has brought only the first of several
-        changes. A request or an outcome that is decided before the others would go to a host that has been
-        draining for long. The price is some milliseconds after such a stall, or ENDPOINTS_WAIT_TIMEOUT_S if
-        discovery is silent.
+        After a stall, sockets are read in any order, and the watch may have delivered only the first of
+        several changes. A request or attempt outcome that is decided before the remaining changes are read
+        could be sent to a host that has been draining for a long time. Holding events costs a few
+        milliseconds of latency after such a stall, or ENDPOINTS_WAIT_TIMEOUT_S if discovery does not respond.
         """
         if not self._handling:
             self._handling, self._held_until = True, time.monotonic() + ENDPOINTS_WAIT_TIMEOUT_S
@@ -100,13 +101,13 @@
             self.post(self._queued_events.popleft())
 
     def endpoints_due(self) -> bool:
-        """Whether discovery still owes an answer that holds all that is known now."""
+        """Whether a response of discovery that covers all changes up to now is still outstanding."""
         return False
 
-    # What a subclass does
+    # Implemented by subclasses
 
     def send_attempt(self, action: api.SendAttempt) -> None:
-        """Execute the most frequent action."""
+        """Execute a `SendAttempt` action, the most frequent one."""
         raise NotImplementedError
 
     def execute(self, action: api.Action) -> None:
@@ -114,9 +115,9 @@
         raise NotImplementedError
 
     def decision_failed(self, event: api.Event) -> None:
-        """The decision module raised on an event, and will not come back to it."""
+        """Handle an event on which the decision module raised; the event is not passed to it again."""
         raise NotImplementedError
 
     def log_message(self, level: int, text: str, trace: bool = False) -> None:
-        """Log a line, with the traceback of the exception that is being handled if `trace`."""
+        """Log a line, followed by the current exception's traceback if `trace` is set."""
         log.log(level, "%s", text, exc_info=trace)
--- a/hillmux/net/forward_request.py
+++ b/hillmux/net/forward_request.py
@@ -1,4 +1,4 @@
-"""A client's request as it is forwarded to upstream hosts, and the client that is owed its response."""
+"""Requests as they are forwarded to upstream hosts, and the interface of the clients that sent them."""
 
 from __future__ import annotations
 
@@ -10,51 +10,53 @@
 
 
 class Client(Protocol):
-    """A client that is owed a response."""
+    """A client that waits for a response."""
 
     def answer(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
-        """Send the one final response."""
+        """Send the final response; called once."""
 
     def has_disconnected(self, behind: bool) -> bool:
-        """Whether it has disconnected, even if the loop has not read so yet.
+        """Whether the client has disconnected, even if the event loop has not read the disconnect yet.
 
-        `behind`: the loop runs behind, so the end of the connection may have been waiting for some time.
+        Args:
+            behind: whether the event loop is lagging, so that a disconnect may have been unread for some
+                time.
         """
 
 
 class StreamingClient(Client, Protocol):
-    """A client that a long response is streamed to."""
+    """A client that can receive a streamed response."""
 
     def start_response(self, response: Response, source: Any) -> None:
         """Send the head of the response; the body follows from `source`, a connection to a host."""
 
     def finish_response(self) -> None:
-        """The response is complete."""
+        """Send the end of a response that is complete."""
 
     def abort_response(self) -> None:
-        """The response cannot be completed."""
+        """Close the connection, because the response cannot be completed."""
 
 
 @dataclass(slots=True, init=False)
 class ForwardRequest:
-    """A valid request of a client: what the decision module is told, and what is sent to a host."""
+    """A valid client request: the input of the decision module, and the bytes that are sent to a host."""
 
-    client_request_id: bytes  # X-Request-Id
+    client_request_id: bytes  # value of X-Request-Id
     class_name: str
     plan_name: str
     customer: str
     time_left_ms: float
     units: float
-    replicas: int  # gateways that this customer's requests may come through
-    first_replica: int  # index of the first of them
+    replicas: int  # number of gateways that receive this customer's requests
+    first_replica: int  # index of the first of these gateways
     is_retry: bool
-    read_at: float  # when its last byte was read, by time.monotonic
+    read_at: float  # time.monotonic when its last byte was read
     head: bytes  # request line and headers for the host, without X-Deadline
     body: bytes
-    pool: str = ""  # the hosts that may serve it
-    streamed_body: Any = None  # the rest of a body that is still arriving (net/streamed_body.py)
+    pool: str = ""  # name of the pool of hosts that may serve it
+    streamed_body: Any = None  # remainder of a body that is still arriving (net/streamed_body.py)
 
     def __init__(
         self,
@@ -82,7 +84,7 @@
 
 
 class OpenRequest:
-    """A request until it is answered and its last attempt has ended."""
+    """A request that has not been answered yet, or that still has open attempts."""
 
     __slots__ = (
         "id",
@@ -105,10 +107,10 @@
         max_attempts: int,
     ) -> None:
         self.id, self.forward_request = request_id, forward_request
-        self.deadline = deadline  # by time.monotonic
-        self.max_attempts = max_attempts  # by the settings in force when it was accepted
-        self.client: Client | None = client  # None: answered or disconnected
-        self.deadline_slot = 0  # of its deadline timer, in `GatewayCore.deadlines`
-        self.attempts: list[Attempt | None] = []  # None: never sent
+        self.deadline = deadline  # as a value of time.monotonic
+        self.max_attempts = max_attempts  # from the settings in force when the request was accepted
+        self.client: Client | None = client  # None once it has been answered or has disconnected
+        self.deadline_slot = 0  # slot number of its deadline in `GatewayCore.deadlines`
+        self.attempts: list[Attempt | None] = []  # None for an attempt that was never sent
         self.open_attempts = 0
-        self.streaming_attempt: Attempt | None = None  # whose response has begun at the client
+        self.streaming_attempt: Attempt | None = None  # the attempt whose response is being streamed
--- a/hillmux/net/lingering_close.py
+++ b/hillmux/net/lingering_close.py
@@ -1,14 +1,14 @@
-"""Closing a client's connection without losing answers (RFC 9112 section 9.6), and noticing its disconnect.
+"""Lingering close of client connections (RFC 9112 section 9.6), and detection of client disconnects.
 
-A close over input that lies unread in the system's buffer resets the connection, and the reset can destroy an
-answer that the client has not read. So a connection is closed in three steps: the sending side is shut (the
-last answer leaves first), further input is read and discarded for a bounded time, and then the descriptor is
-closed. A request that is read after the shut is never forwarded; its client sees the end of the connection
-without an answer and retries elsewhere. Before the shut, polling the system's buffer tells whether a request
-has arrived that can still be served.
+Closing a socket while input is unread in the kernel's receive buffer resets the connection, and the reset can
+destroy a response that the client has not read yet. A connection is therefore closed in three steps: the
+sending side is shut down after the last response has been sent, further input is read and discarded for a
+bounded time, and then the descriptor is closed. A request that is read after the shutdown is never forwarded;
+its client sees the end of the connection without a response and retries elsewhere. Before the shutdown, the
+receive buffer is polled for a request that can still be served.
 
-A client's disconnect is noticed as the end of its input. A connection that is not being read, because
-requests wait on it or no host takes its body, is polled for that instead (`HangUpDetector`).
+A client's disconnect is normally detected as the end of its input. A connection on which reading is paused,
+because requests are queued or because no host is reading its body, is polled instead (`HangUpDetector`).
 """
 
 from __future__ import annotations
@@ -17,43 +17,43 @@
 import select
 from typing import Final, Protocol
 
-LINGER_TIMEOUT_S: Final = 1.0  # after the shut, until the descriptor is closed at the latest
-MAX_LINGER_BYTES: Final = 1024 * 1024  # of input that is discarded meanwhile
-HANG_UP_CHECK_INTERVAL_S: Final = (
-    0.04  # spacing of the looks: an attempt for a client that left 0.1 s ago breaks a rule
-)
-PEER_SHUTDOWN_EVENT: Final = getattr(select, "POLLRDHUP", 0)  # where the system has none, a reset alone shows
+LINGER_TIMEOUT_S: Final = 1.0  # maximum time between the shutdown and the close of the descriptor
+MAX_LINGER_BYTES: Final = 1024 * 1024  # maximum input that is discarded after the shutdown
+# Polling interval. No attempt may be sent for a client that disconnected 0.1 s ago or earlier.
+HANG_UP_CHECK_INTERVAL_S: Final = 0.04
+# On systems without POLLRDHUP only a reset is detected.
+PEER_SHUTDOWN_EVENT: Final = getattr(select, "POLLRDHUP", 0)
 HANG_UP_EVENTS: Final = PEER_SHUTDOWN_EVENT | select.POLLHUP | select.POLLERR
 
 
 def _poll(transport: asyncio.Transport, events: int) -> int:
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), events)
-    found = poll.poll(0)
-    return found[0][1] if found else 0
+    ready = poll.poll(0)
+    return ready[0][1] if ready else 0
 
 
 def has_unread_input(transport: asyncio.Transport) -> bool:
-    """Whether input, or its end, has arrived that the loop has not read yet."""
+    """Whether input, or the end of input, has arrived that the event loop has not read yet."""
     return not transport.is_closing() and _poll(transport, select.POLLIN) != 0
 
 
 def peer_has_closed(transport: asyncio.Transport) -> bool:
-    """Whether the other side has closed or reset, even if there is unread input before that."""
+    """Whether the peer has closed or reset the connection, even if earlier input is still unread."""
     return not transport.is_closing() and _poll(transport, PEER_SHUTDOWN_EVENT) & HANG_UP_EVENTS != 0
 
 
 class PausedConnection(Protocol):
-    """A connection that is not being read."""
+    """A connection on which reading is paused."""
 
     transport: asyncio.Transport
 
     def on_hang_up(self) -> None:
-        """Its client has disconnected."""
+        """Handle the client's disconnect."""
 
 
 class HangUpDetector:
-    """Polls the connections that are not being read for their client's disconnect."""
+    """Polls the connections on which reading is paused, to detect that their clients have disconnected."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -61,13 +61,13 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def watch(self, connection: PausedConnection) -> None:
-        """Start to poll a connection: it is not being read."""
+        """Start polling a connection on which reading has been paused."""
         self._connections[connection] = None
         if self._timer is None:
             self._timer = self._loop.call_later(HANG_UP_CHECK_INTERVAL_S, self._check)
 
     def forget(self, connection: PausedConnection) -> None:
-        """Stop to poll a connection: it is read again, or closed."""
+        """Stop polling a connection that is being read again or has been closed."""
         self._connections.pop(connection, None)
 
     def _check(self) -> None:
--- a/hillmux/net/streamed_body.py
+++ b/hillmux/net/streamed_body.py
@@ -1,14 +1,15 @@
 """Streaming of request and response bodies that are too long to be buffered.
 
-A body of up to `MAX_BUFFERED_BODY_BYTES` is buffered, judged and retried as a whole. A longer request is
-decided on once that much of it has arrived; from then on its body is forwarded to the host piece by piece
-(`StreamedBody`). A longer response is forwarded to the client from its first bytes on and cannot be taken
-back: the decision module is told (`ResponseStarted`), the deadline no longer applies, and only a stalled side
-ends it. In both directions reading pauses while the other side's write buffer is full, so a stream holds two
-pieces and one transport buffer, whatever its length.
-
-An attempt whose body is still being sent has not run before its last byte has left, because the host begins
-then. It can be retried as long as the whole body is still in the replay buffer (`MAX_REPLAYABLE_BYTES`).
+A body of up to `MAX_BUFFERED_BODY_BYTES` is buffered completely before it is forwarded, and can be retried. A
+longer request is passed to the decision module once that much of its body has arrived; from then on the body
+is forwarded to the host as it arrives (`StreamedBody`). A longer response is forwarded to the client from its
+first bytes on and can no longer be replaced by a retry: the decision module is notified (`ResponseStarted`),
+the deadline no longer applies, and only a stalled host or client ends the response early. In both
+directions reading is paused while the other side's write buffer is full, so a stream buffers at most two
+parts and one transport buffer, whatever its length.
+
+The host starts a request when its last byte arrives, so an attempt whose body is still being sent has not
+run. It can be retried while all of the body is still in the replay buffer (`MAX_REPLAYABLE_BYTES`).
 """
 
 from __future__ import annotations
@@ -22,34 +23,35 @@
     from hillmux.net.streaming_client import StreamingClientConnection
     from hillmux.net.streaming_upstream import StreamingUpstreamConnection
 
-MAX_REPLAYABLE_BYTES: Final = 128 * 1024  # of a body, for a retry
-UNCLAIMED_WINDOW_BYTES: Final = 64 * 1024  # of a body that no host takes yet; then reading pauses
+MAX_REPLAYABLE_BYTES: Final = 128 * 1024  # maximum size of a body that is kept for a retry
+# Data beyond the buffer limit that is read while no host is attached; then reading pauses.
+UNATTACHED_WINDOW_BYTES: Final = 64 * 1024
 
 
 class StreamedBody:
-    """A request's body that is still arriving: from one client, to one host at a time."""
+    """A request body that is forwarded while it arrives, from one client to one host at a time."""
 
     def __init__(self, client: StreamingClientConnection, length: int | None) -> None:
         self.client, self.length = client, length
         self.complete = self.discarded = False
-        self.on_complete: Callable[[], None] | None = None  # called with the last byte
+        self.on_complete: Callable[[], None] | None = None  # called when the last byte has arrived
         self._replay_buffer: list[bytes] = []
         self._replay_bytes = 0
-        self._replay_dropped = False  # some of it is no longer buffered: it cannot be retried
+        self._replay_dropped = False  # whether data has been dropped, so that a retry is impossible
         self._upstream: StreamingUpstreamConnection | None = None
 
     def can_replay(self) -> bool:
-        """Whether an attempt can still send all of it."""
+        """Whether a new attempt can be sent: the replay buffer still holds all data that has arrived."""
         return not self._replay_dropped
 
     def framing_line(self) -> bytes:
-        """The header line that frames it."""
+        """Return the header line that states the framing: Content-Length or Transfer-Encoding."""
         if self.length is None:
             return b"Transfer-Encoding: chunked\r\n"
         return b"Content-Length: %d\r\n" % self.length
 
     def add_data(self, data: bytes) -> None:
-        """More of it has arrived."""
+        """Forward and buffer data that has arrived from the client."""
         if self.discarded:
             return
         if not self._replay_dropped:
@@ -58,11 +60,11 @@
         if self._upstream is not None:
             self._upstream.write_body_data(self._framed(data))
             self._limit_replay_buffer()
-        elif self._replay_bytes > MAX_BUFFERED_BODY_BYTES + UNCLAIMED_WINDOW_BYTES:
+        elif self._replay_bytes > MAX_BUFFERED_BODY_BYTES + UNATTACHED_WINDOW_BYTES:
             self.client.pause_body(True)
 
     def finish(self) -> None:
-        """Its last byte has arrived."""
+        """Mark the body as complete, and write its end to the attached host."""
         self.complete = True
         self.client.pause_body(False)
         if self._upstream is not None:
@@ -71,7 +73,7 @@
             self.on_complete()
 
     def attach(self, connection: StreamingUpstreamConnection) -> None:
-        """Write what has arrived, and what still arrives, to a connection."""
+        """Write the data that has arrived, and all further data, to a connection."""
         self._upstream = connection
         for data in self._replay_buffer:
             connection.write_body_data(self._framed(data))
@@ -87,7 +89,7 @@
             self._upstream = None
 
     def discard(self) -> None:
-        """Nothing needs it any more: what still arrives is read and discarded."""
+        """Drop the buffered data, and read and ignore the remainder of the body."""
         self.discarded = True
         self._replay_buffer.clear()
         self.client.pause_body(False)
--- a/hillmux/net/streaming_client.py
+++ b/hillmux/net/streaming_client.py
@@ -1,4 +1,4 @@
-"""The client side of streaming: long request bodies received, and long responses sent."""
+"""The client side of streaming: receives long request bodies and sends long responses."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
     from hillmux.net.streaming_upstream import StreamingUpstreamConnection
 
 MAX_STREAMED_REQUEST_BYTES: Final = 33 * 1024 * 1024
-STREAMED_REQUEST_TIMEOUT_S: Final = 600.0  # for a body to arrive
+STREAMED_REQUEST_TIMEOUT_S: Final = 600.0  # time within which a streamed body must arrive
 
 
 class StreamingClientConnection(ClientConnection):
-    """A client's connection with streamed bodies and responses."""
+    """A client's connection that supports streamed bodies and responses."""
 
     max_body_bytes = MAX_STREAMED_REQUEST_BYTES
-    max_request_bytes = 4 * MAX_STREAMED_REQUEST_BYTES  # small chunks have long lines
+    max_request_bytes = 4 * MAX_STREAMED_REQUEST_BYTES  # chunk framing may exceed the size of small chunks
 
     def __init__(self, listener: StreamingListener) -> None:
         super().__init__(listener)
         self._receiving: set[StreamingClientConnection] = listener.receiving
-        self._incoming_body: StreamedBody | None = None  # of the request that is being read
-        self._upstream: StreamingUpstreamConnection | None = None  # of the response that is being streamed
+        self._incoming_body: StreamedBody | None = None  # the streamed body that is being received
+        self._upstream: StreamingUpstreamConnection | None = None  # source of the response being streamed
         self._response_chunked = False
 
     # Request bodies
 
     def on_oversized_body(self, data: bytes) -> None:
-        """Stream the body from here on.
+        """Switch a body that exceeds the buffer limit to streaming, and add data to it.
 
         Raises:
-            BadRequestError: it exceeds MAX_STREAMED_REQUEST_BYTES (413).
+            BadRequestError: the body exceeds MAX_STREAMED_REQUEST_BYTES (413).
         """
         message = self._message
         assert message is not None
@@ -53,7 +53,7 @@
             message.body.clear()
             message.read_at = time.monotonic()
             message.keep_alive = self._parser.should_keep_alive()
-            self._queue.append(message)  # it is taken in its turn, like a complete one
+            self._queue.append(message)  # handled in order, like a complete request
             self._receiving.add(self)
         if message.body_bytes > MAX_STREAMED_REQUEST_BYTES:
             self._parse_error_status = 413
@@ -61,24 +61,24 @@
         self._incoming_body.add_data(data)
 
     def on_streamed_body_complete(self) -> None:
-        """The last byte of a streamed body has arrived."""
+        """Finish a streamed body whose last byte has arrived."""
         upload = self._incoming_body
         assert upload is not None
         self._message = self._incoming_body = None
         self._received_bytes = 0
         self._receiving.discard(self)
         if not self._answer_due and not self._closing:
-            self._listener.mark_idle(self)  # it was answered before its body was complete
+            self._listener.mark_idle(self)  # the request was answered before its body was complete
         upload.finish()
 
     def pause_body(self, pause: bool) -> None:
-        """Pause reading a body that no host takes, or resume."""
+        """Pause reading a body that is not being forwarded fast enough, or resume."""
         self._body_paused = pause
         if not self._taking_requests:
             self._update_reading()
 
     def _reject(self, status: int) -> None:
-        """Also reject a streamed request that waits in the queue or is open: its body cannot be completed."""
+        """Also reject a queued or open request whose streamed body can no longer be completed."""
         upload, self._incoming_body = self._incoming_body, None
         if upload is None or self._closing:
             super()._reject(status)
@@ -89,23 +89,23 @@
             self._queue.remove(message)
             super()._reject(status)
         elif upload.discarded or self._request_id is None:
-            self._close_gracefully()  # it has been answered
+            self._close_gracefully()  # the request has already been answered
         else:
             self._keep_alive = False
             self._handler.abort_request(self._request_id, status)
         upload.discard()
 
     def check_body_timeout(self, now: float) -> None:
-        """Reject a body that stalls, unless it waits for a host or for the requests before it."""
-        message, waits_for_us = self._message, self._body_paused or self._unparsed.size > 0
-        if message is not None and not waits_for_us and is_receiving_too_slowly(message, now):
+        """Reject a stalled body, unless the gateway has paused it for a host or for earlier requests."""
+        message, paused_by_gateway = self._message, self._body_paused or self._unparsed.size > 0
+        if message is not None and not paused_by_gateway and is_receiving_too_slowly(message, now):
             self._reject(408)
             self._take_requests()
 
     # Responses
 
     def start_response(self, response: Response, source: StreamingUpstreamConnection) -> None:
-        """Write the head of a streamed response, which `source` receives; the body follows."""
+        """Write the head of a streamed response; its body follows from `source`."""
         self._upstream = source
         is_http_1_0 = self._parser.get_http_version() == "1.0"
         self._response_chunked = response.content_length is None and not is_http_1_0
@@ -124,12 +124,12 @@
         self.transport.write(b"".join(lines))
 
     def write_response_data(self, data: bytes) -> None:
-        """Write more of the response's body."""
+        """Write a part of the response's body."""
         if not self.transport.is_closing():
             self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self._response_chunked else data)
 
     def finish_response(self) -> None:
-        """The response is complete: write its end."""
+        """Write the end of a streamed response."""
         self._upstream = None
         self._request_id, self._answer_due, self.answered, self._streamed_body = None, False, True, None
         if self.transport.is_closing():
@@ -140,19 +140,19 @@
         self._after_answer(self._keep_alive)
 
     def abort_response(self) -> None:
-        """The response cannot be completed: the client can tell by the connection's end."""
+        """Close the connection, which shows the client that the response is truncated."""
         self._upstream = self._request_id = None
         self._closing = True
         self.transport.abort()
 
     def pause_writing(self) -> None:
-        """The client reads too slowly: also pause reading its response from the host."""
+        """Also pause reading the response from the host, because the client reads too slowly."""
         super().pause_writing()
         if self._upstream is not None:
             self._upstream.pause_response(True)
 
     def resume_writing(self) -> None:
-        """The client reads again: also resume reading from the host."""
+        """Also resume reading the response from the host."""
         if self._upstream is not None:
             self._upstream.pause_response(False)
         super().resume_writing()
@@ -172,9 +172,7 @@
 
     def __init__(self, handler: Any, loop: asyncio.AbstractEventLoop, sockets: int) -> None:
         super().__init__(handler, loop, sockets)
-        self.receiving: set[StreamingClientConnection] = (
-            set()
-        )  # those with a streamed body that is not complete
+        self.receiving: set[StreamingClientConnection] = set()  # connections with an incomplete streamed body
 
     def _check_timeouts(self) -> None:
         now = self.loop.time()
--- a/hillmux/net/streaming_upstream.py
+++ b/hillmux/net/streaming_upstream.py
@@ -1,4 +1,4 @@
-"""The host side of streaming: long request bodies sent, and long responses received."""
+"""The host side of streaming: sends long request bodies and receives long responses."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 if TYPE_CHECKING:
     from hillmux.net.streaming_client import StreamingClientConnection
 
-STREAM_STALL_TIMEOUT_S: Final = 15.0  # a slow client empties the buffers every 5 s
+STREAM_STALL_TIMEOUT_S: Final = 15.0  # a slow client may take 5 s to drain the buffers
 
 
 class StreamingUpstreamConnection(UpstreamConnection):
-    """A connection to a host with streamed bodies and responses."""
+    """A connection to a host that supports streamed bodies and responses."""
 
     accepts_streams = True
 
     def __init__(self, pool: StreamingUpstreamPool, host: Any) -> None:
         super().__init__(pool, host)
         self._streaming_pool = pool
-        self.client: StreamingClientConnection | None = None  # that the response is streamed to
-        self.write_paused = False  # the host does not read
-        self.last_data_at = 0.0
+        self.client: StreamingClientConnection | None = None  # the client that receives the response
+        self.write_paused = False  # whether the write buffer is full because the host reads too slowly
+        self.last_data_at = 0.0  # loop time at which response data last arrived
         self._body_written = True
 
     def start_streamed_body(self, attempt: Attempt) -> None:
-        """Attach the attempt's body; `unsent` stays set until its last byte has left."""
+        """Attach the attempt's body; `unsent` stays set until its last byte has been sent."""
         self._body_written = False
         self.unsent = True
         if attempt.streamed_body is not None:
             attempt.streamed_body.attach(self)
 
     def write_body_data(self, data: bytes) -> None:
-        """Write more of a body."""
+        """Write a part of a body."""
         self.transport.write(data)
 
     def finish_body(self, data: bytes) -> None:
-        """Write the end of a body, which may be empty."""
+        """Write the last part of a body, which may be empty."""
         if data:
             self.transport.write(data)
         self._body_written = True
@@ -53,7 +53,7 @@
             self._streaming_pool.on_body_written(self.attempt)
 
     def pause_writing(self) -> None:
-        """The host reads too slowly: pause reading the body from the client."""
+        """Pause reading the body from the client, because the host reads too slowly."""
         self.write_paused = True
         if (
             self.attempt is not None
@@ -63,7 +63,10 @@
             self.attempt.streamed_body.client.pause_body(True)
 
     def resume_writing(self) -> None:
-        """The write buffer has drained: resume reading from the client, or all of the request has left."""
+        """Handle a drained write buffer.
+
+        Resumes reading the body from the client; after the body's end, marks the request as sent.
+        """
         self.write_paused = False
         if self._body_written:
             super().resume_writing()
@@ -71,7 +74,7 @@
             self.attempt.streamed_body.client.pause_body(False)
 
     def on_stream_start(self, response: Response) -> bool:
-        """Start a long response at the client; False where it may not be forwarded."""
+        """Start to stream a long response to the client; returns False if it may not be forwarded."""
         attempt = self.attempt
         self.client = (
             self._streaming_pool.start_stream(self, attempt, response) if attempt is not None else None
@@ -80,13 +83,13 @@
         return self.client is not None
 
     def on_stream_data(self, data: bytes) -> None:
-        """Forward more of a long response to the client, and note when it arrived."""
+        """Forward a part of a long response to the client, and record the time."""
         self.last_data_at = asyncio.get_running_loop().time()
         if self.client is not None:
             self.client.write_response_data(data)
 
     def pause_response(self, pause: bool) -> None:
-        """Pause reading a response whose client does not read, or resume."""
+        """Pause reading a response whose client reads too slowly, or resume."""
         if not self.transport.is_closing():
             (self.transport.pause_reading if pause else self.transport.resume_reading)()
 
@@ -100,19 +103,23 @@
     ]
 
     def on_body_complete(self, attempt: Attempt) -> None:
-        """The body's last byte has arrived: the attempt's time-out runs from now on."""
+        """Restart the attempt's time-out, because its body's last byte has arrived."""
         if not attempt.done:
             attempt.sent_at = time.monotonic()
             self.timeouts.cancel(attempt, attempt.timeout_slot)
             attempt.timeout_slot = self.timeouts.add(attempt, attempt.timeout_s)
 
     def on_body_written(self, attempt: Attempt) -> None:
-        """The last byte of an attempt with a streamed body has been written."""
+        """Handle an attempt whose last byte has been written; subclasses may override this."""
 
     def start_stream(
         self, connection: StreamingUpstreamConnection, attempt: Attempt, response: Response
     ) -> StreamingClientConnection | None:
-        """A long response begins; the client that it goes to, if it may."""
+        """Start to stream a long response.
+
+        Returns:
+            The client that receives it; None if it may not be forwarded.
+        """
         if (
             attempt.done
             or self.classify(response) != AttemptResult.OK
@@ -127,7 +134,7 @@
 
     def time_out(self, attempt: Attempt) -> None:
         """Time an attempt out unless its response is being streamed."""
-        if attempt not in self.streams:  # one may begin while its time-out waits for a turn of the loop
+        if attempt not in self.streams:  # the response may have begun within READ_GRACE_S
             super().time_out(attempt)
 
     def end_streams(self, attempt: Attempt) -> None:
@@ -139,10 +146,10 @@
             attempt.streamed_body.detach(attempt.connection)
 
     def close_expired(self) -> None:
-        """Also end as timed out the responses that have stalled for STREAM_STALL_TIMEOUT_S."""
+        """Also time out the streamed responses that have stalled for STREAM_STALL_TIMEOUT_S."""
         super().close_expired()
-        before = self.loop.time() - STREAM_STALL_TIMEOUT_S
+        earliest = self.loop.time() - STREAM_STALL_TIMEOUT_S
         for attempt, connection in list(self.streams.items()):
-            if connection.last_data_at < before:
+            if connection.last_data_at < earliest:
                 self.abandon(attempt)
                 self.finish(attempt, AttemptResult.TIMED_OUT)
--- a/hillmux/net/upstream_connection.py
+++ b/hillmux/net/upstream_connection.py
@@ -18,26 +18,26 @@
 
 
 class UpstreamHost:
-    """A host that attempts can be sent to, and its idle connections."""
+    """A host that attempts are sent to, with its idle connections."""
 
     __slots__ = ("name", "address", "idle", "draining")
 
     def __init__(self, name: str, address: tuple[str, int]) -> None:
         self.name, self.address = name, address
-        self.idle: list[UpstreamConnection] = []  # the most recently used last
-        self.draining = False  # open attempts continue, no new one begins
+        self.idle: list[UpstreamConnection] = []  # ordered by last use, most recent last
+        self.draining = False  # open attempts continue; no new attempts are sent
 
 
 class UpstreamConnection(ResponseProtocol):
-    """One connection of a pool to a host."""
+    """One of a pool's connections to a host."""
 
     def __init__(self, pool: UpstreamPool, host: UpstreamHost) -> None:
         super().__init__()
         self._pool, self.host = pool, host
         self._loop = pool.loop
         self.attempt: Attempt | None = None
-        self.reused = False  # the attempt is not the first one on this connection
-        self.idle_since = 0.0  # by the loop's clock; 0: never idle yet
+        self.reused = False  # whether the connection was idle before the current attempt
+        self.idle_since = 0.0  # loop time at which it last became idle; 0 if it has never been idle
 
     def start_attempt(self, attempt: Attempt) -> None:
         """Write an attempt's request."""
@@ -49,25 +49,25 @@
             self.start_streamed_body(attempt)
         if self.unsent and attempt.delivery_deadline < inf:
             self._loop.call_later(
-                max(attempt.delivery_deadline - now, 0.0), self._pool.delivery_window_closed, attempt
+                max(attempt.delivery_deadline - now, 0.0), self._pool.on_delivery_deadline, attempt
             )
 
     def start_streamed_body(self, attempt: Attempt) -> None:
-        """Write the rest of the attempt's body as it arrives."""
+        """Write the remainder of the attempt's body as it arrives; implemented by streaming subclasses."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Prepare the poll for `has_no_unread_data`, and register with the pool."""
+        """Create the poll object of `has_no_unread_data`, and register with the pool."""
         super().connection_made(transport)
         self._poll = select.poll()
         self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
         self._pool.connection_opened(self)
 
     def abort_attempt(self) -> None:
-        """End the attempt at once, and the connection within this turn of the loop.
+        """Shut down the sending side immediately, then close the connection.
 
-        The end of the request is sent immediately. The loop closes a dropped connection in its next turn,
-        and by then a retry may be on its way to another host, with two copies of the request open. Where the
-        host has sent something unread, the close resets the connection.
+        The event loop closes an aborted transport only in its next iteration. By then a retry may have been
+        sent to another host, and two copies of the request would be open. The immediate shutdown prevents
+        that. If data from the host is unread, the close resets the connection.
         """
         try:
             if not self.transport.is_closing():
@@ -75,19 +75,19 @@
                 with socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, descriptor) as duplicate:
                     duplicate.shutdown(socket.SHUT_WR)
         except OSError:
-            pass  # the host closed first, or no descriptor is left: the attempt ends all the same
+            pass  # the host has closed the connection, or no descriptor is free: `abort` is sufficient
         self.abort()
 
     def has_no_unread_data(self) -> bool:
-        """Whether nothing has arrived that is still unread.
+        """Whether neither data nor the end of the connection has arrived unread.
 
-        Unread data would be taken for the next response; an unread end of the connection means that a request
-        written now may have run or not.
+        Unread data would be taken for the response to the next request. If the host has closed the
+        connection, it is unknown whether a request written now has run.
         """
         return not self.transport.is_closing() and not self._poll.poll(0)
 
     def on_response(self, response: Response, reusable: bool) -> None:
-        """Pass a complete response to the pool, unless its attempt was aborted."""
+        """Pass a complete response to the pool, unless its attempt has been aborted."""
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
             self._pool.response_received(self, attempt, response, reusable)
--- a/hillmux/net/upstream_pool.py
+++ b/hillmux/net/upstream_pool.py
@@ -1,9 +1,9 @@
 """The pool of upstream hosts: sends attempts to them and reports each outcome.
 
-Every attempt passes a pre-send check right before its first byte (`UpstreamPool._still_valid`). Between the
-decision and a connection that is up, the client may have disconnected, the time of the request or the hosts'
-memory of its idempotency key may have run out, and the host may have started to drain. An attempt that fails
-the check ends as `not_sent`.
+Every attempt passes a pre-send check immediately before its first byte is written
+(`UpstreamPool._still_valid`). Between the decision to send and the moment a connection is available, the
+client may have disconnected, the request's deadline may have passed, the hosts may have discarded its
+idempotency key, or the host may have started to drain. An attempt that fails the check ends as `NOT_SENT`.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from hillmux.net.idle_connections import IdleConnections
 from hillmux.net.upstream_connection import UpstreamConnection, UpstreamHost
 
-IDLE_TIMEOUT_SHARE: Final = 0.5  # of the host's idle limit, after which a connection is closed
-SWEEP_INTERVAL_S: Final = 1.0  # between closings of idle connections
-MAX_DIALS: Final = 64  # under way at once
+IDLE_TIMEOUT_SHARE: Final = 0.5  # connections are closed after this fraction of the hosts' idle time-out
+SWEEP_INTERVAL_S: Final = 1.0  # interval at which expired idle connections are closed
+MAX_DIALS: Final = 64  # dials in progress at once
 
 
 class UpstreamPool:
-    """Sends attempts and reports how each one ended, exactly once."""
+    """Sends attempts and reports each outcome exactly once."""
 
-    connection_class: ClassVar[type[Any]] = UpstreamConnection  # created for each dial
+    connection_class: ClassVar[type[Any]] = UpstreamConnection  # instantiated for each dial
 
     def __init__(
         self,
@@ -38,27 +38,37 @@
         dial_timeout_ms: float,
         idle_timeout_ms: float,
         on_ended: Callable[[Attempt, AttemptResult, Response | None], None],
-        is_wanted: Callable[[Attempt], bool] = lambda attempt: True,
+        client_is_waiting: Callable[[Attempt], bool] = lambda attempt: True,
     ) -> None:
-        """`idle_timeout_ms` is the hosts' own limit.
-
-        `on_ended` receives each outcome, with the response if there is one. `is_wanted` is asked right before
-        an attempt's first byte: whether a client still waits for it.
+        """Create a pool without hosts.
+
+        Args:
+            loop: the event loop that carries the connections.
+            max_connections: limit for open connections and dials in progress, together.
+            dial_timeout_ms: time-out of a dial.
+            idle_timeout_ms: time after which the hosts themselves close an idle connection.
+            on_ended: called once with each attempt's result, and its response if one was received.
+            client_is_waiting: called immediately before an attempt's first byte is written; returns whether
+                a client still waits for the response.
         """
         self.loop = loop
-        self._max_connections, self._on_ended, self._is_wanted = max_connections, on_ended, is_wanted
+        self._max_connections, self._on_ended, self._client_is_waiting = (
+            max_connections,
+            on_ended,
+            client_is_waiting,
+        )
         self._hosts: dict[str, UpstreamHost] = {}
-        self._disabled: frozenset[str] = frozenset()  # by an operator: they get no new attempt
+        self._disabled: frozenset[str] = frozenset()  # hosts disabled by an operator: no new attempts
         self.connections: set[UpstreamConnection] = set()
         self.idle = IdleConnections(loop, IDLE_TIMEOUT_SHARE * idle_timeout_ms / 1000)
         self.dialer = Dialer(self, dial_timeout_ms / 1000)
-        self.dials = 0  # under way
+        self.dials = 0  # dials in progress
         self.timeouts = TimingWheel(loop, self._timeout_due)
         self._stopped = False
-        self.streams: dict[Attempt, Any] = {}  # attempts whose response is being streamed: its connection
+        self.streams: dict[Attempt, Any] = {}  # attempt whose response is being streamed -> its connection
 
     def start(self) -> None:
-        """Begin to close connections that are idle for too long."""
+        """Start the periodic closing of expired idle connections."""
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def stop(self) -> None:
@@ -75,19 +85,22 @@
         removed: set[str],
         draining: frozenset[str] = frozenset(),
     ) -> None:
-        """Add, move, drain and remove hosts by name; open attempts continue.
+        """Add, change and remove hosts; open attempts continue.
 
-        `addresses` holds hosts that are new or changed. Those of them in `draining` get no new attempt.
+        Args:
+            addresses: address of each new or changed host, by name.
+            removed: names of the hosts to remove.
+            draining: those names in `addresses` whose hosts get no new attempts.
         """
         for name in removed:
             host = self._hosts.pop(name, None)
             if host is not None:
-                self.idle.close_of_host(host)
+                self.idle.close_all_to(host)
         for name, address in addresses.items():
             host = self._hosts.get(name)
             if host is None or host.address != address:
                 if host is not None:
-                    self.idle.close_of_host(host)
+                    self.idle.close_all_to(host)
                 host = self._hosts[name] = UpstreamHost(name, address)
             host.draining = name in draining
 
@@ -96,14 +109,14 @@
 
         Their idle connections are closed, since a disabled host may be restarted.
         """
-        before, self._disabled = self._disabled, names
-        for name in names - before:
+        previous, self._disabled = self._disabled, names
+        for name in names - previous:
             host = self._hosts.get(name)
             if host is not None:
-                self.idle.close_of_host(host)
+                self.idle.close_all_to(host)
 
     def host_names(self) -> set[str]:
-        """The hosts that can be dialled."""
+        """Return the names of all hosts in the pool, including draining and disabled ones."""
         return set(self._hosts)
 
     def _accepts_attempts(self, host: UpstreamHost) -> bool:
@@ -112,7 +125,12 @@
     # Attempts
 
     def send(self, attempt: Attempt, timeout_s: float) -> None:
-        """Write an attempt to an idle connection, or to a new one."""
+        """Send an attempt over an idle connection, or dial a new one.
+
+        Args:
+            attempt: an attempt that has not been sent yet.
+            timeout_s: time from now until the attempt times out, including the dial.
+        """
         host = self._hosts.get(attempt.host)
         if host is None:
             self.finish(attempt, AttemptResult.CONNECT_FAILED)
@@ -128,20 +146,20 @@
             self.dialer.dial(host, attempt)
 
     def _still_valid(self, attempt: Attempt, host: UpstreamHost) -> bool:
-        """The pre-send check: whether an attempt may begin on a host now.
+        """Run the pre-send check: whether an attempt may still be sent to a host.
 
         A dial may take a second. Without the check an attempt could run for a client that has disconnected,
-        on a host that is draining past its grace period, or twice, after the hosts have forgotten its
-        idempotency key.
+        on a host that is draining past its grace period, or a second time because the hosts have discarded
+        its idempotency key.
         """
         return (
             self._accepts_attempts(host)
             and time.monotonic() < attempt.delivery_deadline
-            and self._is_wanted(attempt)
+            and self._client_is_waiting(attempt)
         )
 
     def cancel(self, attempt: Attempt) -> None:
-        """End an attempt, and its connection with it."""
+        """Cancel an attempt and close its connection; does nothing if the attempt has ended."""
         if not attempt.done:
             result = AttemptResult.NOT_SENT if attempt.connection is None else AttemptResult.CANCELLED
             self.abandon(attempt)
@@ -149,7 +167,7 @@
 
     @staticmethod
     def abandon(attempt: Attempt) -> None:
-        """End the dial or the connection of an attempt; neither is used again."""
+        """Cancel an attempt's dial or close its connection, without reporting an outcome."""
         if attempt.dial_task is not None:
             attempt.dial_task.cancel()
         if attempt.connection is not None:
@@ -157,7 +175,7 @@
             attempt.connection.abort_attempt()
 
     def finish(self, attempt: Attempt, result: AttemptResult, response: Response | None = None) -> None:
-        """Report an attempt's outcome, once."""
+        """End an attempt and report its outcome; does nothing if it has ended already."""
         if attempt.done:
             return
         attempt.done = True
@@ -173,7 +191,7 @@
         """Stop streaming an attempt's body and response."""
 
     def classify(self, response: Response) -> AttemptResult:
-        """What a complete response means for its attempt."""
+        """Return the result of an attempt that received this complete response."""
         if response.status == 200:
             return AttemptResult.OK
         if response.status in (503, 504) and response.headers.get(b"x-not-run") == b"1":
@@ -183,12 +201,12 @@
     # Time-outs
 
     def _timeout_due(self, attempt: Attempt) -> None:
-        # Timers run before sockets are read. After a stall of the loop the response may have arrived unread,
-        # so the time-out takes effect one turn of the loop later.
+        # Timers run before sockets are read. After a stall of the event loop the response may already have
+        # arrived without having been read, so the time-out takes effect only after the next read.
         attempt.timeout_timer = self.loop.call_later(READ_GRACE_S, self.time_out, attempt)
 
     def time_out(self, attempt: Attempt) -> None:
-        """End an attempt whose time is over."""
+        """End an attempt that has reached its time-out."""
         connection = attempt.connection
         if connection is None:
             result = AttemptResult.CONNECT_FAILED
@@ -197,10 +215,10 @@
         self.abandon(attempt)
         self.finish(attempt, result)
 
-    def delivery_window_closed(self, attempt: Attempt) -> None:
+    def on_delivery_deadline(self, attempt: Attempt) -> None:
         """End an attempt that has not been sent completely by its delivery deadline.
 
-        The hosts no longer recall its idempotency key, and would run it a second time.
+        After that deadline the hosts may have discarded its idempotency key and would run it a second time.
         """
         connection = attempt.connection
         if not attempt.done and connection is not None and connection.unsent:
@@ -210,23 +228,23 @@
     # Dials
 
     def reserve_dial(self) -> bool:
-        """Whether one more connection may be opened now; an idle one is closed for it if need be."""
+        """Return whether another connection may be dialled, closing an idle one if the limit is reached."""
         return self.dials < MAX_DIALS and (
             len(self.connections) + self.dials < self._max_connections or self.drop_idle()
         )
 
     def release_dial(self) -> None:
-        """A dial has succeeded, failed or been cancelled."""
+        """Stop counting a dial that has succeeded, failed or been cancelled."""
         self.dials -= 1
 
     def dialled(self, attempt: Attempt, host: UpstreamHost, connection: UpstreamConnection) -> None:
-        """Start an attempt on the connection that was dialled for it, if it is still valid."""
+        """Start an attempt on the connection that was dialled for it, if the attempt is still valid."""
         if attempt.done or self._stopped:
             connection.abort()
-        elif connection.transport.is_closing():  # it was lost before this turn of the loop
+        elif connection.transport.is_closing():  # lost between being opened and this callback
             self.finish(attempt, AttemptResult.INCOMPLETE_REQUEST)
         elif not self._still_valid(attempt, host):
-            self._keep_or_drop(connection)  # it may serve another attempt
+            self._release_connection(connection)  # another attempt may use it
             self.finish(attempt, AttemptResult.NOT_SENT)
         else:
             connection.start_attempt(attempt)
@@ -234,15 +252,18 @@
     # Connections
 
     def drop_idle(self) -> bool:
-        """Close the connection that has been idle longest; whether there was one."""
+        """Close the connection that has been idle longest; returns False if no connection is idle."""
         return self.idle.close_oldest()
 
     def connection_opened(self, connection: UpstreamConnection) -> None:
-        """A connection is up."""
+        """Register a connection that has been established."""
         self.connections.add(connection)
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
-        """A connection is gone: its attempt never ran unless its last byte was written."""
+        """Unregister a closed connection, and end its attempt if it carried one.
+
+        The host starts a request at its last byte, so an attempt whose last byte was not written did not run.
+        """
         self.connections.discard(connection)
         self.idle.discard(connection)
         attempt, connection.attempt = connection.attempt, None
@@ -251,8 +272,8 @@
         if connection.unsent:
             self.finish(attempt, AttemptResult.INCOMPLETE_REQUEST)
         elif connection.reused and not connection.response_begun():
-            # The most recently used connection was dead already; the older ones are no better.
-            self.idle.close_of_host(connection.host)
+            # The host had closed the most recently used connection, so the older ones are stale as well.
+            self.idle.close_all_to(connection.host)
             self.finish(attempt, AttemptResult.STALE_CONNECTION)
         else:
             self.finish(attempt, AttemptResult.RESET)
@@ -260,34 +281,34 @@
     def response_received(
         self, connection: UpstreamConnection, attempt: Attempt, response: Response, reusable: bool
     ) -> None:
-        """A complete response: free the connection, and end the attempt."""
+        """Release the connection of a complete response, and end the attempt."""
         if reusable and not connection.unsent:
-            self._keep_or_drop(connection)
+            self._release_connection(connection)
         else:
             connection.abort()
         self.finish(attempt, self.classify(response), response)
 
     def malformed_response(self, connection: UpstreamConnection) -> None:
-        """What arrived is no response: the attempt may have run."""
+        """End the attempt of a connection that received a malformed response; the attempt may have run."""
         attempt, connection.attempt = connection.attempt, None
         if attempt is not None:
             self.finish(attempt, AttemptResult.MALFORMED_RESPONSE)
 
-    def _keep_or_drop(self, connection: UpstreamConnection) -> None:
-        """Keep a connection without an attempt for the next one, where its host may get any."""
+    def _release_connection(self, connection: UpstreamConnection) -> None:
+        """Make a connection available for reuse, or close it if its host accepts no new attempts."""
         if self._accepts_attempts(connection.host):
             self.idle.add(connection)
         else:
             connection.abort()
 
     def _sweep(self) -> None:
-        # A request written to a connection that the host is about to close ends as a reset, after which the
-        # request may have run: so connections are closed well before the host's limit.
+        # If the host closes a connection while a request is being written to it, the attempt ends as a reset
+        # and may have run. Connections are therefore closed well before the host's own idle time-out.
         if self._stopped:
             return
         self.close_expired()
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def close_expired(self) -> None:
-        """Close the connections that have been idle for too long."""
+        """Close the connections that have exceeded the idle time-out."""
         self.idle.close_expired()
--- a/tests/net/test_deadlines.py
+++ b/tests/net/test_deadlines.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hillmux.net.deadlines import MAX_EXPIRED_PER_TURN, TICK_S, TimingWheel
+from hillmux.net.deadlines import MAX_EXPIRED_PER_ITERATION, TICK_S, TimingWheel
 
 
 class FakeLoop:
@@ -91,12 +91,12 @@
     loop, expired, deadlines = create()
     slots = {i: deadlines.add(i, 0.2) for i in range(1000)}
     loop.run_once(1.2)
-    assert len(expired) == MAX_EXPIRED_PER_TURN
+    assert len(expired) == MAX_EXPIRED_PER_ITERATION
     for i in range(900):
         deadlines.cancel(i, slots[i])  # their answers were read
     for _ in range(3):
         loop.run_once()
-    assert sorted(expired) == [*range(MAX_EXPIRED_PER_TURN), *range(900, 1000)] and not loop.timers
+    assert sorted(expired) == [*range(MAX_EXPIRED_PER_ITERATION), *range(900, 1000)] and not loop.timers
 
 
 def test_earlier_deadline_moves_the_timer_forward() -> None:
