--- a/hillmux/net/client_connection.py
+++ b/hillmux/net/client_connection.py
@@ -148,7 +148,7 @@
         self._closing = True
         self._queue.clear()
         self._unparsed.clear()
-        self._listener.hang_up_detector.forget(self)
+        self._listener.hang_up_detector.unwatch(self)
         request_id, self._request_id = self._request_id, None
         if request_id is not None:
             self._handler.client_disconnected(request_id)
@@ -199,7 +199,7 @@
             self.transport.pause_reading()
             self._listener.hang_up_detector.watch(self)
         else:
-            self._listener.hang_up_detector.forget(self)
+            self._listener.hang_up_detector.unwatch(self)
             self.transport.resume_reading()
 
     def _take_request(self, item: RequestMessage | RejectedRequest) -> None:
--- a/hillmux/net/lingering_close.py
+++ b/hillmux/net/lingering_close.py
@@ -66,7 +66,7 @@
         if self._timer is None:
             self._timer = self._loop.call_later(HANG_UP_CHECK_INTERVAL_S, self._check)
 
-    def forget(self, connection: PausedConnection) -> None:
+    def unwatch(self, connection: PausedConnection) -> None:
         """Stop polling a connection that is being read again or has been closed."""
         self._connections.pop(connection, None)
 
