--- a/hillmux/net/streamed_body.py
+++ b/hillmux/net/streamed_body.py
@@ -4,9 +4,9 @@
 longer request is passed to the decision module once that much of its body has arrived; from then on the body
 is forwarded to the host as it arrives (`StreamedBody`). A longer response is forwarded to the client from its
 first bytes on and can no longer be replaced by a retry: the decision module is notified (`ResponseStarted`),
-the deadline no longer applies, and only a stalled host or client ends the response early. In both
-directions reading is paused while the other side's write buffer is full, so a stream buffers at most two
-parts and one transport buffer, whatever its length.
+the deadline no longer applies, and only a stalled host or client ends the response early. In both directions
+reading is paused while the other side's write buffer is full, so a stream buffers at most two parts and one
+transport buffer, whatever its length.
 
 The host starts a request when its last byte arrives, so an attempt whose body is still being sent has not
 run. It can be retried while all of the body is still in the replay buffer (`MAX_REPLAYABLE_BYTES`).
--- a/tests/net/test_deadlines.py
+++ b/tests/net/test_deadlines.py
@@ -1,4 +1,4 @@
-"""TimingWheel: expiry, cancellation, and many that are due at once after a stall."""
+"""TimingWheel: expiry, cancellation, and many deadlines that are due at once after a stall."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class FakeLoop:
-    """An event loop's clock and timers, moved by the test."""
+    """An event loop's clock and timers, advanced by the test."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -22,24 +22,24 @@
     def time(self) -> float:
         return self.now
 
-    def call_later(self, in_s: float, call: Callable[[], None]) -> FakeTimer:
+    def call_later(self, delay_s: float, callback: Callable[[], None]) -> FakeTimer:
         self.timers_created += 1
-        timer = FakeTimer(self, self.now + in_s, call)
+        timer = FakeTimer(self, self.now + delay_s, callback)
         self.timers.append(timer)
         return timer
 
     def run_once(self, seconds: float = 0.0) -> None:
-        """One iteration: calls each timer that is due by then; those that they set wait for the next."""
+        """Run one iteration, `seconds` later; timers that its callbacks set wait for the next iteration."""
         self.now += seconds
-        due = [t for t in self.timers if t.at <= self.now + 1e-9]
+        due = [t for t in self.timers if t.due_at <= self.now + 1e-9]
         self.timers = [t for t in self.timers if t not in due]
         for timer in due:
-            timer.call()
+            timer.callback()
 
 
 class FakeTimer:
-    def __init__(self, loop: FakeLoop, at: float, call: Callable[[], None]) -> None:
-        self.loop, self.at, self.call = loop, at, call
+    def __init__(self, loop: FakeLoop, due_at: float, callback: Callable[[], None]) -> None:
+        self.loop, self.due_at, self.callback = loop, due_at, callback
 
     def cancel(self) -> None:
         if self in self.loop.timers:
@@ -53,24 +53,24 @@
 
 def test_deadline_expires_once_and_in_time() -> None:
     loop, expired, deadlines = create()
-    rng, due = random.Random(5), {}
+    rng, due_times = random.Random(5), {}
     for i in range(500):
-        due[i] = loop.now + rng.random()
-        slot = deadlines.add(i, due[i] - loop.now)
+        due_times[i] = loop.now + rng.random()
+        slot = deadlines.add(i, due_times[i] - loop.now)
         if i % 3 == 0:
             deadlines.cancel(i, slot)
             deadlines.cancel(i, slot)
-            del due[i]
+            del due_times[i]
     seen: set[int] = set()
     while loop.timers:
         loop.run_once(0.001)
-        for i in set(expired) - seen:  # never early, at most a tick late, and the turns are 1 ms apart
-            assert due[i] <= loop.now + 1e-9 and loop.now <= due[i] + TICK_S + 0.0021
+        for i in set(expired) - seen:  # never early, at most one tick late; iterations are 1 ms apart
+            assert due_times[i] <= loop.now + 1e-9 and loop.now <= due_times[i] + TICK_S + 0.0021
         seen = set(expired)
-    assert sorted(expired) == sorted(due)
+    assert sorted(expired) == sorted(due_times)
 
 
-def test_cancelled_deadlines_need_no_timers_and_leave_nothing() -> None:
+def test_cancelled_deadlines_leave_no_timers_and_no_slots() -> None:
     loop, expired, deadlines = create()
     for i in range(100_000):
         slot = deadlines.add(i, 5.0)
@@ -84,16 +84,17 @@
 
 
 def test_deadlines_cancelled_after_a_stall_do_not_expire() -> None:
-    """All are due at once; answers that lay unread cancel most of them between two turns.
+    """After a pause of the machine, timers run before the responses that arrived during the pause are read.
 
-    Guards against a paused machine: timers are due before the answers of the pause are read.
+    All deadlines are due at once. Guards against expiring those whose responses are read between two
+    iterations of the event loop.
     """
     loop, expired, deadlines = create()
     slots = {i: deadlines.add(i, 0.2) for i in range(1000)}
     loop.run_once(1.2)
     assert len(expired) == MAX_EXPIRED_PER_ITERATION
     for i in range(900):
-        deadlines.cancel(i, slots[i])  # their answers were read
+        deadlines.cancel(i, slots[i])  # as if their responses had been read
     for _ in range(3):
         loop.run_once()
     assert sorted(expired) == [*range(MAX_EXPIRED_PER_ITERATION), *range(900, 1000)] and not loop.timers
--- a/tests/net/test_failed_attempts.py
+++ b/tests/net/test_failed_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts that fail, and which of them are retried, in the real program."""
+"""Failed attempts and their retries, tested on a real gateway process."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
             data = next(answers)
             if data.endswith(b"half"):
                 seen.writer.write(data)
-                seen.writer.close()  # ends in the middle of its answer
+                seen.writer.close()  # closes in the middle of the response
                 return None
             return data
 
@@ -69,7 +69,7 @@
 def test_request_is_retried_after_refused_connection(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, serve) as rig:
-            rig.hosts[0].stop()  # its port refuses from now on
+            rig.hosts[0].stop()  # its port refuses connections from here on
             for i in range(8):
                 assert await rig.status(message("pay", rid=b"id-%d" % i)) == 200
             assert len(rig.hosts[1].seen) == 8
@@ -83,7 +83,9 @@
             tmp_path, lambda seen: None if seen.headers["x-request-id"] == "quiet" else serve(seen)
         ) as rig:
             assert await rig.status(message("pay", rid=b"quiet", deadline="400m")) in (502, 504)
-            await rig.hosts[0].until(lambda fake: fake.closed == 1)  # the host is told by the close
+            await rig.hosts[0].until(
+                lambda fake: fake.closed == 1
+            )  # the close cancels the attempt at the host
             assert await rig.status(message(rid=b"next")) == 200
             assert [s.headers["x-request-id"] for s in rig.hosts[0].seen] == ["quiet", "next"]
 
@@ -91,44 +93,48 @@
 
 
 def test_response_read_after_a_stall_precedes_its_time_out(tmp_path: Path) -> None:
-    """Our own stall must not turn an answer that came in time into a time-out.
+    """A response that arrives in time must not become a time-out because the gateway process was stalled.
 
-    The pause is that of an overloaded core.
+    The stall stands for a process that gets no CPU time on an overloaded core.
     """
 
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
-            asked = asyncio.create_task(rig.status(message("pay")))
+            status_task = asyncio.create_task(rig.status(message("pay")))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
             rig.process.send_signal(signal.SIGSTOP)
             rig.hosts[0].seen[0].writer.write(reply(b"served"))
             await rig.hosts[0].seen[0].writer.drain()
-            await asyncio.sleep(3.3)  # past the attempt's time-out of 3 s, not past the client's 6 s
+            await asyncio.sleep(
+                3.3
+            )  # past the attempt's time-out of 3 s, before the client's deadline of 6 s
             rig.process.send_signal(signal.SIGCONT)
-            assert await asked == 200
+            assert await status_task == 200
 
     on_loop(scenario)
 
 
 def test_reset_of_idle_connection_is_no_failure_of_its_host(tmp_path: Path) -> None:
-    """A host may forget kept connections without a word: the request goes again on a new one, and the host is
-    not left to rest."""
+    """A host may drop idle connections without closing them and reset them on the next request.
+
+    The request must be retried on a new connection, and the host must not be ejected.
+    """
 
     async def scenario() -> None:
         used: set[int] = set()
 
         def behave(seen: Seen) -> bytes:
-            again = id(seen.writer) in used
+            is_reused = id(seen.writer) in used
             used.add(id(seen.writer))
-            kept.append(seen.writer)
-            return b"" if again else serve(seen)
+            writers.append(seen.writer)
+            return b"" if is_reused else serve(seen)
 
-        kept: list[asyncio.StreamWriter] = []
+        writers: list[asyncio.StreamWriter] = []  # references that keep the ids in `used` unique
         async with Rig(tmp_path, behave) as rig:
             for i in range(10):
                 assert await rig.status(message(rid=b"id-%d" % i)) == 200
                 await asyncio.sleep(5 * REUSE_DELAY_S)
             assert not any("fails" in line for line in rig.log)
-            assert len(rig.hosts[0].seen) == 19  # each but the first found its connection dead once
+            assert len(rig.hosts[0].seen) == 19  # each request but the first was reset once
 
     on_loop(scenario)
--- a/tests/net/test_forwarding.py
+++ b/tests/net/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests forwarded to hosts by the real program, and their answers."""
+"""Forwarding of requests to hosts and of their responses, tested on a real gateway process."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
             assert seen.headers["x-request-id"] == "9b1f03aa5c7e2d41"
             assert seen.headers["idempotency-key"] == "5c0f6e1a"
             assert 0 < int(seen.headers["x-deadline"].removesuffix("m")) <= 6000
-            # The units of the guess, then what the answer billed beyond it, reach the counter.
+            # The counter receives the estimated units first, then those billed beyond the estimate.
             await rig.counter.until(lambda fake: sum(rig.totals.values()) >= 2)
 
     on_loop(scenario)
@@ -47,16 +47,16 @@
 
 
 def test_rejection_is_immediate_and_has_retry_after(tmp_path: Path) -> None:
-    """What the module gives up on is not held: other answers on the way to it do not matter."""
+    """A rejected request is answered at once, and not held until its deadline."""
 
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
             answers = [await rig.ask(message(plan="small", rid=b"id-%d" % i)) for i in range(6)]
-            refused = [a for a in answers if a.line.split()[1] == "503"]
-            assert refused and len(rig.hosts[0].seen) == len(answers) - len(refused)
-            assert all(0 < float(a.headers["retry-after"]) <= 1 for a in refused)
+            rejected = [a for a in answers if a.line.split()[1] == "503"]
+            assert rejected and len(rig.hosts[0].seen) == len(answers) - len(rejected)
+            assert all(0 < float(a.headers["retry-after"]) <= 1 for a in rejected)
 
-    on_loop(scenario, 5)  # six that were held to near their deadlines of 6 s would take longer
+    on_loop(scenario, 5)  # a request held until shortly before its deadline of 6 s would exceed this limit
 
 
 def test_attempt_is_cancelled_when_client_disconnects(tmp_path: Path) -> None:
@@ -69,7 +69,7 @@
             await rig.hosts[0].until(lambda fake: fake.closed == 1)
             assert len(rig.hosts[0].seen) == 1
 
-    on_loop(scenario, 4)  # before the attempt's own time-out would close it
+    on_loop(scenario, 4)  # ends before the attempt's own time-out would close the connection
 
 
 def test_idle_upstream_connections_are_reused(tmp_path: Path) -> None:
--- a/tests/net/test_host_responses.py
+++ b/tests/net/test_host_responses.py
@@ -1,4 +1,4 @@
-"""Malformed, interim and unrequested responses of hosts."""
+"""Malformed, interim and unsolicited responses of hosts, tested on a real gateway process."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 from hillmux.net.idle_connections import REUSE_DELAY_S
 
-SPOILT = [
+MALFORMED_RESPONSES = [
     b"noise\r\n\r\n",
     b"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nno",
     b"HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nno",
@@ -33,17 +33,20 @@
 ]
 
 
-@pytest.mark.parametrize("answer", SPOILT)
+@pytest.mark.parametrize("answer", MALFORMED_RESPONSES)
 def test_malformed_response_fails_the_attempt_and_not_its_host(tmp_path: Path, answer: bytes) -> None:
-    """It ends its attempt at once, may have run, and neither its bytes nor its connection are used."""
+    """A malformed response ends its attempt at once as one that may have run.
+
+    Neither its bytes nor its connection may be used again, and its host must not be ejected.
+    """
 
     async def scenario() -> None:
         async with Rig(
             tmp_path, lambda seen: answer if seen.headers["x-request-id"] == "bad" else serve(seen)
         ) as rig:
-            assert await rig.status(message("pay", rid=b"bad")) == 502  # unsafe: not sent again
+            assert await rig.status(message("pay", rid=b"bad")) == 502  # not idempotent, so not retried
             await rig.hosts[0].until(lambda fake: fake.closed == 1)
-            for i in range(3):  # a host that was thought to have died would be left to rest
+            for i in range(3):  # guards against ejecting the host
                 assert await rig.status(message("pay", rid=b"id-%d" % i)) == 200
             assert rig.process.returncode is None
 
@@ -51,17 +54,19 @@
 
 
 @pytest.mark.parametrize("late", [False, True])
-@pytest.mark.parametrize("more", [reply(b"copy"), b"noise\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-"])
-def test_data_behind_a_response_answers_no_request(tmp_path: Path, more: bytes, late: bool) -> None:
-    """A second copy, right behind the answer or a packet later, must not become the next request's answer."""
+@pytest.mark.parametrize("extra_data", [reply(b"copy"), b"noise\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-"])
+def test_data_after_a_response_is_not_used_for_the_next_request(
+    tmp_path: Path, extra_data: bytes, late: bool
+) -> None:
+    """A second copy of a response, in the same packet or a later one, must not answer the next request."""
 
     async def scenario() -> None:
         def behave(seen: Seen) -> bytes:
             answer = reply(seen.headers["x-request-id"].encode())
             if not late:
-                return answer + more
+                return answer + extra_data
             seen.writer.write(answer)
-            asyncio.get_running_loop().call_later(REUSE_DELAY_S / 4, seen.writer.write, more)
+            asyncio.get_running_loop().call_later(REUSE_DELAY_S / 4, seen.writer.write, extra_data)
             return None
 
         async with Rig(tmp_path, behave) as rig:
@@ -76,8 +81,8 @@
 
 def test_interim_responses_are_skipped(tmp_path: Path) -> None:
     async def scenario() -> None:
-        early = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
-        async with Rig(tmp_path, lambda seen: early + serve(seen)) as rig:
+        interim = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
+        async with Rig(tmp_path, lambda seen: interim + serve(seen)) as rig:
             assert (await rig.ask(message())).body == b"served"
 
     on_loop(scenario)
@@ -85,7 +90,7 @@
 
 @pytest.mark.parametrize("figure", [b"1_0", b"-1", b"5", b"1e9", b"nan", b"", b"9" * 400])
 def test_impossible_billed_units_are_ignored(tmp_path: Path, figure: bytes) -> None:
-    """Guards a customer's quota: beyond `most_units` (4) nothing is billed, and the guess of 2 stays."""
+    """Guards a customer's quota: for a value above `most_units` (4) the estimate of 2 is billed instead."""
 
     async def scenario() -> None:
         async with Rig(tmp_path, lambda seen: reply(b"ok", headers=b"Billed-Units: %b\r\n" % figure)) as rig:
--- a/tests/net/test_sending_races.py
+++ b/tests/net/test_sending_races.py
@@ -1,4 +1,4 @@
-"""Between the decision to send and the first byte: what has changed by then holds."""
+"""Changes between the decision to send an attempt and its first byte, which the pre-send check detects."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def apply_lifecycle(core: GatewayCore, lifecycle: str, port: int) -> None:
-    """Discovery tells a change of the one host."""
+    """Apply a change of the only host's lifecycle or port, as discovery reports it."""
     entry = {"instanceId": "s-0", "hostPort": f"{LOOP}:{port}", "lifecycle": lifecycle}
     core.apply_endpoints(
         parse_discovery_response({"generation": 2, "reset": False, "instances": [entry]}), ListKind.CHANGES
@@ -58,7 +58,7 @@
     core.client_disconnected("r1")
 
 
-def deadline_timer_answers(core: GatewayCore, port: int) -> None:
+def deadline_timer_fires(core: GatewayCore, port: int) -> None:
     core.deadline_reached(core.requests["r1"])
 
 
@@ -67,21 +67,24 @@
 
 
 @pytest.mark.parametrize(
-    "happens",
+    "change",
     [
         host_drains,
         host_is_removed,
         host_changes_address,
         host_is_disabled,
         client_disconnects,
-        deadline_timer_answers,
+        deadline_timer_fires,
         request_expires,
     ],
 )
 def test_attempt_is_not_sent_if_it_becomes_invalid_during_its_dial(
-    monkeypatch: pytest.MonkeyPatch, happens: Callable[[GatewayCore, int], None]
+    monkeypatch: pytest.MonkeyPatch, change: Callable[[GatewayCore, int], None]
 ) -> None:
-    """The module calls nothing off: some settings do not let it, and its events may wait for news."""
+    """The pre-send check must not rely on the decision module to cancel the attempt.
+
+    Some settings do not allow it to, and its events may be held until an endpoint list arrives.
+    """
 
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
@@ -91,7 +94,7 @@
         decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
         core.request(RecordingClient(), forward_request())
         await dials.started.wait()
-        happens(core, host.port)
+        change(core, host.port)
         dials.release.set()
         while not decisions.outcomes():
             await asyncio.sleep(0)
@@ -104,9 +107,9 @@
     on_loop(scenario, 5)
 
 
-@pytest.mark.parametrize("happens", [host_drains, host_is_removed, host_is_disabled])
+@pytest.mark.parametrize("change", [host_drains, host_is_removed, host_is_disabled])
 def test_attempt_that_was_sent_is_not_affected_by_later_changes(
-    monkeypatch: pytest.MonkeyPatch, happens: Callable[[GatewayCore, int], None]
+    monkeypatch: pytest.MonkeyPatch, change: Callable[[GatewayCore, int], None]
 ) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: None)
@@ -115,20 +118,20 @@
         client = RecordingClient()
         core.request(client, forward_request())
         await host.until(lambda fake: len(fake.seen) == 1)
-        happens(core, host.port)
+        change(core, host.port)
         host.seen[0].writer.write(reply(b"served"))
         assert await client.statuses.get() == 200
         assert decisions.outcomes() == [AttemptResult.OK]
-        await host.until(lambda fake: fake.closed == 1)  # and its connection is not kept
+        await host.until(lambda fake: fake.closed == 1)  # the connection is not kept for reuse
         host.stop()
 
     on_loop(scenario, 5)
 
 
-def test_decision_on_an_older_list_is_not_sent_to_a_draining_host(
+def test_attempt_decided_on_a_stale_list_is_not_sent_to_a_draining_host(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """News and a send cross in the process: the module hears of the drain one event after its decision."""
+    """The endpoint list is queued behind the request, so the decision is made before the drain is known."""
 
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
@@ -137,15 +140,15 @@
         decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
         core.request(client, forward_request())
         assert await client.statuses.get() == 200
-        await asyncio.sleep(0.02)  # its connection is kept, and rested
-        before = len(decisions.events)
-        core._handling = True  # another event is being handled
+        await asyncio.sleep(0.02)  # its connection is idle for longer than REUSE_DELAY_S
+        events_before = len(decisions.events)
+        core._handling = True  # as if another event were being handled
         core.request(client, forward_request())
         host_drains(core, host.port)
         core._handling = False
         decisions.actions[api.Request] = [api.SendAttempt("r2", "s-0", LONG_MS)]
         core.post(core._queued_events.popleft())
-        assert [type(e) for e in decisions.events[before:]] == [
+        assert [type(e) for e in decisions.events[events_before:]] == [
             api.Request,
             api.EndpointList,
             api.AttemptEnded,
@@ -156,9 +159,9 @@
     on_loop(scenario, 5)
 
 
-@pytest.mark.parametrize("recalled", [True, False])
-def test_retry_is_sent_only_while_hosts_recall_its_idempotency_key(
-    monkeypatch: pytest.MonkeyPatch, recalled: bool
+@pytest.mark.parametrize("key_is_known", [True, False])
+def test_retry_is_sent_only_while_hosts_know_its_idempotency_key(
+    monkeypatch: pytest.MonkeyPatch, key_is_known: bool
 ) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
@@ -166,42 +169,43 @@
         dials = core.upstreams.loop = LoopWithHeldDials(core.loop)
         core.upstreams.dialer.timeout_s = 10.0
         decisions.actions[api.Request] = [
-            api.SendAttempt("r1", "s-0", LONG_MS, LONG_MS if recalled else 20.0)
+            api.SendAttempt("r1", "s-0", LONG_MS, LONG_MS if key_is_known else 20.0)
         ]
         core.request(RecordingClient(), forward_request())
         await dials.started.wait()
         attempt = core.requests["r1"].attempts[0]
         assert attempt is not None
-        while not recalled and time.monotonic() < attempt.delivery_deadline:
+        while not key_is_known and time.monotonic() < attempt.delivery_deadline:
             await asyncio.sleep(0.001)
         dials.release.set()
         while not decisions.outcomes():
             await asyncio.sleep(0)
-        assert decisions.outcomes() == [AttemptResult.OK if recalled else AttemptResult.NOT_SENT]
-        assert len(host.seen) == recalled
+        assert decisions.outcomes() == [AttemptResult.OK if key_is_known else AttemptResult.NOT_SENT]
+        assert len(host.seen) == key_is_known
         host.stop()
 
     on_loop(scenario, 5)
 
 
 def test_decision_states_the_delivery_window_of_a_retry() -> None:
-    """The window runs from the first attempt that may have run, not from the one that surely did not."""
+    """The window starts with the first attempt that may have run, not with one that cannot have run."""
     driver = Driver()
-    rid, out = driver.ask("put")
-    assert [a.delivery_window_ms for a in out if isinstance(a, api.SendAttempt)] == [float("inf")]
-    (again,) = (
+    rid, actions = driver.ask("put")
+    assert [a.delivery_window_ms for a in actions if isinstance(a, api.SendAttempt)] == [float("inf")]
+    (first_retry,) = (
         a
         for a in driver.end(rid, AttemptResult.CONNECT_FAILED, 10, after=10)
         if isinstance(a, api.SendAttempt)
     )
-    assert again.delivery_window_ms == float("inf")  # nothing has run
-    (last,) = (
+    assert first_retry.delivery_window_ms == float("inf")  # no attempt can have run yet
+    (second_retry,) = (
         a for a in driver.end(rid, AttemptResult.RESET, 300, after=300) if isinstance(a, api.SendAttempt)
     )
-    assert last.delivery_window_ms == 3000 - 2 * 2 - 300  # window, two ticks, since the second one was sent
+    # The window, less two ticks and the time since the second attempt was sent.
+    assert second_retry.delivery_window_ms == 3000 - 2 * 2 - 300
 
 
-def test_connection_dialled_for_an_invalid_attempt_serves_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_dialled_for_an_invalid_attempt_is_reused(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
@@ -228,7 +232,7 @@
 def test_timed_out_attempt_has_ended_when_its_outcome_is_reported(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What the module sends next would else be a second copy, with the first one still out."""
+    """Guards against two open copies: the decision module may send a retry as soon as it is notified."""
 
     async def scenario() -> None:
         listener = socket.create_server((LOOP, 0))
@@ -236,22 +240,22 @@
         core, decisions = await start_gateway_core(monkeypatch, host)
         core.upstreams.update({"s-0": (LOOP, listener.getsockname()[1])}, set())
         decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", 60.0)]
-        ended: list[bytes] = []
-        heard = ScriptedDecisionModule.handle
+        input_ends: list[bytes] = []
+        original_handle = ScriptedDecisionModule.handle
 
         def handle(self: ScriptedDecisionModule, now_ms: float, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.AttemptEnded):
                 peer.setblocking(False)
                 peer.recv(65536)  # the request
-                ended.append(peer.recv(1))  # the end, or BlockingIOError where there is none yet
-            return heard(self, now_ms, event)
+                input_ends.append(peer.recv(1))  # b"" at the end; BlockingIOError if it has not arrived
+            return original_handle(self, now_ms, event)
 
         monkeypatch.setattr(ScriptedDecisionModule, "handle", handle)
         core.request(RecordingClient(), forward_request())
         peer, _ = await asyncio.get_running_loop().run_in_executor(None, listener.accept)
         while not decisions.outcomes():
             await asyncio.sleep(0.001)
-        assert decisions.outcomes() == [AttemptResult.TIMED_OUT] and ended == [b""]
+        assert decisions.outcomes() == [AttemptResult.TIMED_OUT] and input_ends == [b""]
         peer.close()
         listener.close()
         host.stop()
@@ -261,7 +265,7 @@
 
 def test_timed_out_attempt_ends_without_a_free_descriptor(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        def none_left(descriptor: int) -> int:
+        def fail_without_descriptors(descriptor: int) -> int:
             raise OSError(errno.EMFILE, "Too many open files")
 
         host = Fake(lambda seen: None)
@@ -269,7 +273,7 @@
         decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", 60.0)]
         core.request(RecordingClient(), forward_request())
         await host.until(lambda fake: len(fake.seen) == 1)
-        monkeypatch.setattr(os, "dup", none_left)
+        monkeypatch.setattr(os, "dup", fail_without_descriptors)
         await host.until(lambda fake: fake.closed == 1)
         assert decisions.outcomes() == [AttemptResult.TIMED_OUT]
         host.stop()
@@ -277,10 +281,13 @@
     on_loop(scenario, 5)
 
 
-def test_connection_past_its_idle_time_is_not_reused_before_the_sweep(
+def test_connection_past_its_idle_timeout_is_not_reused_before_the_sweep(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A host with a short idle limit closes it between two sweeps: what crosses that may have run."""
+    """A host with a short idle time-out may close the connection between two sweeps.
+
+    It would be unknown whether a request written at that moment has run.
+    """
 
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
@@ -292,7 +299,7 @@
             assert await client.statuses.get() == 200
             assert host.opened == opened
             await asyncio.sleep(0.02)
-            if serial == 2:  # no sweep comes: the core was not started
+            if serial == 2:  # no sweep runs, because the core was not started
                 for connection in core.upstreams.idle.oldest_first:
                     connection.idle_since -= core.upstreams.idle.timeout_s
         host.stop()
@@ -302,27 +309,27 @@
 
 def test_attempt_that_was_not_sent_consumes_no_quota_and_no_ceiling() -> None:
     driver = Driver(counter_available=False)
-    driver.now += 60_000  # ceilings are earned anew after a start
-    rid, out = driver.ask("read", "capped", units=2, width=1)
-    (use,) = driver.gateway.quotas.registry.states.values()
-    took = (use.remaining, use.ceiling_remaining)
+    driver.now += 60_000  # a ceiling starts empty and fills over time
+    rid, actions = driver.ask("read", "capped", units=2, width=1)
+    (quota,) = driver.gateway.quotas.registry.states.values()
+    reserved = (quota.remaining, quota.ceiling_remaining)
     driver.give(api.ClientDisconnected(rid))
     driver.give(api.AttemptEnded(rid, 0, "h0", AttemptResult.NOT_SENT, 0.0, True))
-    assert (use.remaining, use.ceiling_remaining, use.used) == (took[0] + 2, took[1] + 2, 0.0)
-    rid, out = driver.ask("read", "capped", units=2, width=1)
-    driver.give(
-        api.AttemptEnded(rid, 0, "h0", AttemptResult.QUEUE_FULL, 0.0, True)
-    )  # it came whole to its host
-    assert (use.remaining, use.ceiling_remaining) == took
+    assert (quota.remaining, quota.ceiling_remaining, quota.used) == (reserved[0] + 2, reserved[1] + 2, 0.0)
+    rid, actions = driver.ask("read", "capped", units=2, width=1)
+    # This attempt reached its host completely, so it consumes the units.
+    driver.give(api.AttemptEnded(rid, 0, "h0", AttemptResult.QUEUE_FULL, 0.0, True))
+    assert (quota.remaining, quota.ceiling_remaining) == reserved
 
 
 @pytest.mark.parametrize("behind", [True, False])
 def test_request_of_a_disconnected_client_is_not_forwarded_after_a_stall(
     monkeypatch: pytest.MonkeyPatch, behind: bool
 ) -> None:
-    """Both came while we stood still; the loop reads the request first. Without a stall there is no look.
+    """The request and the disconnect arrive during a stall, and the event loop reads the request first.
 
-    Guards against a process that was stopped, or had no core, while its clients left.
+    Guards against forwarding for disconnected clients after the process was stopped or had no core. Without
+    a stall (`behind` is False) the socket is not polled, and the request is forwarded.
     """
 
     async def scenario() -> None:
@@ -336,7 +343,7 @@
         await host.until(lambda fake: len(fake.seen) == 1)
         while not decisions.outcomes():
             await asyncio.sleep(0)
-        await asyncio.sleep(0.02)  # the client has its answer, the host's connection is rested
+        await asyncio.sleep(0.02)  # the client has its response; the host's connection may be reused
         decisions.actions[api.Request] = [api.SendAttempt("r2", "s-0", LONG_MS)]
         if behind:
             core.loop_lag._next_heartbeat_at = time.monotonic() - 0.2
@@ -361,15 +368,15 @@
         core, decisions = await start_gateway_core(monkeypatch, host)
         server = StreamingListener(core, core.loop, 1024)
         ((_, port),) = server.start((LOOP, 0))
-        before = RecordingClient()
+        earlier_client = RecordingClient()
         decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
-        core.request(before, forward_request())
-        assert await before.statuses.get() == 200
-        await asyncio.sleep(0.02)  # the host's connection is kept, and rested
+        core.request(earlier_client, forward_request())
+        assert await earlier_client.statuses.get() == 200
+        await asyncio.sleep(0.02)  # the host's connection is idle for longer than REUSE_DELAY_S
         decisions.actions[api.Request] = [api.SendAttempt("r2", "s-0", LONG_MS)]
         client = socket.create_connection((LOOP, port))
         client.sendall(message("pay"))
-        client.close()  # the loop has had no turn since it connected
+        client.close()  # before the event loop has accepted the connection
         while len(decisions.outcomes()) < 2:
             await asyncio.sleep(0)
         assert decisions.outcomes()[1] == AttemptResult.NOT_SENT
@@ -385,26 +392,26 @@
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         listener = socket.create_server((LOOP, 0))
-        got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
-        counter = HttpCounterClient(loop, (LOOP, listener.getsockname()[1]), 1000.0, got.put_nowait)
+        replies: asyncio.Queue[api.CounterReply] = asyncio.Queue()
+        counter = HttpCounterClient(loop, (LOOP, listener.getsockname()[1]), 1000.0, replies.put_nowait)
         counter.start()
         peers = [(await loop.run_in_executor(None, listener.accept))[0] for _ in range(CONNECTIONS)]
-        while not all(slot._connection for slot in counter._channels):
+        while not all(channel._connection for channel in counter._channels):
             await asyncio.sleep(0)
-        for slot in counter._channels:
-            slot._last_reply_at = loop.time() - 1.0  # they have stood idle
+        for channel in counter._channels:
+            channel._last_reply_at = loop.time() - 1.0  # as if idle for 1 s
         for peer in peers:
-            peer.shutdown(socket.SHUT_WR)  # has arrived, and the loop has had no turn since
+            peer.shutdown(socket.SHUT_WR)  # has arrived, but the event loop has not read it yet
         counter.call(api.IncrementCounter("a", 1.0, 1000.0))
         peer, _ = await loop.run_in_executor(None, listener.accept)
         peer.setblocking(False)
         assert b"/v1/count/a?add=1&" in await loop.sock_recv(peer, 65536)
         await loop.sock_sendall(peer, reply(b"1"))
-        assert (await got.get()).result == AttemptResult.OK
-        for old in peers:
-            old.setblocking(False)
+        assert (await replies.get()).result == AttemptResult.OK
+        for closed_peer in peers:
+            closed_peer.setblocking(False)
             with contextlib.suppress(ConnectionError):
-                assert await loop.sock_recv(old, 65536) == b""  # nothing was written to it
+                assert await loop.sock_recv(closed_peer, 65536) == b""  # nothing was written to it
         counter.stop()
         for sock in (*peers, peer, listener):
             sock.close()
--- a/tests/net/test_streaming.py
+++ b/tests/net/test_streaming.py
@@ -1,4 +1,4 @@
-"""Bodies and answers that are passed on as they come: the real program between scripted peers."""
+"""Streaming of long request bodies and responses: a real gateway process between scripted peers."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from hillmux.net.streamed_body import MAX_REPLAYABLE_BYTES
 from hillmux.net.streaming_client import MAX_STREAMED_REQUEST_BYTES
 
-LONG = 300_000
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: x/y\r\n\r\n"
+LONG_BODY_BYTES = 300_000
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: x/y\r\n\r\n"
 
 
 @contextlib.asynccontextmanager
-async def rig_of(folder: Path, *scripts: Script) -> AsyncIterator[Rig]:
-    """The program before scripted hosts."""
+async def running_rig(folder: Path, *scripts: Script) -> AsyncIterator[Rig]:
+    """Run a gateway process with one host for each script."""
     hosts = [await RawHost(script).start() for script in scripts]
     rig = Rig(folder, operated=True)
     rig.others = [instance(f"r-{i}", host.port) for i, host in enumerate(hosts)]
@@ -33,52 +33,53 @@
 
 
 def put(size: int, rid: bytes = b"up", **changes: str) -> tuple[bytes, bytes]:
-    """A keyed request's head, and a body of `size`."""
+    """Return the head of a request with an idempotency key, and its body of `size` bytes."""
     body = bytes(i % 251 for i in range(1000)) * (size // 1000 + 1)
-    whole = message("put", rid=rid, body=body[:size], **changes)
-    return whole[:-size], whole[-size:]
+    request = message("put", rid=rid, body=body[:size], **changes)
+    return request[:-size], request[-size:]
 
 
-def chunked(data: bytes, step: int) -> bytes:
-    pieces = (data[at : at + step] for at in range(0, len(data), step))
-    return b"".join(b"%x;ext=1\r\n%b\r\n" % (len(p), p) for p in pieces) + b"0\r\nX-Request-Id: other\r\n\r\n"
+def chunked(data: bytes, chunk_bytes: int) -> bytes:
+    """Encode a body as chunks with extensions, followed by a trailer."""
+    chunks = (data[start : start + chunk_bytes] for start in range(0, len(data), chunk_bytes))
+    return b"".join(b"%x;ext=1\r\n%b\r\n" % (len(c), c) for c in chunks) + b"0\r\nX-Request-Id: other\r\n\r\n"
 
 
-async def chunks(reader: asyncio.StreamReader) -> bytes:
-    """A chunked body up to its end."""
-    pieces = []
+async def read_chunked_body(reader: asyncio.StreamReader) -> bytes:
+    """Read and decode a chunked body without trailers."""
+    chunks = []
     while size := int(await reader.readline(), 16):
-        pieces.append(await reader.readexactly(size))
+        chunks.append(await reader.readexactly(size))
         await reader.readexactly(2)
     await reader.readexactly(2)
-    return b"".join(pieces)
+    return b"".join(chunks)
 
 
-# --- Answers ---
+# --- Responses ---
 
 
 def test_long_response_starts_before_it_is_complete(tmp_path: Path) -> None:
     async def scenario() -> None:
-        go_on = asyncio.Event()
+        resume = asyncio.Event()
 
         async def script(peer: Peer) -> None:
             while True:
                 await peer.head()
-                await peer.write(HEAD % LONG + b"a" * 1000)
-                await go_on.wait()
-                await peer.write(b"b" * (LONG - 1000))
+                await peer.write(RESPONSE_HEAD % LONG_BODY_BYTES + b"a" * 1000)
+                await resume.wait()
+                await peer.write(b"b" * (LONG_BODY_BYTES - 1000))
 
-        async with rig_of(tmp_path, script) as rig:
+        async with running_rig(tmp_path, script) as rig:
             reader, writer = await rig.connect()
-            for rid in (b"one", b"two"):  # the connection goes on, on both sides
-                go_on.clear()
+            for rid in (b"one", b"two"):  # both connections are reused
+                resume.clear()
                 writer.write(message(rid=rid))
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
-                assert f"Content-Length: {LONG}" in head and "Content-Type: x/y" in head
+                assert f"Content-Length: {LONG_BODY_BYTES}" in head and "Content-Type: x/y" in head
                 assert await reader.readexactly(1000) == b"a" * 1000
                 assert (await rig.figures())["in_progress"] == 1
-                go_on.set()
-                assert await reader.readexactly(LONG - 1000) == b"b" * (LONG - 1000)
+                resume.set()
+                assert await reader.readexactly(LONG_BODY_BYTES - 1000) == b"b" * (LONG_BODY_BYTES - 1000)
             figures = await rig.figures()
             assert (figures["passed"]["read"], figures["in_progress"]) == (2, 0)
 
@@ -86,44 +87,45 @@
 
 
 @pytest.mark.parametrize(
-    "size", [10, MAX_BUFFERED_BODY_BYTES - 1, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, LONG]
+    "size",
+    [10, MAX_BUFFERED_BODY_BYTES - 1, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, LONG_BODY_BYTES],
 )
-@pytest.mark.parametrize("form", ["chunks", "bytes", "close", "old"])
-def test_every_framing_of_a_response_is_forwarded_whole(tmp_path: Path, size: int, form: str) -> None:
-    """In chunks with extensions and trailers, in chunks of a byte, up to the close, as HTTP/1.0 has it."""
+@pytest.mark.parametrize("framing", ["chunks", "bytes", "close", "old"])
+def test_every_framing_of_a_response_is_forwarded_completely(tmp_path: Path, size: int, framing: str) -> None:
+    """Chunks with extensions and a trailer, chunks of one byte, until close, and an HTTP/1.0 response."""
 
     async def scenario() -> None:
         body = bytes(i % 253 for i in range(size))
 
         async def script(peer: Peer) -> None:
             await peer.head()
-            if form in ("chunks", "bytes"):
+            if framing in ("chunks", "bytes"):
                 await peer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                await peer.write(chunked(body, 1 if form == "bytes" else 4000))
+                await peer.write(chunked(body, 1 if framing == "bytes" else 4000))
                 await peer.closed()
             else:
-                version = b"1.0" if form == "old" else b"1.1"
+                version = b"1.0" if framing == "old" else b"1.1"
                 await peer.write(b"HTTP/%b 200 OK\r\nConnection: close \r\n\r\n%b" % (version, body))
 
-        async with rig_of(tmp_path, script) as rig:
+        async with running_rig(tmp_path, script) as rig:
             reader, writer = await rig.connect()
             writer.write(message())
             head = (await reader.readuntil(b"\r\n\r\n")).decode()
             assert head.startswith("HTTP/1.1 200")
-            got = await (chunks(reader) if "chunked" in head else reader.readexactly(size))
-            assert got == body
+            received = await (read_chunked_body(reader) if "chunked" in head else reader.readexactly(size))
+            assert received == body
 
     on_loop(scenario)
 
 
-def test_response_without_length_or_close_is_not_awaited(tmp_path: Path) -> None:
+def test_response_with_neither_length_nor_close_fails_at_once(tmp_path: Path) -> None:
     async def scenario() -> None:
         async def script(peer: Peer) -> None:
             await peer.head()
             await peer.write(b"HTTP/1.1 200 OK\r\n\r\nhalf of it")
             await peer.closed()
 
-        async with rig_of(tmp_path, script) as rig:
+        async with running_rig(tmp_path, script) as rig:
             assert await rig.status(message("put")) == 502
 
     on_loop(scenario, 5)
@@ -134,21 +136,21 @@
         async def script(peer: Peer) -> None:
             await peer.head()
             await peer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            await peer.write(chunked(b"z" * LONG, 9000))
+            await peer.write(chunked(b"z" * LONG_BODY_BYTES, 9000))
 
-        async with rig_of(tmp_path, script) as rig:
+        async with running_rig(tmp_path, script) as rig:
             reader, writer = await rig.connect()
             writer.write(message().replace(b"HTTP/1.1", b"HTTP/1.0"))
             head = (await reader.readuntil(b"\r\n\r\n")).decode()
             assert "chunked" not in head and "Connection: close" in head
-            assert await reader.read(-1) == b"z" * LONG
+            assert await reader.read(-1) == b"z" * LONG_BODY_BYTES
 
     on_loop(scenario)
 
 
-@pytest.mark.parametrize("framing", [b"Content-Length: %d" % LONG, b"Transfer-Encoding: chunked"])
-@pytest.mark.parametrize("then", ["reset", "close", "noise"])
-def test_truncated_response_is_visible_and_not_retried(tmp_path: Path, framing: bytes, then: str) -> None:
+@pytest.mark.parametrize("framing", [b"Content-Length: %d" % LONG_BODY_BYTES, b"Transfer-Encoding: chunked"])
+@pytest.mark.parametrize("ending", ["reset", "close", "noise"])
+def test_truncated_response_is_visible_and_not_retried(tmp_path: Path, framing: bytes, ending: str) -> None:
     async def scenario() -> None:
         seen = []
 
@@ -159,20 +161,20 @@
                 piece = b"%x\r\n%b\r\n" % (len(piece), piece)
             await peer.write(b"HTTP/1.1 200 OK\r\n%b\r\n\r\n%b" % (framing, piece))
             await asyncio.sleep(0.1)
-            if then == "reset":
+            if ending == "reset":
                 peer.writer.transport.abort()
-            elif then == "noise" and b"chunked" in framing:
+            elif ending == "noise" and b"chunked" in framing:
                 await peer.write(b"\x00nonsense\r\n" * 10)
                 await peer.closed()
 
-        async with rig_of(tmp_path, script, script) as rig:
+        async with running_rig(tmp_path, script, script) as rig:
             reader, writer = await rig.connect()
             writer.write(message())
             await reader.readuntil(b"\r\n\r\n")
-            got = b""
+            received = b""
             with contextlib.suppress(ConnectionError):
-                got = await reader.read(-1)
-            assert len(got) < LONG and not got.endswith(b"0\r\n\r\n")
+                received = await reader.read(-1)
+            assert len(received) < LONG_BODY_BYTES and not received.endswith(b"0\r\n\r\n")
             await asyncio.sleep(0.1)
             assert len(seen) == 1
             figures = await rig.figures()
@@ -184,54 +186,54 @@
 
 def test_response_is_cancelled_at_host_when_client_disconnects(tmp_path: Path) -> None:
     async def scenario() -> None:
-        ended = asyncio.Event()
+        host_connection_closed = asyncio.Event()
 
         async def script(peer: Peer) -> None:
             await peer.head()
-            await peer.write(HEAD % LONG + b"a" * 100_000)
+            await peer.write(RESPONSE_HEAD % LONG_BODY_BYTES + b"a" * 100_000)
             await peer.closed()
-            ended.set()
+            host_connection_closed.set()
 
-        async with rig_of(tmp_path, script) as rig:
+        async with running_rig(tmp_path, script) as rig:
             reader, writer = await rig.connect()
             writer.write(message())
             await reader.readexactly(50_000)
             writer.close()
-            await ended.wait()
+            await host_connection_closed.wait()
             assert (await rig.figures())["in_progress"] == 0
 
     on_loop(scenario)
 
 
-def test_slow_client_pauses_the_host_and_gets_whole_response(tmp_path: Path) -> None:
-    """What a client does not read is not gathered: the host is held back instead."""
+def test_slow_client_pauses_the_host_and_gets_complete_response(tmp_path: Path) -> None:
+    """Guards against buffering what a slow client does not read: reading from the host is paused instead."""
 
     async def scenario() -> None:
-        size, written = 32 * 1024 * 1024, [0]
+        size, written_bytes = 32 * 1024 * 1024, [0]
 
         async def script(peer: Peer) -> None:
             await peer.head()
-            await peer.write(HEAD % size)
+            await peer.write(RESPONSE_HEAD % size)
             for _ in range(size // 65536):
                 await peer.write(b"q" * 65536)
-                written[0] += 65536
+                written_bytes[0] += 65536
             await peer.closed()
 
-        async with rig_of(tmp_path, script) as rig:
+        async with running_rig(tmp_path, script) as rig:
             reader, writer = await asyncio.open_connection("127.0.0.1", rig.port, limit=65536)
             writer.write(message(deadline="1500m"))
             await reader.readuntil(b"\r\n\r\n")
-            last = -1
-            while written[0] != last:  # until the host is held back
-                last = written[0]
+            previous = -1
+            while written_bytes[0] != previous:  # until the host is paused
+                previous = written_bytes[0]
                 await asyncio.sleep(0.4)
-            assert written[0] < size
-            await asyncio.sleep(1.2)  # past its deadline: it has begun in time
-            left = size
-            while left:
-                got = len(await reader.read(1 << 20))
-                assert got
-                left -= got
+            assert written_bytes[0] < size
+            await asyncio.sleep(1.2)  # past the deadline, which no longer applies once the response has begun
+            remaining = size
+            while remaining:
+                received = len(await reader.read(1 << 20))
+                assert received
+                remaining -= received
             assert (await rig.figures())["passed"]["read"] == 1
 
     on_loop(scenario)
@@ -241,19 +243,21 @@
     async def scenario() -> None:
         async def script(peer: Peer) -> None:
             await peer.head()
-            await peer.write(HEAD % 3_000_000_000 + b"a" * 100_000)
+            await peer.write(RESPONSE_HEAD % 3_000_000_000 + b"a" * 100_000)
             await peer.closed()
 
-        async with rig_of(tmp_path, script) as rig:
+        async with running_rig(tmp_path, script) as rig:
             assert await rig.status(message("put")) == 502
 
     on_loop(scenario)
 
 
-# --- Bodies ---
+# --- Request bodies ---
 
 
-def echo(seen: list[tuple[str, bytes]]) -> Script:
+def record_requests(seen: list[tuple[str, bytes]]) -> Script:
+    """A host that appends each request's head and body to `seen`, and answers 200."""
+
     async def script(peer: Peer) -> None:
         while True:
             head = await peer.head()
@@ -266,21 +270,21 @@
 @pytest.mark.parametrize(
     "size", [MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, MAX_REPLAYABLE_BYTES + 70_000, 5_000_000]
 )
-@pytest.mark.parametrize("form", ["length", "chunks"])
-def test_every_framing_of_a_body_is_forwarded_whole(tmp_path: Path, size: int, form: str) -> None:
+@pytest.mark.parametrize("framing", ["length", "chunks"])
+def test_every_framing_of_a_body_is_forwarded_completely(tmp_path: Path, size: int, framing: str) -> None:
     async def scenario() -> None:
         seen: list[tuple[str, bytes]] = []
-        async with rig_of(tmp_path, echo(seen)) as rig:
+        async with running_rig(tmp_path, record_requests(seen)) as rig:
             reader, writer = await rig.connect()
             for rid in (b"one", b"two"):
                 head, body = put(size, rid)
-                if form == "chunks":
+                if framing == "chunks":
                     head = message(
                         "put", rid=rid, drop="Content-Length", more="Transfer-Encoding: chunked\r\n"
                     )
-                writer.write(head + (chunked(body, 3000) if form == "chunks" else body))
+                writer.write(head + (chunked(body, 3000) if framing == "chunks" else body))
                 assert (await read_message(reader, writer)).body == b"ok"
-            assert [got for _, got in seen] == [body, body]
+            assert [received for _, received in seen] == [body, body]
             assert ["one" in seen[0][0], "two" in seen[1][0]] == [True, True]
             assert (await rig.figures())["upstream_tries"] == 2
 
@@ -290,7 +294,7 @@
 def test_deadline_of_streamed_body_runs_from_its_last_byte(tmp_path: Path) -> None:
     async def scenario() -> None:
         seen: list[tuple[str, bytes]] = []
-        async with rig_of(tmp_path, echo(seen)) as rig:
+        async with running_rig(tmp_path, record_requests(seen)) as rig:
             reader, writer = await rig.connect()
             head, body = put(200_000, deadline="400m")
             writer.write(head + body[:150_000])
@@ -308,7 +312,7 @@
             await peer.body(await peer.head())
             await peer.closed()
 
-        async with rig_of(tmp_path, script) as rig:
+        async with running_rig(tmp_path, script) as rig:
             reader, writer = await rig.connect()
             writer.write(b"".join(put(200_000, deadline="400m")))
             assert (await read_message(reader, writer)).line.split()[1] in ("502", "504")
@@ -319,7 +323,7 @@
 def test_body_rejected_early_is_read_to_its_end_and_connection_is_kept(tmp_path: Path) -> None:
     async def scenario() -> None:
         seen: list[tuple[str, bytes]] = []
-        async with rig_of(tmp_path, echo(seen)) as rig:
+        async with running_rig(tmp_path, record_requests(seen)) as rig:
             reader, writer = await rig.connect()
             statuses = []
             for i in range(6):
@@ -340,7 +344,7 @@
 def test_stalled_body_is_rejected_and_never_runs(tmp_path: Path, size: int) -> None:
     async def scenario() -> None:
         seen: list[tuple[str, bytes]] = []
-        async with rig_of(tmp_path, echo(seen)) as rig:
+        async with running_rig(tmp_path, record_requests(seen)) as rig:
             reader, writer = await rig.connect()
             head, body = put(size)
             writer.write(head + body[:-1])
@@ -354,60 +358,65 @@
 
 def test_attempt_is_cancelled_when_client_disconnects_during_body(tmp_path: Path) -> None:
     async def scenario() -> None:
-        ended: list[bytes] = []
+        truncated_bodies: list[bytes] = []
 
         async def script(peer: Peer) -> None:
             await peer.head()
-            ended.append(await peer.closed())
+            truncated_bodies.append(await peer.closed())
 
-        async with rig_of(tmp_path, script) as rig:
+        async with running_rig(tmp_path, script) as rig:
             _, writer = await rig.connect()
             head, body = put(1_000_000)
             writer.write(head + body[:500_000])
             await writer.drain()
             await asyncio.sleep(0.1)
             writer.close()
-            while not ended:
+            while not truncated_bodies:
                 await asyncio.sleep(0.01)
-            assert len(ended[0]) < 1_000_000
+            assert len(truncated_bodies[0]) < 1_000_000
             assert (await rig.figures())["in_progress"] == 0
 
     on_loop(scenario)
 
 
 @pytest.mark.parametrize(("size", "status"), [(100_000, "200"), (3_000_000, "503")])
-@pytest.mark.parametrize("turns_away", [True, False])
-def test_body_refused_by_host_is_retried(tmp_path: Path, size: int, status: str, turns_away: bool) -> None:
-    """Turned away, or reset, before the last byte: kept whole it goes to another, else it is refused."""
+@pytest.mark.parametrize("rejects", [True, False])
+def test_body_rejected_by_host_is_retried_if_replayable(
+    tmp_path: Path, size: int, status: str, rejects: bool
+) -> None:
+    """The first host rejects the request, or resets the connection, before the body's last byte.
+
+    A body that is still in the replay buffer is sent to another host; a longer one is rejected.
+    """
 
     async def scenario() -> None:
         seen: list[tuple[str, bytes]] = []
-        first: list[str] = []
-        served = echo(seen)
+        first_heads: list[str] = []
+        serve_requests = record_requests(seen)
 
         async def script(peer: Peer) -> None:
-            if first:
-                await served(peer)
+            if first_heads:
+                await serve_requests(peer)
                 return
-            first.append(await peer.head())
+            first_heads.append(await peer.head())
             if size > MAX_REPLAYABLE_BYTES:
                 await peer.reader.readexactly(2 * MAX_REPLAYABLE_BYTES)
-            if turns_away:
+            if rejects:
                 await peer.write(b"HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
                 await peer.closed()
             else:
                 peer.writer.transport.abort()
 
-        async with rig_of(tmp_path, script, script) as rig:
+        async with running_rig(tmp_path, script, script) as rig:
             reader, writer = await rig.connect()
             head, body = put(size)
             writer.write(head + body[:-1])
-            while not first:
+            while not first_heads:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.1)
             writer.write(body[-1:])
             assert (await read_message(reader, writer)).line.split()[1] == status
-            assert [got for _, got in seen] == ([body] if status == "200" else [])
+            assert [received for _, received in seen] == ([body] if status == "200" else [])
 
     on_loop(scenario)
 
@@ -420,46 +429,46 @@
                 while await peer.reader.read(1 << 20):
                     pass
 
-        async with rig_of(tmp_path, script) as rig:
+        async with running_rig(tmp_path, script) as rig:
             reader, writer = await rig.connect()
             writer.write(message("put", drop="Content-Length", more="Transfer-Encoding: chunked\r\n"))
-            piece = b"10000\r\n" + b"x" * 65536 + b"\r\n"
+            chunk = b"10000\r\n" + b"x" * 65536 + b"\r\n"
 
             async def flood() -> None:
                 with contextlib.suppress(ConnectionError):
                     for _ in range(MAX_STREAMED_REQUEST_BYTES // 65536 + 100):
-                        writer.write(piece)
+                        writer.write(chunk)
                         await writer.drain()
 
-            flooding = asyncio.create_task(flood())
-            with contextlib.suppress(ConnectionError):  # the close may overtake the answer
+            flood_task = asyncio.create_task(flood())
+            with contextlib.suppress(ConnectionError):  # a reset may arrive before the response is read
                 assert (await reader.readline()).split()[1] == b"413"
-            await flooding
+            await flood_task
             assert (await rig.figures())["bad_gateway"]["put"] == 1
             assert (await rig.figures())["upstream_tries"] == 0
 
     on_loop(scenario)
 
 
-def test_long_body_behind_open_request_is_taken_in_turn(tmp_path: Path) -> None:
+def test_pipelined_long_body_is_handled_after_the_open_request(tmp_path: Path) -> None:
     async def scenario() -> None:
         seen: list[tuple[str, bytes]] = []
-        go_on = asyncio.Event()
-        served = echo(seen)
+        resume = asyncio.Event()
+        serve_requests = record_requests(seen)
 
         async def script(peer: Peer) -> None:
-            if not go_on.is_set():
+            if not resume.is_set():
                 await peer.head()
-                await go_on.wait()
+                await resume.wait()
                 await peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
-            await served(peer)
+            await serve_requests(peer)
 
-        async with rig_of(tmp_path, script) as rig:
+        async with running_rig(tmp_path, script) as rig:
             reader, writer = await rig.connect()
             head, body = put(700_000)
             writer.write(message(rid=b"first") + head + body)
             await asyncio.sleep(0.2)
-            go_on.set()
+            resume.set()
             assert (await read_message(reader, writer)).body == b"first"
             assert (await read_message(reader, writer)).body == b"ok"
             assert seen[0][1] == body
@@ -467,14 +476,14 @@
     on_loop(scenario)
 
 
-def test_whitespace_absolute_targets_and_trailers_are_understood(tmp_path: Path) -> None:
+def test_whitespace_absolute_targets_and_trailers_are_accepted(tmp_path: Path) -> None:
     async def scenario() -> None:
         seen: list[tuple[str, bytes]] = []
-        async with rig_of(tmp_path, echo(seen)) as rig:
-            raw = message("put", body=b"abc", target="http://Any.Host:80/api/00000000b4d65521?x=/")
-            raw = raw.replace(b"Content-Length: 3", b"Content-Length:\t3 \t")
-            raw = raw.replace(b"X-Class: put", b"X-Class:put  ")
-            assert await rig.status(raw) == 200
+        async with running_rig(tmp_path, record_requests(seen)) as rig:
+            request = message("put", body=b"abc", target="http://Any.Host:80/api/00000000b4d65521?x=/")
+            request = request.replace(b"Content-Length: 3", b"Content-Length:\t3 \t")
+            request = request.replace(b"X-Class: put", b"X-Class:put  ")
+            assert await rig.status(request) == 200
             head = message("put", rid=b"tr", drop="Content-Length", more="Transfer-Encoding: chunked\r\n")
             assert await rig.status(head + chunked(b"abc", 1)) == 200
             assert seen[0][0].startswith("POST /api/00000000b4d65521?x=/ HTTP/1.1")
@@ -484,14 +493,20 @@
     on_loop(scenario)
 
 
-def test_slow_head_is_awaited(tmp_path: Path) -> None:
+def test_slowly_sent_request_is_accepted(tmp_path: Path) -> None:
     async def scenario() -> None:
         seen: list[tuple[str, bytes]] = []
-        async with rig_of(tmp_path, echo(seen)) as rig:
+        async with running_rig(tmp_path, record_requests(seen)) as rig:
             reader, writer = await rig.connect()
-            raw = b"".join(put(20_000))
-            for piece in (raw[:40], raw[40:90], raw[90:5000], raw[5000:19_000], raw[19_000:]):
-                writer.write(piece)
+            request = b"".join(put(20_000))
+            for part in (
+                request[:40],
+                request[40:90],
+                request[90:5000],
+                request[5000:19_000],
+                request[19_000:],
+            ):
+                writer.write(part)
                 await asyncio.sleep(0.9)
             assert (await read_message(reader, writer)).body == b"ok"
 
--- a/tests/net/test_upstream_pool.py
+++ b/tests/net/test_upstream_pool.py
@@ -1,4 +1,4 @@
-"""Connections to upstream hosts: reuse, idle time, and dials that fail as they succeed."""
+"""Connections to upstream hosts: reuse, idle time-out, and dials lost or cancelled as they complete."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from hillmux.interface import AttemptResult, RejectReason
 
 
-@pytest.mark.parametrize("more", [b"HTTP/1.1 200", b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno"])
+@pytest.mark.parametrize("extra_data", [b"HTTP/1.1 200", b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno"])
 def test_connection_with_data_after_its_response_is_not_reused(
-    monkeypatch: pytest.MonkeyPatch, more: bytes
+    monkeypatch: pytest.MonkeyPatch, extra_data: bytes
 ) -> None:
     async def scenario() -> None:
-        host = await Fake(lambda seen: reply() + more).start()
+        host = await Fake(lambda seen: reply() + extra_data).start()
         core, decisions = await start_gateway_core(monkeypatch, host)
         client = RecordingClient()
         for _ in range(2):
@@ -27,7 +27,7 @@
             decisions.actions[api.Request] = [api.SendAttempt(f"r{serial}", "s-0", 4000)]
             core.request(client, request)
             assert await client.statuses.get() == 200
-            await asyncio.sleep(0.02)  # an answered connection rests before it is used again
+            await asyncio.sleep(0.02)  # longer than REUSE_DELAY_S
         assert len({id(seen.writer) for seen in host.seen}) == 2
         host.stop()
 
@@ -38,27 +38,27 @@
     async def scenario() -> None:
         fakes = [await Fake(lambda seen: reply()).start() for _ in range(3)]
         core, decisions = await start_gateway_core(monkeypatch, fakes[0])
-        hosts = core.upstreams
-        hosts.update({f"s-{i}": (LOOP, fake.port) for i, fake in enumerate(fakes)}, set())
+        pool = core.upstreams
+        pool.update({f"s-{i}": (LOOP, fake.port) for i, fake in enumerate(fakes)}, set())
         client = RecordingClient()
-        for name in ("s-1", "s-0", "s-2", "s-0"):  # the last time s-0 is used it is kept, and the freshest
+        for name in ("s-1", "s-0", "s-2", "s-0"):  # the second use of s-0 makes it the most recently used
             decisions.actions[api.Request] = [api.SendAttempt(f"r{core.last_serial + 1}", name, 4000)]
             core.request(client, forward_request())
             assert await client.statuses.get() == 200
             await asyncio.sleep(0.02)
-        assert [c.host.name for c in hosts.idle.oldest_first] == ["s-1", "s-2", "s-0"]
-        assert hosts.drop_idle()
+        assert [c.host.name for c in pool.idle.oldest_first] == ["s-1", "s-2", "s-0"]
+        assert pool.drop_idle()
         await fakes[1].until(lambda fake: fake.closed == 1)
-        hosts.idle.timeout_s = 0.03  # by now s-2 has been idle for longer, s-0 has not
-        hosts.loop.time()
-        next(reversed(hosts.idle.oldest_first)).idle_since = hosts.loop.time() + 1.0
+        pool.idle.timeout_s = 0.03  # expires s-2 below, but not s-0, whose `idle_since` is set to the future
+        pool.loop.time()
+        next(reversed(pool.idle.oldest_first)).idle_since = pool.loop.time() + 1.0
         await asyncio.sleep(0.05)
-        hosts.close_expired()
+        pool.close_expired()
         await fakes[2].until(lambda fake: fake.closed == 1)
-        assert [c.host.name for c in hosts.idle.oldest_first] == ["s-0"] and fakes[0].closed == 0
-        hosts.update({}, {"s-0"})
+        assert [c.host.name for c in pool.idle.oldest_first] == ["s-0"] and fakes[0].closed == 0
+        pool.update({}, {"s-0"})
         await fakes[0].until(lambda fake: fake.closed == 1)
-        assert not hosts.idle.oldest_first and not hosts.drop_idle()
+        assert not pool.idle.oldest_first and not pool.drop_idle()
         for fake in fakes:
             fake.stop()
 
@@ -66,7 +66,7 @@
 
 
 class LoopWithBrokenConnections:
-    """A loop whose new connections are broken before anybody can use them."""
+    """An event loop that aborts each new connection as soon as it is established."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -83,7 +83,7 @@
 def test_attempt_on_a_connection_lost_while_it_opens_is_reported_incomplete(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nothing may be written to it: the attempt would hang until its time-out."""
+    """Guards against writing to the lost connection: the attempt would stay open until its time-out."""
 
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
@@ -103,33 +103,35 @@
 def test_dial_cancelled_as_its_connection_opens_leaks_no_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The loop closes such a connection without a word; it would count against our bound for good."""
+    """uvloop closes such a connection without calling `connection_lost`.
+
+    Guards against counting it towards the connection limit for ever.
+    """
 
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
-        hosts, opened = core.upstreams, core.upstreams.connection_opened
-        up: list[object] = []
+        pool, original_connection_opened = core.upstreams, core.upstreams.connection_opened
+        opened_connections: list[object] = []
 
-        def opened_and_cancelled(connection) -> None:
-            opened(connection)
-            up.append(connection)
+        def cancel_on_open(connection) -> None:
+            original_connection_opened(connection)
+            opened_connections.append(connection)
             (attempt,) = core.requests["r1"].attempts
-            hosts.cancel(attempt)
+            pool.cancel(attempt)
 
-        monkeypatch.setattr(hosts, "connection_opened", opened_and_cancelled)
+        monkeypatch.setattr(pool, "connection_opened", cancel_on_open)
         decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", 5000)]
         decisions.actions[api.AttemptEnded] = [api.Reject("r1", 0.0, RejectReason.OVERLOAD)]
         client = RecordingClient()
         core.request(client, forward_request())
         assert await client.statuses.get() == 503
-        while hosts.dials:
+        while pool.dials:
             await asyncio.sleep(0)
-        assert decisions.outcomes() == [
-            AttemptResult.NOT_SENT
-        ]  # called off before its first byte: it surely never ran
+        # It was cancelled before its first byte was written, so it cannot have run.
+        assert decisions.outcomes() == [AttemptResult.NOT_SENT]
         await asyncio.sleep(0.01)
-        assert up and not hosts.connections
+        assert opened_connections and not pool.connections
         host.stop()
 
     on_loop(scenario, 3)
