--- a/hillmux/net/deadlines.py
+++ b/hillmux/net/deadlines.py
@@ -35,18 +35,18 @@
         Returns:
             The number of its slot, which `cancel` needs.
         """
-        number = int((self._loop.time() + delay_s) / TICK_S) + 1
-        slot = self._slots.get(number)
+        slot_number = int((self._loop.time() + delay_s) / TICK_S) + 1
+        slot = self._slots.get(slot_number)
         if slot is None:
-            slot = self._slots[number] = {}
-            heappush(self._slot_numbers, number)
+            slot = self._slots[slot_number] = {}
+            heappush(self._slot_numbers, slot_number)
         slot[item] = None
-        self._schedule_wakeup(number)
-        return number
+        self._schedule_wakeup(slot_number)
+        return slot_number
 
-    def cancel(self, item: T, number: int) -> None:
+    def cancel(self, item: T, slot_number: int) -> None:
         """Cancel an item in the slot that `add` returned; does nothing if the item has expired."""
-        slot = self._slots.get(number)
+        slot = self._slots.get(slot_number)
         if slot is not None:
             slot.pop(item, None)
 
@@ -57,14 +57,14 @@
         self._slots.clear()
         self._slot_numbers.clear()
 
-    def _schedule_wakeup(self, number: int) -> None:
+    def _schedule_wakeup(self, slot_number: int) -> None:
         """Set the timer to a slot, unless it is already set to this or an earlier one."""
-        if self._wakeup is not None and number >= self._wakeup_slot:
+        if self._wakeup is not None and slot_number >= self._wakeup_slot:
             return
         if self._wakeup is not None:
             self._wakeup.cancel()
-        self._wakeup_slot = number
-        self._wakeup = self._loop.call_later(max(number * TICK_S - self._loop.time(), 0.0), self._expire)
+        self._wakeup_slot = slot_number
+        self._wakeup = self._loop.call_later(max(slot_number * TICK_S - self._loop.time(), 0.0), self._expire)
 
     def _expire(self) -> None:
         """Report expired items, at most MAX_EXPIRED_PER_ITERATION before the event loop reads its sockets.
@@ -73,12 +73,12 @@
         unread would cancel most of them. The limit lets the loop read these responses in between.
         """
         self._wakeup = None
-        now, remaining = int(self._loop.time() / TICK_S), MAX_EXPIRED_PER_ITERATION
+        current_slot, remaining = int(self._loop.time() / TICK_S), MAX_EXPIRED_PER_ITERATION
         try:
             while self._slot_numbers:
-                number = self._slot_numbers[0]
-                slot = self._slots[number]
-                if slot and (number > now or not remaining):
+                slot_number = self._slot_numbers[0]
+                slot = self._slots[slot_number]
+                if slot and (slot_number > current_slot or not remaining):
                     break
                 if not slot:
                     del self._slots[heappop(self._slot_numbers)]
--- a/tests/net/test_failed_attempts.py
+++ b/tests/net/test_failed_attempts.py
@@ -83,9 +83,7 @@
             tmp_path, lambda seen: None if seen.headers["x-request-id"] == "quiet" else serve(seen)
         ) as rig:
             assert await rig.status(message("pay", rid=b"quiet", deadline="400m")) in (502, 504)
-            await rig.hosts[0].until(
-                lambda fake: fake.closed == 1
-            )  # the close cancels the attempt at the host
+            await rig.hosts[0].until(lambda fake: fake.closed == 1)  # this cancels the attempt at the host
             assert await rig.status(message(rid=b"next")) == 200
             assert [s.headers["x-request-id"] for s in rig.hosts[0].seen] == ["quiet", "next"]
 
@@ -105,9 +103,7 @@
             rig.process.send_signal(signal.SIGSTOP)
             rig.hosts[0].seen[0].writer.write(reply(b"served"))
             await rig.hosts[0].seen[0].writer.drain()
-            await asyncio.sleep(
-                3.3
-            )  # past the attempt's time-out of 3 s, before the client's deadline of 6 s
+            await asyncio.sleep(3.3)  # past the attempt's time-out of 3 s, before the deadline of 6 s
             rig.process.send_signal(signal.SIGCONT)
             assert await status_task == 200
 
