--- a/hillmux/net/__init__.py
+++ b/hillmux/net/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway on real sockets: everything round the decision module."""
+"""The gateway's network side: sockets and protocols around the decision module."""
--- a/hillmux/net/config.py
+++ b/hillmux/net/config.py
@@ -1,4 +1,4 @@
-"""The configuration that a gateway is started with: file and environment to typed values."""
+"""The gateway's configuration: reads the file and the environment into typed values."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 Address = tuple[str, int]  # host and port
 
-COUNTER_TIMEOUT_FACTOR: Final = 3.0  # a counter call may take this many times what the settings expect
+COUNTER_TIMEOUT_FACTOR: Final = 3.0  # time-out of a counter call, as a multiple of the configured wait
 DEFAULT_DIAL_TIMEOUT_MS: Final = 250.0
 DEFAULT_IDLE_TIMEOUT_MS: Final = 15000.0
 DEFAULT_MAX_SOCKETS: Final = 1024
-MIN_SOCKETS: Final = 128  # leaves a reserve beside clients, hosts, counter, discovery and the loop's own
+MIN_SOCKETS: Final = 128  # keeps a reserve beyond the sockets of clients, hosts, counter, discovery and loop
 DEFAULT_SNAPSHOT_INTERVAL_MS: Final = 2000.0
 MIN_SNAPSHOT_INTERVAL_MS: Final = 200.0
 MAX_PORT: Final = 65535
 
-# Variables of the environment that stand before fields of the file.
+# Environment variables: the path of the file, and those that override fields of the file.
 CONFIG_VARIABLE: Final = "ROUTER_CONFIG"
 VARIABLES_BY_FIELD: Final = {
     "name": "ROUTER_NAME",
@@ -34,16 +34,16 @@
 
 
 class ConfigError(ValueError):
-    """A configuration that no gateway can be started with; the text names the field."""
+    """An invalid configuration; the text names the field."""
 
 
 @dataclass(slots=True, frozen=True)
 class SnapshotSettings:
-    """Where snapshots are stored, in installations with a persistent disk."""
+    """Where and how often snapshots are stored; needs a persistent disk."""
 
     directory: str
     interval_s: float
-    fleet: str  # a name for the tier: a snapshot of another one is ignored
+    fleet: str  # name of the group of gateways; snapshots of another group are ignored
 
 
 @dataclass(slots=True, frozen=True)
@@ -57,30 +57,32 @@
     seed: int
     max_sockets: int
     settings: api.Settings
-    known_endpoints: DiscoveryResponse  # the hosts to start with
+    known_endpoints: DiscoveryResponse  # the endpoint list used until discovery answers
     dial_timeout_ms: float
-    idle_timeout_ms: float  # after which a host closes an idle connection
-    operator_address: Address | None = None  # where operators' calls are accepted, if at all
-    state_directory: str | None = None  # shared by the successive processes of this gateway alone
+    idle_timeout_ms: float  # after this time a host closes an idle connection
+    operator_address: Address | None = None  # for operators' calls; None: not accepted
+    state_directory: str | None = None  # shared only by the successive processes of this gateway
     snapshots: SnapshotSettings | None = None  # None: no snapshots
-    present_fields: frozenset[str] = frozenset()  # the paths of the fields that the file has
+    present_fields: frozenset[str] = frozenset()  # paths of the fields present in the file
 
 
 def load(environ: Mapping[str, str], before: GatewayConfig | None = None) -> GatewayConfig:
-    """The configuration in the file that ROUTER_CONFIG names; single variables override its fields.
+    """Read the configuration file that ROUTER_CONFIG names; other variables override its fields.
 
-    `before` is the configuration at the start, when the file is read again. The discovery of the file then
-    stands before that of the environment. Each field that was present must still be: a default in place of
-    one that was lost would be taken for a change.
+    Args:
+        environ: The environment variables.
+        before: When the file is read again, the configuration at the start. The discovery address of the
+            file then takes precedence over that of the environment. Each field that was present must still
+            be present: the default in place of a missing field would be taken for a change.
 
     Raises:
-        ConfigError: no gateway can be started with it, or it cannot replace `before`.
+        ConfigError: the configuration is invalid, or cannot replace `before`.
     """
     raw = _read_file(environ.get(CONFIG_VARIABLE))
     present_fields = frozenset(_field_paths("", raw))
     missing = sorted(before.present_fields - present_fields) if before is not None else ()
     if missing:
-        raise ConfigError(f"{missing[0]}: is missing, and was there before")
+        raise ConfigError(f"{missing[0]}: is missing, but was present at the start")
     for field, variable in VARIABLES_BY_FIELD.items():
         if environ.get(variable) and not (before is not None and field == "discovery"):
             raw[field] = environ[variable]
@@ -105,18 +107,18 @@
 
 
 def parse(raw: dict[str, object]) -> GatewayConfig:
-    """The object of the file as a `GatewayConfig`.
+    """Parse the JSON object of the configuration file.
 
     Raises:
-        ConfigError: a field is missing or wrong.
+        ConfigError: a field is missing or invalid.
     """
     pairs = dict(_flatten("", _object(raw, "settings")))
     _positive(pairs, "bounds.try_limit", 1.0)
     settings = _settings(pairs)
-    # A late answer still holds: without the extra time a busy counter would be taken for a silent one.
+    # A late response is still valid: without the extra time a busy counter would be taken for a silent one.
     settings = replace(settings, counter_timeout_ms=COUNTER_TIMEOUT_FACTOR * settings.counter_timeout_ms)
     if settings.counter_available and not raw.get("counter"):
-        raise ConfigError("counter: is missing, though the settings allow calls")
+        raise ConfigError("counter: is missing, but the settings enable the counter")
     return GatewayConfig(
         name=str(raw.get("name", "")),
         known_endpoints=_known_endpoints(raw),
@@ -143,7 +145,11 @@
 
 
 def address(raw: Mapping[str, object], field: str) -> Address:
-    """A field of the form HOST:PORT."""
+    """Parse a field of the form HOST:PORT.
+
+    Raises:
+        ConfigError: the field is missing or has another form.
+    """
     host, colon, port = str(raw.get(field, "")).rpartition(":")
     if not colon or not host or not (port.isascii() and port.isdigit() and int(port) <= MAX_PORT):
         raise ConfigError(f"{field}: found {raw.get(field)!r}, expected HOST:PORT")
@@ -151,10 +157,10 @@
 
 
 def _snapshots(raw: dict[str, object]) -> SnapshotSettings:
-    """The field `snapshots`: an object with `folder`, and optionally `every_ms` and `fleet`."""
+    """Parse the field `snapshots`: an object with `folder`, and optionally `every_ms` and `fleet`."""
     unknown = sorted(set(raw) - {"folder", "every_ms", "fleet"})
     if unknown:
-        raise ConfigError(f"snapshots.{unknown[0]}: is not folder, every_ms or fleet")
+        raise ConfigError(f"snapshots.{unknown[0]}: is unknown, expected folder, every_ms or fleet")
     folder, fleet = raw.get("folder"), raw.get("fleet", "")
     interval_ms = raw.get("every_ms", DEFAULT_SNAPSHOT_INTERVAL_MS)
     if not isinstance(folder, str) or not folder.startswith("/"):
@@ -162,7 +168,7 @@
     if (
         isinstance(interval_ms, bool)
         or not isinstance(interval_ms, int | float)
-        or not interval_ms >= MIN_SNAPSHOT_INTERVAL_MS  # true of NaN, too
+        or not interval_ms >= MIN_SNAPSHOT_INTERVAL_MS  # this form also rejects NaN
     ):
         raise ConfigError(
             f"snapshots.every_ms: found {interval_ms!r}, expected {MIN_SNAPSHOT_INTERVAL_MS:g} or more"
@@ -180,26 +186,26 @@
 
 
 def _field_paths(path: str, value: object) -> set[str]:
-    """The paths of the fields in an object; of a list of objects those that each of them has."""
-    found = {path} if path else set()
+    """The paths of the fields in an object; for a list of objects, the paths that all of them have."""
+    paths = {path} if path else set()
     if isinstance(value, dict) and path != "known":
         for key, item in value.items():
-            found |= _field_paths(f"{path}.{key}" if path else str(key), item)
+            paths |= _field_paths(f"{path}.{key}" if path else str(key), item)
     elif isinstance(value, list) and value and all(isinstance(item, dict) for item in value):
-        found |= set.intersection(*(_field_paths(f"{path}[]", item) for item in value))
-    return found
+        paths |= set.intersection(*(_field_paths(f"{path}[]", item) for item in value))
+    return paths
 
 
 def _flatten(path: str, value: object) -> Iterator[tuple[str, str]]:
-    """Nested settings by path, as `hillmux.platform_settings` reads them."""
+    """Flatten nested settings to pairs of path and text, which `hillmux.platform_settings` reads."""
     if isinstance(value, dict):
         for key, item in value.items():
             yield from _flatten(f"{path}.{key}" if path else str(key), item)
     elif isinstance(value, list):
         if any(isinstance(item, dict) for item in value):
             yield f"{path}.count", str(len(value))
-            for i, item in enumerate(value):
-                yield from _flatten(f"{path}.{i}", item)
+            for index, item in enumerate(value):
+                yield from _flatten(f"{path}.{index}", item)
         else:
             yield path, ",".join(map(str, value))
     elif isinstance(value, bool):
@@ -209,7 +215,7 @@
 
 
 def _settings(pairs: dict[str, str]) -> api.Settings:
-    # A key that holds `=` is split there, as on the simulator's wire.
+    # A key that contains `=` is split at the first one, as in the simulator's messages.
     values = dict(f"{path}={value}".partition("=")[::2] for path, value in pairs.items())
     try:
         settings = parse_settings(values)
@@ -233,15 +239,13 @@
     try:
         return int(str(raw.get("seed", "")), 16)
     except ValueError:
-        raise ConfigError(f"seed: found {raw.get('seed')!r}, expected a hex number") from None
+        raise ConfigError(f"seed: found {raw.get('seed')!r}, expected a hexadecimal number") from None
 
 
 def _max_sockets(raw: Mapping[str, object]) -> int:
     limits = raw.get("limits") or {}
     value = limits.get("sockets", DEFAULT_MAX_SOCKETS) if isinstance(limits, dict) else None
     if not isinstance(value, int) or value < MIN_SOCKETS:
-        raise ConfigError(
-            f"limits.sockets: found {value!r}, expected a whole number of {MIN_SOCKETS} or more"
-        )
-    allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]  # the system's own limit may be lower
+        raise ConfigError(f"limits.sockets: found {value!r}, expected an integer of at least {MIN_SOCKETS}")
+    allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]  # the operating system's limit may be lower
     return value if allowed == resource.RLIM_INFINITY else min(value, allowed)
--- a/hillmux/net/counter_channel.py
+++ b/hillmux/net/counter_channel.py
@@ -1,4 +1,4 @@
-"""A kept connection to the counter: calls that are out on it in order, its dials and its time-outs."""
+"""A persistent connection to the counter: its calls in flight, its dials and its time-outs."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 MIN_BACKOFF_S: Final = 0.05
 MAX_BACKOFF_S: Final = 1.0
 MAX_BACKOFF_DOUBLINGS: Final = 10
-SILENCE_TIMEOUT_S: Final = 1.0  # an answer this late is not coming: the counter's machine is gone
-STATUSES_NOTHING_ADDED: Final = frozenset((400, 404, 503))
-# After this much silence the counter may have closed a connection without the loop having read so.
+SILENCE_TIMEOUT_S: Final = 1.0  # a call unanswered for this long means that the counter is unreachable
+NOT_ADDED_STATUSES: Final = frozenset((400, 404, 503))
+# A connection idle for longer is checked before use: the counter may have closed it, unread by the loop.
 IDLE_CHECK_AFTER_S: Final = 0.1
-DIALLING_PENALTY: Final = 4  # calls that a channel without a connection counts as busier
+DIALLING_PENALTY: Final = 4  # calls added to the load of a channel that has no connection yet
 
 
 def request_bytes(action: api.IncrementCounter) -> bytes:
-    """One call as it is written to the counter."""
+    """The HTTP request of one counter call."""
     retention_ms = max(1, round(action.retention_ms))
     return (
         f"POST /v1/count/{action.name}?add={_decimal(action.amount)}&ttl_ms={retention_ms}"
@@ -39,15 +39,15 @@
 
 
 class PendingCall:
-    """A call until its one result."""
+    """A call until its result is reported."""
 
     __slots__ = ("request", "sent_at", "timer", "channel", "written", "done")
 
     def __init__(self, request: api.IncrementCounter, now: float) -> None:
         self.request, self.sent_at = request, now
         self.timer: asyncio.TimerHandle | None = None
-        self.channel: CounterChannel | None = None  # once it has one
-        self.written = False  # its last byte has left this process
+        self.channel: CounterChannel | None = None  # None until the call is assigned to one
+        self.written = False  # whether its last byte was written to the socket
         self.done = False
 
 
@@ -69,19 +69,19 @@
         self._dial_timer: asyncio.TimerHandle | None = None
         self._silence_timer: asyncio.TimerHandle | None = None
         self._redial_timer: asyncio.TimerHandle | None = None
-        self._calls: deque[PendingCall] = deque()  # in the order in which they are answered
-        self._failures = 0  # of the connection, in a row
+        self._calls: deque[PendingCall] = deque()  # pending calls, in the order of their responses
+        self._failures = 0  # consecutive failed connections and dials
         self._last_reply_at = 0.0
         self._backoff_until = 0.0
-        self._retired = False  # closes with its last call
+        self._retired = False  # closes after its last call in flight
 
     # Use by the client
 
     def usable(self) -> bool:
-        """Whether a call may be written, or wait for a dial that is under way.
+        """Whether a call may be written now, or may wait for a dial.
 
-        A connection that is ending is not usable: its loss is reported in this turn of the loop or the next,
-        and what is written until then is lost with it.
+        A closing connection is not usable: its loss is reported in this turn of the loop or the next, and
+        calls written before that would be lost with it.
         """
         if self._connection is not None:
             self._drop_if_closed_by_peer(self._connection)
@@ -90,19 +90,19 @@
         return self._dial is not None or self._loop.time() >= self._backoff_until
 
     def pending_calls(self) -> int:
-        """Calls that are out; a channel without a connection counts as busier."""
+        """The number of pending calls, plus DIALLING_PENALTY if there is no connection."""
         return len(self._calls) + (0 if self._connection is not None else DIALLING_PENALTY)
 
     def silent_since(self, time_s: float) -> bool:
-        """Whether no answer has arrived since a time of the loop's clock."""
+        """Whether no response has arrived since `time_s`, by the loop's clock."""
         return self._last_reply_at < time_s
 
     def has_call_before(self, time_s: float) -> bool:
-        """Whether a call made before a time of the loop's clock is still out."""
+        """Whether a call made before `time_s`, by the loop's clock, is still pending."""
         return bool(self._calls) and self._calls[0].sent_at < time_s
 
     def write(self, call: PendingCall) -> None:
-        """Write a call behind those that are out; without a connection it waits for a dial."""
+        """Write a call after the pending ones; without a connection it waits for a dial."""
         self._calls.append(call)
         call.channel = self
         if self._connection is not None:
@@ -111,21 +111,21 @@
             self.dial()
 
     def abort_calls(self) -> None:
-        """Close a connection that has gone silent; its calls end with it."""
-        self._drop()
-        self._end_all(AttemptResult.CONNECTION_LOST)
+        """Abort an unresponsive connection; its calls end as `connection_lost`."""
+        self._abort_connection()
+        self._end_calls(AttemptResult.CONNECTION_LOST)
 
     def stop(self) -> None:
-        """Close the connection, or its dial, for good; calls that are out end with it."""
+        """Close the connection or cancel its dial, without dialling again; pending calls end with it."""
         self._retired = True
         if self._redial_timer is not None:
             self._redial_timer.cancel()
         if self._dial is not None:
             self._dial.cancel()
-        self._drop()
+        self._abort_connection()
 
     def retire(self) -> list[PendingCall]:
-        """Close once the calls that are out are answered; returns those that were never written."""
+        """Close once the calls in flight are answered; returns calls that were never written."""
         self._retired = True
         if self._connection is not None:
             if not self._calls:
@@ -156,11 +156,12 @@
             self._stop_dial_timer()
             self._connection_failed()
 
-    def opened(self, connection: CounterConnection) -> None:
-        """Take a connection that has come up into use, and write the calls that wait for it.
+    def on_connection_made(self, connection: CounterConnection) -> None:
+        """Use a connection that was just established, and write the calls that wait for it.
 
-        This is done by the connection and not by its dial's task: one that is reset as soon as it is up is
-        lost before the task ends, and would stay the channel's connection with every call on it failing.
+        Called by the connection, not when the dial's task ends: a connection that is reset right after it was
+        established is lost before the task ends, and would otherwise stay the channel's connection, on which
+        every call fails.
         """
         self._dial = None
         self._stop_dial_timer()
@@ -168,7 +169,7 @@
         if self._retired:
             connection.abort()
             return
-        # A call that timed out while it waited was reported as not added: it must not be written now.
+        # A call that timed out while it waited was reported as not added, so it must not be written now.
         self._calls = deque(call for call in self._calls if not call.done)
         for call in self._calls:
             self._send(call, connection)
@@ -178,8 +179,8 @@
             self._dial_timer.cancel()
 
     def _redial(self) -> None:
-        # Dialled before a call needs it: else calls would pile up on the few connections that are left, and
-        # all be lost with the next one.
+        # Dials before a call needs the connection: otherwise calls would accumulate on the few remaining
+        # connections, and a further loss would end all of them.
         if self._connection is None and self._dial is None and not self._retired:
             self.dial()
 
@@ -191,44 +192,44 @@
         if self._silence_timer is None:
             self._silence_timer = self._loop.call_later(SILENCE_TIMEOUT_S, self._check_silence)
 
-    def flushed(self) -> None:
-        """All that was written has left this process."""
+    def on_flushed(self) -> None:
+        """Mark all calls as written: the connection's write buffer is empty."""
         for call in self._calls:
             call.written = True
 
     def on_response(self, response: Response, reusable: bool) -> None:
-        """The answer to the oldest call on the connection."""
+        """Report the result of the oldest pending call."""
         self._failures, self._last_reply_at = 0, self._loop.time()
         total = parse_decimal(response.body.strip()) if response.status == 200 else None
-        if total is None and response.status not in STATUSES_NOTHING_ADDED:
-            # An answer without a number: the call was added, but nothing that follows can be trusted.
-            self.malformed_response()
+        if total is None and response.status not in NOT_ADDED_STATUSES:
+            # A response without a number: the call was added, but what follows cannot be trusted.
+            self.on_malformed_response()
             return
         call = self._calls.popleft()
         if not reusable or (self._retired and not self._calls):
-            self._drop()  # before the result is reported: the next call goes to another channel
+            self._abort_connection()  # before the result is reported: the next call goes to another channel
         if total is None:
             self._on_result(call, AttemptResult.QUEUE_FULL, 0.0)
         else:
             self._on_result(call, AttemptResult.OK, total)
 
-    def malformed_response(self) -> None:
-        """What arrived is no answer; no call behind it will learn its total either."""
-        self._drop()
-        self._end_all(AttemptResult.MALFORMED_RESPONSE)
+    def on_malformed_response(self) -> None:
+        """Abort the connection after input that is no valid response; all its calls end without a total."""
+        self._abort_connection()
+        self._end_calls(AttemptResult.MALFORMED_RESPONSE)
 
-    def _end_all(self, result_if_written: AttemptResult) -> None:
+    def _end_calls(self, result_if_written: AttemptResult) -> None:
         calls, self._calls = self._calls, deque()
         for call in calls:
             result = result_if_written if call.written else AttemptResult.CONNECT_FAILED
             self._on_result(call, result, 0.0)
 
-    # The end of the connection
+    # Loss of the connection
 
     def _drop_if_closed_by_peer(self, connection: CounterConnection) -> None:
         """Drop an idle connection that the counter has closed; the next call dials.
 
-        A call that crosses the counter's close is cut, and may have been added or not.
+        A call written while the counter closes the connection fails, and may have been added or not.
         """
         idle = not self._calls and self._loop.time() - self._last_reply_at > IDLE_CHECK_AFTER_S
         if idle and has_unread_input(connection.transport):
@@ -236,7 +237,7 @@
             connection.abort()
 
     def _check_silence(self) -> None:
-        # The connections to a counter that is cut off from the network stay open and silent for good.
+        # Connections to a counter that is cut off from the network stay open without ever answering.
         self._silence_timer = None
         if not self._calls or self._connection is None:
             return
@@ -246,18 +247,18 @@
         else:
             self._connection.abort()
 
-    def _drop(self) -> None:
+    def _abort_connection(self) -> None:
         if self._connection is not None:
             self._connection.abort()
 
     def on_connection_lost(self, connection: CounterConnection) -> None:
-        """A connection is gone."""
+        """Forget a lost connection, and dial again unless it was replaced already."""
         if connection is self._connection:
             self._connection = None
             self._connection_failed()
 
     def _connection_failed(self) -> None:
-        """Report the calls that were out, and dial again, with backoff if this goes on."""
+        """End all pending calls and dial again, with backoff from the second consecutive failure on."""
         self._failures += 1
         backoff_s = 0.0
         if self._failures > 1:
@@ -266,34 +267,34 @@
             self._backoff_until = self._loop.time() + backoff_s
         if not self._retired:
             self._redial_timer = self._loop.call_later(backoff_s, self._redial)
-        self._end_all(AttemptResult.CONNECTION_LOST)
+        self._end_calls(AttemptResult.CONNECTION_LOST)
 
 
 class CounterConnection(ResponseProtocol):
-    """A connection to the counter, which reports to its channel."""
+    """A connection to the counter that reports its events to its channel."""
 
     def __init__(self, channel: CounterChannel) -> None:
         super().__init__()
         self._channel = channel
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Report that the connection is established."""
         super().connection_made(transport)
-        self._channel.opened(self)
+        self._channel.on_connection_made(self)
 
     def resume_writing(self) -> None:
-        """All that was written has left this process."""
+        """Report that the write buffer is empty."""
         super().resume_writing()
-        self._channel.flushed()
+        self._channel.on_flushed()
 
     def on_response(self, response: Response, reusable: bool) -> None:
-        """An answer is complete; `reusable`: the connection may be written on again."""
+        """Report a complete response; `reusable` is whether the connection may carry further calls."""
         self._channel.on_response(response, reusable)
 
     def on_malformed_response(self) -> None:
-        """What arrived is no answer."""
-        self._channel.malformed_response()
+        """Report input that is no valid response."""
+        self._channel.on_malformed_response()
 
     def on_connection_lost(self) -> None:
-        """The connection is gone."""
+        """Report the loss of the connection."""
         self._channel.on_connection_lost(self)
--- a/hillmux/net/counter_client.py
+++ b/hillmux/net/counter_client.py
@@ -1,4 +1,4 @@
-"""The client of the platform's counter: calls are pipelined over a few kept connections."""
+"""The client of the platform's counter: calls are pipelined over a few persistent connections."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from hillmux.interface import AttemptResult
 from hillmux.net.counter_channel import CounterChannel, PendingCall
 
-CONNECTIONS: Final = 4  # a slow part of the counter delays what is written behind it on the same connection
-READ_GRACE_S: Final = 0.001  # one turn of the loop, in which arrived data is read before a time-out counts
+CONNECTIONS: Final = 4  # several, since a slow response delays all later ones on the same connection
+READ_GRACE_S: Final = 0.001  # one turn of the loop, to read data that arrived before a time-out counts
 
 
 class HttpCounterClient:
-    """Calls to the counter, each of which gets exactly one `CounterReply`.
+    """Calls the counter; each call results in exactly one `CounterReply`.
 
-    `timeout_ms` is how long an answer is awaited; `on_reply` receives the end of each call.
+    `timeout_ms` is the time-out of a call; `on_reply` receives the result of each call.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
             channel.stop()
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Call at another address from now on; calls that are out on the old connections finish there."""
+        """Send further calls to another address; calls in flight finish on their old connections."""
         old, self._channels = self._channels, self._new_channels(address)
         self.start()
         for channel in old:
@@ -52,9 +52,9 @@
                 self._assign(call)
 
     def call(self, action: api.IncrementCounter) -> None:
-        """Write one call on the connection with the fewest calls out.
+        """Send one call on the channel with the fewest pending calls.
 
-        Without a connection to write on, the call ends at once as `connect_failed`.
+        If no channel is usable, the call ends at once as `connect_failed`.
         """
         call = PendingCall(action, self._loop.time())
         call.timer = self._loop.call_later(self._timeout_s, self._timeout_due, call)
@@ -80,27 +80,28 @@
     # Time-outs
 
     def _timeout_due(self, call: PendingCall) -> None:
-        # After a stall of the loop the answer may have arrived unread.
+        # After a stall of the loop the response may have arrived but not been read yet.
         call.timer = self._loop.call_later(READ_GRACE_S, self._time_out, call)
 
     def _time_out(self, call: PendingCall) -> None:
         if call.written and call.channel is not None and self._only_channel_silent(call, call.channel):
             call.channel.abort_calls()
             return
-        # The call stays in its channel's queue, so that its late answer is not taken for the next call's.
+        # The call stays in its channel's queue, so that a late response is not matched to the next call.
         self._finish(call, AttemptResult.TIMED_OUT if call.written else AttemptResult.CONNECT_FAILED, 0.0)
 
     def _only_channel_silent(self, call: PendingCall, channel: CounterChannel) -> bool:
-        """Whether the call's channel has gone silent while the counter answers on others.
+        """Whether the call's channel is unresponsive while the counter answers on others.
 
-        A network path that drops one connection, or a stuck worker behind a proxy, would else look like a
-        counter that does not answer, and quotas would be enforced without it. A slow part of the counter
-        shows on more than one channel, a silent counter on all. The price is a dial for a single late call.
+        A network path that drops one connection, or a stuck worker behind a proxy, would otherwise look like
+        a counter that does not answer, and quotas would be enforced without it. A slow part of the counter
+        affects more than one channel, a silent counter all of them. The cost is a dial after a single late
+        call.
         """
         others = [other for other in self._channels if other is not channel]
-        late = self._loop.time() - self._timeout_s / 2
+        late_before = self._loop.time() - self._timeout_s / 2
         return (
             channel.silent_since(call.sent_at)
             and any(not other.silent_since(call.sent_at) for other in others)
-            and not any(other.has_call_before(late) for other in others)
+            and not any(other.has_call_before(late_before) for other in others)
         )
--- a/hillmux/net/discovery_response.py
+++ b/hillmux/net/discovery_response.py
@@ -1,4 +1,4 @@
-"""Discovery's answers: the list of hosts as JSON, in the platform's field names."""
+"""Discovery responses: lists of hosts as JSON, with the platform's field names."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryResponse:
-    """One answer of discovery: hosts by instance id, and where to dial them."""
+    """One discovery response: hosts, named by their instance ids, and their addresses."""
 
-    generation: int  # of the list; discovery counts it up with each change
-    is_full: bool  # all hosts, not only what has changed
+    generation: int  # of the list; discovery increments it with each change
+    is_full: bool  # whether all hosts are listed, not only the changed ones
     endpoints: tuple[api.Endpoint, ...]
-    addresses: dict[str, tuple[str, int]]  # by name, but for hosts that are removed
+    addresses: dict[str, tuple[str, int]]  # by host name; without removed hosts
 
 
 def parse_discovery_response(raw: object) -> DiscoveryResponse:
-    """Discovery's JSON as a `DiscoveryResponse`.
+    """Parse the decoded JSON of a discovery response.
 
     Raises:
-        ValueError: it is not a list of hosts; the text says what is wrong.
+        ValueError: it is not a valid list of hosts; the text names the field.
     """
     if not isinstance(raw, dict) or not isinstance(raw.get("instances"), list):
-        raise ValueError("is no list of instances")
+        raise ValueError("instances: is missing or not a list")
     generation = raw.get("generation")
     if not isinstance(generation, int) or isinstance(generation, bool):
-        raise ValueError(f"generation {generation!r} is not a whole number")
+        raise ValueError(f"generation: found {generation!r}, expected an integer")
     endpoints, addresses = [], {}
     for entry in raw["instances"]:
         endpoint, address = _parse_instance(entry)
@@ -48,13 +48,13 @@
 
 def _parse_instance(entry: object) -> tuple[api.Endpoint, tuple[str, int] | None]:
     if not isinstance(entry, dict) or not isinstance(entry.get("instanceId"), str) or not entry["instanceId"]:
-        raise ValueError("an instance without instanceId")
+        raise ValueError("instances: an entry has no instanceId")
     name = entry["instanceId"]
-    # A host in a state that this version does not know gets no new request.
+    # A host in an unknown lifecycle state gets no new requests.
     status = STATUS_BY_LIFECYCLE.get(str(entry.get("lifecycle")), HostStatus.DRAINING)
     address = _parse_address(name, entry) if status != HostStatus.REMOVED else None
     try:
-        # The decision module's clock is Unix time in milliseconds, as startedAtMs is.
+        # startedAtMs is Unix time in milliseconds, like the decision module's clock.
         endpoint = api.Endpoint(
             name,
             str(entry.get("zone", "")),
@@ -71,5 +71,5 @@
 def _parse_address(name: str, entry: dict[str, object]) -> tuple[str, int]:
     host, _, port = str(entry.get("hostPort", "")).rpartition(":")
     if not (host and port.isascii() and port.isdigit() and int(port) <= MAX_PORT):
-        raise ValueError(f"{name}: hostPort {entry.get('hostPort')!r} is not HOST:PORT")
+        raise ValueError(f"{name}: hostPort: found {entry.get('hostPort')!r}, expected HOST:PORT")
     return host.strip("[]"), int(port)
--- a/hillmux/net/discovery_watch.py
+++ b/hillmux/net/discovery_watch.py
@@ -1,4 +1,4 @@
-"""A watch on discovery's list of hosts, which survives any failure of the agent that answers it."""
+"""A watch on discovery's endpoint list that recovers from any failure of the discovery agent."""
 
 from __future__ import annotations
 
@@ -14,23 +14,25 @@
 
 log = logging.getLogger(__name__)
 
-# A change that discovery knows of is known here within 6 s, whatever happened to the watch before
-# (docs/platform.md, Discovery's clock): the sum of the longest wait, its silence and two more polls.
-MAX_WATCH_MS: Final = 1500.0  # a watch waits this long for a change, or less (JITTER)
-SILENCE_TIMEOUT_S: Final = 1.0  # how long an answer may be overdue before the connection is closed
-PATIENT_SILENCE_TIMEOUT_S: Final = 2.0  # the same after that: a slow agent must not be polled forever
-DIAL_TIMEOUT_S: Final = 0.5  # to the agent on this machine
-# A rejected call costs discovery little, a late list costs clients much: the backoff is short.
+# A change in discovery is known here within 6 s, whatever failed before (docs/platform.md, Discovery's
+# clock). That is the sum of the longest watch, its silence time-out and two more polls.
+MAX_WATCH_MS: Final = 1500.0  # how long a poll waits for a change at most (JITTER shortens it)
+SILENCE_TIMEOUT_S: Final = 1.0  # how long a response may be overdue before the connection is closed
+# The same for the poll after such a time-out: with the short one alone, polls of a slow agent would never
+# complete.
+LONG_SILENCE_TIMEOUT_S: Final = 2.0
+DIAL_TIMEOUT_S: Final = 0.5  # for connecting to the agent, which runs on this machine
+# The backoff is short: a rejected poll costs discovery little, an outdated list costs clients much.
 MIN_BACKOFF_S: Final = 0.05
 MAX_BACKOFF_S: Final = 0.5
 MAX_BACKOFF_DOUBLINGS: Final = 10
-JITTER: Final = 0.5  # random part of a backoff or a wait: gateways that start together must not poll together
-# One or two turns of the loop, in which data that has already arrived is read before a time-out counts.
+JITTER: Final = 0.5  # random share of a backoff or a wait: gateways that start together must not synchronise
+# One or two turns of the loop, to read data that arrived before a time-out counts.
 READ_GRACE_S: Final = 0.002
 
 
 class DiscoveryWatch:
-    """Keeps one watch going and passes each answer on."""
+    """Polls discovery continuously and passes each valid response on."""
 
     def __init__(
         self,
@@ -41,28 +43,35 @@
         seed: int = 0,
         is_stalled: Callable[[], bool] = lambda: False,
     ) -> None:
-        """`generation` is that of the list which is known already, 0 for none; only newer ones are requested.
-
-        `is_stalled` says whether an answer that is read now may have waited for long, with changes since.
+        """Set up a watch; `start` begins to poll.
+
+        Args:
+            loop: The event loop.
+            address: The discovery agent's address.
+            on_response: Receives each valid response.
+            generation: The generation of the endpoint list that is known already, 0 for none; only changes
+                since then are requested.
+            seed: Seeds the jitter.
+            is_stalled: Returns whether the loop was stalled: a response read now may then be outdated.
         """
         self._loop, self._address, self._on_response = loop, address, on_response
         self._rng = random.Random(seed)
-        self._generation: int | None = generation or None  # None: the full list is requested
+        self._generation: int | None = generation or None  # of the known list; None: request the full list
         self._connection: DiscoveryConnection | None = None
         self._dial: asyncio.Task[Any] | None = None
-        self._timer: asyncio.TimerHandle | None = None  # of silence, or of backoff
+        self._timer: asyncio.TimerHandle | None = None  # the silence time-out or the backoff
         self._failures = 0
-        self._patient = False  # the last call timed out: the next one may take longer
+        self._use_long_timeout = False  # set by a time-out for the next poll
         self._stopped = False
         self._is_stalled = is_stalled
-        self.catching_up = False  # a call is out that is answered at once, with all that is known
+        self.catching_up = False  # whether the current poll has no wait and brings the list up to date
 
     def start(self) -> None:
-        """Request the full list, then changes."""
+        """Request the full list, or the changes to a known one; then watch for changes."""
         self._poll()
 
     def stop(self) -> None:
-        """End the watch for good."""
+        """Stop polling, and close the connection."""
         self._stopped = True
         if self._timer is not None:
             self._timer.cancel()
@@ -72,7 +81,7 @@
             self._connection.abort()
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Watch at another address, from its full list on; the old list holds until that arrives."""
+        """Poll another address, starting with its full list; the old list stays in use until that arrives."""
         if self._stopped:
             return
         connection, dial, self._connection, self._dial = self._connection, self._dial, None, None
@@ -90,8 +99,8 @@
             if not self._connection.transport.is_closing():
                 self._write(self._connection)
                 return
-            # A connection that was lost before this turn of the loop, as when the agent is out of resources:
-            # a call on it would never be answered, and no other would follow.
+            # The connection was lost before this turn of the loop, e.g. since the agent lacks resources. A
+            # poll on it would never be answered, and no other would follow.
             self._connection = None
             self._poll_after_backoff()
             return
@@ -112,20 +121,20 @@
             self._poll_after_backoff()
             return
         self._connection = task.result()[1]
-        # Whether anybody answers on a new connection is unknown, and changes may have been missed before. A
-        # call that is answered at once tells both.
+        # It is unknown whether the agent answers on a new connection and whether changes were missed. A poll
+        # without a wait shows both.
         self.catching_up = self._generation is not None
         self._poll()
 
     def _write(self, connection: DiscoveryConnection) -> None:
         wait_ms = 0 if self.catching_up or self._generation is None else self.wait_ms()
         query = "" if self._generation is None else f"?after={self._generation}&wait_ms={wait_ms}"
-        silence_timeout_s = PATIENT_SILENCE_TIMEOUT_S if self._patient else SILENCE_TIMEOUT_S
+        silence_timeout_s = LONG_SILENCE_TIMEOUT_S if self._use_long_timeout else SILENCE_TIMEOUT_S
         self._arm_silence_timer(wait_ms / 1000 + silence_timeout_s)
         connection.write(f"GET /v1/endpoints{query} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode())
 
     def wait_ms(self) -> int:
-        """How long the next call waits for a change: random, so that a fleet's watches do not synchronise."""
+        """The wait of the next poll, in milliseconds; random, so that gateways do not synchronise."""
         return int(MAX_WATCH_MS * (1 - JITTER * self._rng.random()))
 
     def _arm_silence_timer(self, seconds: float) -> None:
@@ -134,52 +143,52 @@
         self._timer = self._loop.call_later(seconds, self._silence_due)
 
     def _silence_due(self) -> None:
-        # After a stall of the loop the answer may have arrived unread.
+        # After a stall of the loop the response may have arrived but not been read yet.
         self._timer = self._loop.call_later(READ_GRACE_S, self._silence_timed_out)
 
     def _silence_timed_out(self) -> None:
-        # Without this the watch would hang on one socket for good if the agent is silent.
-        log.warning("discovery: no answer, asking again; the list is kept")
+        # Without this time-out the watch would wait forever on the connection to a silent agent.
+        log.warning("discovery: response timed out, polling again; endpoint list kept")
         if self._dial is not None:
             self._dial.cancel()
         elif self._connection is not None:
-            self._patient = not self._patient
+            self._use_long_timeout = not self._use_long_timeout
             self._connection.abort()
 
     def on_response(self, connection: DiscoveryConnection, response: Response, reusable: bool) -> None:
-        """Poll again, then pass the answer on."""
+        """Poll again, then pass the response on; after an invalid one, poll on a new connection."""
         if connection is not self._connection:
             return
         if response.status != 200:
-            # A rejected call missed nothing, so changes are enough the next time, too: the full list is the
-            # most expensive call, and discovery is overloaded already.
-            log.warning("discovery: status %d, the list is kept", response.status)
+            # A rejected poll lost no changes, so the next one need not request the full list: that is the
+            # most expensive request, and discovery is overloaded already.
+            log.warning("discovery: responded with status %d; endpoint list kept", response.status)
             connection.abort()
             return
         try:
             endpoints = self._parse(response)
         except ValueError as error:
-            log.warning("discovery: bad answer, the list is kept: %s", error)
-            self._generation = None  # the full list makes up for what was missed
+            log.warning("discovery: invalid response, endpoint list kept: %s", error)
+            self._generation = None  # the full list replaces the changes in the invalid response
             connection.abort()
             return
-        self._failures, self._generation, self._patient = 0, endpoints.generation, False
+        self._failures, self._generation, self._use_long_timeout = 0, endpoints.generation, False
         self.catching_up = self._is_stalled()
         if not reusable:
             self._connection = None
             connection.abort()
-        self._poll()  # before the list is put in force, so that the next call is not delayed by it
+        self._poll()  # before the list is applied, so that this does not delay the next poll
         self._on_response(endpoints)
 
     def _parse(self, response: Response) -> DiscoveryResponse:
         endpoints = parse_discovery_response(json.loads(response.body))
         known = self._generation
         if not endpoints.is_full and (known is None or endpoints.generation < known):
-            raise ValueError("changes to a list that was never sent")
+            raise ValueError("changes to an endpoint list that was not sent before")
         return endpoints
 
     def on_connection_lost(self, connection: DiscoveryConnection) -> None:
-        """The agent closed or reset the connection."""
+        """Poll again after a backoff if the current connection was lost."""
         if connection is self._connection:
             self._connection = None
             self._poll_after_backoff()
@@ -197,20 +206,20 @@
 
 
 class DiscoveryConnection(ResponseProtocol):
-    """The connection to the agent."""
+    """A connection to the discovery agent."""
 
     def __init__(self, watch: DiscoveryWatch) -> None:
         super().__init__(MAX_ENDPOINT_LIST_BYTES)
         self._watch = watch
 
     def on_response(self, response: Response, reusable: bool) -> None:
-        """Pass an answer to the watch."""
+        """Pass a response to the watch."""
         self._watch.on_response(self, response, reusable)
 
     def on_malformed_response(self) -> None:
-        """Log a malformed answer; `on_connection_lost` follows."""
-        log.warning("discovery: malformed answer, the list is kept")
+        """Log a malformed response; `on_connection_lost` follows."""
+        log.warning("discovery: malformed HTTP response; endpoint list kept")
 
     def on_connection_lost(self) -> None:
-        """Report the end of the connection to the watch."""
+        """Report the loss of the connection to the watch."""
         self._watch.on_connection_lost(self)
--- a/hillmux/net/gateway_core.py
+++ b/hillmux/net/gateway_core.py
@@ -1,6 +1,7 @@
-"""The life of a request between its client, the decision module and the upstream pool.
+"""Open requests, from the client through the decision module to the upstream pool and back.
 
-Translation only: events of the sockets go to the decision module, and its actions to the sockets.
+Translates socket events into events of the decision module, and its actions into socket operations. No
+routing decision is made here.
 """
 
 from __future__ import annotations
@@ -21,23 +22,23 @@
 from hillmux.net.loop_lag import LoopLagMonitor
 from hillmux.net.upstream_pool import UpstreamPool
 
-# What a request may have spent on its way to the gateway, and its response may on its way back.
+# Reserved for the network between client and gateway, for the request and the response together.
 CLIENT_TRANSIT_MS: Final = 4.0
-DEADLINE_MARGIN_MS: Final = 8.0  # the deadline timer answers this long before the client's time is up
-DECISION_MARGIN_MS: Final = 20.0  # the decision module is given this much less, to answer first
-# After a stall this long, news of the hosts are handled before all events that wait.
+DEADLINE_MARGIN_MS: Final = 8.0  # the deadline timer fires this long before the client's deadline
+DECISION_MARGIN_MS: Final = 20.0  # subtracted from the decision module's time, so that it answers first
+# After a longer stall of the loop, endpoint changes are handled before all queued events.
 STALE_ENDPOINTS_STALL_MS: Final = 500.0
 
 
 class CounterClient(Protocol):
-    """Where counter calls go: each gets exactly one `CounterReply` event."""
+    """Sends counter calls; each results in exactly one `CounterReply` event."""
 
     def call(self, action: api.IncrementCounter) -> None:
-        """Make one call."""
+        """Send one call."""
 
 
 class GatewayCore(EventDispatcher):
-    """Open requests: each gets exactly one response, at its deadline at the latest."""
+    """Holds the open requests; each gets exactly one response, at its deadline at the latest."""
 
     def __init__(
         self,
@@ -53,41 +54,44 @@
         self.counter: CounterClient | None = None
         self.requests: dict[str, OpenRequest] = {}
         self.deadlines = TimingWheel(loop, self.deadline_reached)
-        self._client_request_ids: set[bytes] = set()  # of `requests`
-        self.last_serial = 0  # of the requests that were accepted
+        self._client_request_ids: set[bytes] = set()  # the client request ids of `requests`
+        self.last_serial = 0  # serial number of the request accepted last
         self.draining = False
-        self._refuses_requests = False
+        self._rejects_requests = False
 
     def drain(self) -> None:
-        """Begin a graceful shutdown: new connections are closed soon, and leases of quotas are returned."""
+        """Begin a graceful shutdown: set `draining`, and return the quota leases."""
         self.draining = True
         self.return_leases()
 
     def return_leases(self) -> None:
-        """Return what is reserved of quotas ahead of use."""
+        """Return the quota units that are reserved ahead of use."""
         self.post(api.DrainStarted())
 
     def fail_all(self) -> None:
-        """Answer all open requests as failed and refuse new ones: the process is about to end."""
-        self._refuses_requests = True
+        """Answer all open requests with 504 and reject new ones: the process is about to exit."""
+        self._rejects_requests = True
         for request in list(self.requests.values()):
             self._fail_request(request)
 
     def change_settings(self, settings: api.Settings) -> None:
-        """Put new settings in force, which have been checked; open requests keep those they came under."""
+        """Apply new, validated settings. Open requests keep the attempt limit they were accepted with."""
         self.settings = settings
         self.post(api.SettingsChanged(settings))
 
     # Clients
 
     def request(self, client: Client, forward_request: ForwardRequest) -> str | None:
-        """Accept a request; its id for `left` and `broken`.
+        """Accept a request.
 
-        None: a request with the same client request id is open, and this one must be rejected. Hosts tell
-        requests apart by that id alone, so one client could act in the name of another.
+        Returns:
+            The id to pass to `client_disconnected` and `abort_request`; "" if the request was rejected since
+            the process is about to exit. None if a request with the same client request id is open, and the
+            caller must reject this one: hosts distinguish requests by that id alone, so a duplicate would let
+            one client act in the name of another.
         """
-        if self._refuses_requests:
-            # An attempt that is sent now would be open when the process ends, and its response lost.
+        if self._rejects_requests:
+            # An attempt sent now would still be open when the process exits, and its response would be lost.
             client.answer(503)
             return ""
         if forward_request.client_request_id in self._client_request_ids:
@@ -95,7 +99,7 @@
         self._client_request_ids.add(forward_request.client_request_id)
         self.last_serial += 1
         request_id = f"r{self.last_serial}"
-        # The client's time runs from when it sent the request, not from when the loop came to read it.
+        # The client's deadline counts from when it sent the request, not from when the loop read it.
         now = time.monotonic()
         queued_ms = (now - forward_request.read_at) * 1000
         lag_ms = self.loop_lag.lag_ms(now)
@@ -137,18 +141,18 @@
             self.post(api.ClientDisconnected(request_id))
 
     def abort_request(self, request_id: str, status: int) -> None:
-        """The rest of an accepted request will never arrive: answer it, and end its attempts."""
+        """Answer an accepted request whose remaining body will never arrive, and end its attempts."""
         request = self.requests.get(request_id)
         if request is not None and request.client is not None:
             self.answer(request, status)
             self.post(api.ClientDisconnected(request_id))
 
     def await_streamed_body(self, request: OpenRequest) -> None:
-        """Start the time of a request whose body is still arriving: it runs from the last byte on."""
+        """Start the deadline of a request whose body is still arriving; it counts from the last byte."""
         raise NotImplementedError
 
     def deadline_reached(self, request: OpenRequest) -> None:
-        """Answer a request at its deadline, whatever the decision module or a socket does."""
+        """Answer a request that neither the decision module nor a host has answered by its deadline."""
         self.log_message(logging.WARNING, "request unanswered at its deadline; failed by the deadline timer")
         self._fail_request(request)
 
@@ -164,7 +168,7 @@
         response: Response | None = None,
         retry_after_ms: float = 0.0,
     ) -> None:
-        """Send the one final response; a second one is dropped."""
+        """Send the final response, unless the request is answered or its client has disconnected."""
         if request is None or request.client is None:
             return
         client = request.client
@@ -172,13 +176,13 @@
         if response is not None:
             self.pass_on_response(client, response)
         elif request.streaming_attempt is not None:
-            # Its head has been sent: the client must see that the response is incomplete.
+            # The response head has been sent: the client must be able to see that the body is incomplete.
             cast(StreamingClient, client).abort_response()
         else:
             client.answer(status, retry_after_ms=retry_after_ms)
 
     def pass_on_response(self, client: Client, response: Response) -> None:
-        """Send a host's successful response to the client."""
+        """Send a host's successful response to the client; a streamed one is only completed."""
         if response.streamed:
             cast(StreamingClient, client).finish_response()
         else:
@@ -199,7 +203,7 @@
     # Hosts
 
     def apply_endpoints(self, response: DiscoveryResponse, kind: ListKind) -> None:
-        """Put news of the hosts in force: of all of them (`full`, `cached`), or of some (`changes`)."""
+        """Apply a list of all hosts (`full`, `cached`) or of changed hosts only (`changes`)."""
         removed = {e.name for e in response.endpoints if e.status == HostStatus.REMOVED}
         if kind != ListKind.CHANGES:  # a full list replaces the old one
             removed |= self.upstreams.host_names() - {e.name for e in response.endpoints}
@@ -211,7 +215,7 @@
     # Attempts
 
     def send_attempt(self, action: api.SendAttempt) -> None:
-        """Send an attempt, or report that it was not sent."""
+        """Send an attempt, or report it to the decision module as not sent."""
         request = self.requests.get(action.request_id)
         time_left_s = request.deadline - time.monotonic() if request is not None else 0.0
         if request is None or not self._may_send(request, time_left_s):
@@ -258,12 +262,12 @@
         )
 
     def is_wanted(self, attempt: Attempt) -> bool:
-        """Whether an attempt's client still waits, with time left; asked right before its first byte."""
+        """Whether an attempt's client is connected with time left; checked right before its first byte."""
         request = self.requests.get(attempt.request_id)
         if request is None or request.client is None:
             return False
-        # After a stall, or on a connection that waited to be accepted, a request is read before the end of
-        # its connection that arrived long ago, and would be forwarded for nobody.
+        # After a stall, or on a connection that waited to be accepted, a request is read before the client's
+        # disconnect, although that may have arrived long ago. It would be forwarded without a client.
         now = time.monotonic()
         return now < request.deadline and not request.client.has_disconnected(self.loop_lag.lag_ms(now) > 0)
 
@@ -274,10 +278,10 @@
         now = time.monotonic()
         elapsed_ms = (now - attempt.sent_at) * 1000
         if response is not None:
-            if response.first_byte_at:  # the transfer of a response in parts is no latency of the host
+            if response.first_byte_at:  # the transfer time of a streamed response is not host latency
                 elapsed_ms -= (now - response.first_byte_at) * 1000
             lag_ms = self.loop_lag.lag_ms(now)
-            elapsed_ms = max(elapsed_ms - lag_ms, 0.0)  # nor is the time it waited unread for the loop
+            elapsed_ms = max(elapsed_ms - lag_ms, 0.0)  # nor is the time it lay unread
             if lag_ms > STALE_ENDPOINTS_STALL_MS:
                 self.hold_events()
         units = 0.0
@@ -310,7 +314,7 @@
     # The decision module's actions
 
     def decision_failed(self, event: api.Event) -> None:
-        """Answer the request that the decision module failed on."""
+        """Answer the request whose event the decision module raised on."""
         if isinstance(event, api.Request):
             self.answer(self.requests.get(event.id), 500)
         elif isinstance(event, api.AttemptEnded):
@@ -330,7 +334,7 @@
             case api.IncrementCounter():
                 self._increment_counter(action)
             case api.Subscribe():
-                pass  # discovery is always watched
+                pass  # the discovery watch always runs
             case api.Log():
                 self.log_message(logging.INFO, action.text)
 
--- a/hillmux/net/log_setup.py
+++ b/hillmux/net/log_setup.py
@@ -1,4 +1,4 @@
-"""The process's log: lines to stderr, limited in rate."""
+"""The process's log: writes to stderr with a rate limit."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class LogRateLimit(logging.Filter):
-    """Passes a number of lines a second, and then tells how many were left out.
+    """Passes at most a number of lines per second, and reports how many were suppressed.
 
-    A flood of faults so costs neither the disk nor the processor that requests need.
+    Keeps a flood of errors from taking disk space and processor time that requests need.
     """
 
     def __init__(self, max_lines: int = MAX_LOG_LINES_PER_S) -> None:
@@ -21,18 +21,18 @@
         self._second, self._lines_in_second = 0, 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether a record may be written; those left out are counted on stderr in a later second."""
+        """Whether a record may be written; the number of suppressed ones is written in a later second."""
         second = int(time.monotonic())
         if second != self._second:
             if self._lines_in_second > self._max_lines:
-                sys.stderr.write(f"{self._lines_in_second - self._max_lines} lines left out\n")
+                sys.stderr.write(f"{self._lines_in_second - self._max_lines} log lines suppressed\n")
             self._second, self._lines_in_second = second, 0
         self._lines_in_second += 1
         return self._lines_in_second <= self._max_lines
 
 
 def set_up_log(name: str) -> None:
-    """Have the root logger write INFO and above to stderr under `name`, at most MAX_LOG_LINES_PER_S."""
+    """Log INFO and above to stderr under `name`, with at most MAX_LOG_LINES_PER_S lines per second."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter(f"%(asctime)s {name} %(levelname)s %(message)s"))
     handler.addFilter(LogRateLimit())
--- a/hillmux/net/loop_lag.py
+++ b/hillmux/net/loop_lag.py
@@ -1,4 +1,4 @@
-"""How far the event loop runs behind, measured by a heartbeat."""
+"""Measures how far the event loop runs behind, by a periodic timer."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from typing import Final
 
 HEARTBEAT_INTERVAL_S: Final = 0.05
-MIN_STALL_MS: Final = 5.0  # a heartbeat later than this is a stall
-CLEAR_DELAY_S: Final = 0.001  # what is read in the turn after a stall has waited for it, too
+MIN_STALL_MS: Final = 5.0  # a heartbeat that is later than this counts as a stall
+CLEAR_DELAY_S: Final = 0.001  # data read in the turn after a stall was delayed by it, too
 
 
 class LoopLagMonitor:
-    """A heartbeat on one loop; all gateways on that loop share it."""
+    """A heartbeat on one event loop, shared by all gateways on that loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -44,10 +44,10 @@
         self._last_stall_ms = 0.0
 
     def lag_ms(self, now: float) -> float:
-        """How long data read at `now` (`time.monotonic`) may have waited for the loop, in milliseconds.
+        """How long data read at `now` (by `time.monotonic`) may have waited for the loop, in milliseconds.
 
-        A loop that was stopped in its poll reads sockets first and fires timers after. So a heartbeat that is
-        overdue counts as a stall before it has been measured.
+        A loop that was stopped while polling reads sockets before it fires timers. So an overdue heartbeat
+        counts as a stall even before it fires.
         """
         late_ms = (now - self._next_heartbeat_at) * 1000
         return late_ms if late_ms > MIN_STALL_MS else self._last_stall_ms
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -1,4 +1,4 @@
-"""The platform's gateway with operators' calls: metrics, disabled hosts, and hot restart."""
+"""The platform's gateway with metrics, hosts that operators disable, and hot restart."""
 
 from __future__ import annotations
 
@@ -27,57 +27,57 @@
 
 log = logging.getLogger(__name__)
 
-READY_TIMEOUT_S: Final = 4.0  # a new process that is not ready by then takes over all the same
-# The hot-restart document that holds the hosts which operators may disable, and how many it holds at most.
+READY_TIMEOUT_S: Final = 4.0  # a successor process that is not ready by then takes over nevertheless
+# The hot-restart document with the names of the hosts that operators may disable, and its maximum length.
 KNOWN_HOSTS_DOCUMENT: Final = "seen"
 MAX_NAMES_PER_DOCUMENT: Final = 512
-# A call to another process of this gateway must hold here within a second.
+# An override that another process of this gateway accepted must take effect here within a second.
 OVERRIDE_POLL_INTERVAL_S: Final = 0.2
 READY_POLL_INTERVAL_S: Final = 0.02
 
 
-class CountedConnection(StreamingUpstreamConnection):
-    """Reports to its pool when an attempt's last byte has left."""
+class AttemptCountingConnection(StreamingUpstreamConnection):
+    """Reports to its pool when an attempt's last byte has been written to the socket."""
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Write an attempt's request, and report it if all of it has left at once."""
+        """Write an attempt's request, and report the attempt if nothing of it is left in the write buffer."""
         super().start_attempt(attempt)
-        if not self.unsent and attempt.streamed_body is None:  # a streamed body is reported by its last byte
+        if not self.unsent and attempt.streamed_body is None:  # a streamed body reports its own end
             self._streaming_pool.on_body_written(attempt)
 
     def resume_writing(self) -> None:
-        """All that was written has left: report the attempt."""
+        """Report the attempt once the write buffer is empty."""
         super().resume_writing()
         if self.attempt is not None and not self.unsent:
             self._streaming_pool.on_body_written(self.attempt)
 
 
-class CountedPool(StreamingUpstreamPool):
-    """A pool whose attempts are counted."""
+class AttemptCountingPool(StreamingUpstreamPool):
+    """A pool that reports each completely sent attempt to its gateway, which counts them."""
 
-    connection_class: ClassVar[type[Any]] = CountedConnection
+    connection_class: ClassVar[type[Any]] = AttemptCountingConnection
     gateway: ManagedGateway
 
     def on_body_written(self, attempt: Attempt) -> None:
-        """An attempt has been sent completely."""
+        """Report an attempt whose request has been written completely."""
         self.gateway.attempt_sent(attempt)
 
 
 class ManagedGateway(PlatformGateway):
     """A platform gateway with metrics, with hosts that operators disable, and with hot restart."""
 
-    pool_class: ClassVar[type[StreamingUpstreamPool]] = CountedPool
+    pool_class: ClassVar[type[StreamingUpstreamPool]] = AttemptCountingPool
 
     def __init__(self, config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config, loop)
-        cast(CountedPool, self.streaming_pool).gateway = self
+        cast(AttemptCountingPool, self.streaming_pool).gateway = self
         self.metrics = Metrics()
         self.known_hosts = KnownHosts()
         self._override_file = OverrideFile(config.state_directory)
         self._disabled: set[str] = set()
         self._operator_server = OperatorServer(self, loop)
         self._state_directory = config.state_directory
-        self._server: Listener[Any] | None = None  # once clients are accepted
+        self._server: Listener[Any] | None = None  # None until clients are accepted
         self._hot_restart_server = HotRestartServer(self, loop)
         self._hot_restart_client: HotRestartClient | None = None
 
@@ -87,7 +87,7 @@
         self._poll_override_file()
 
     async def listen(self, address: tuple[str, int] | None) -> None:
-        """Accept operators' calls at an address, where there is one.
+        """Accept operators' calls at an address; does nothing if it is None.
 
         Raises:
             OSError: the address cannot be listened on.
@@ -97,7 +97,7 @@
             log.info("operators call at %s:%d", host, port)
 
     def stop(self) -> None:
-        """Also close the operators' connections and those of a hot restart."""
+        """Also close the connections of operators and of hot restart."""
         super().stop()
         self._operator_server.stop()
         self._hot_restart_server.stop()
@@ -114,21 +114,28 @@
         self.metrics.config_reload_errors += 1
 
     def ready(self) -> bool:
-        """Whether requests can be served: False until clients are accepted."""
+        """Whether requests can be served; also False until clients are accepted."""
         return self._server is not None and super().ready()
 
     def could_serve(self) -> bool:
-        """Whether requests could be served if clients were accepted."""
+        """Whether requests could be served, apart from accepting clients."""
         return super().ready()
 
     def phase(self) -> str:
-        """The phase of recovery and what holds it back; "" where recovery is not observed."""
+        """The recovery phase and what delays the next one; "" if recovery is not tracked."""
         return ""
 
     # Hot restart
 
     async def open(self, server: Listener[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
-        """Take over from the process that serves here already, if there is one; else listen."""
+        """Take over from the process that serves at this address, if there is one; otherwise listen.
+
+        Returns:
+            The addresses that are listened on.
+
+        Raises:
+            OSError: the address cannot be listened on.
+        """
         if self._state_directory is not None:
             self._hot_restart_client = HotRestartClient.connect(
                 self._state_directory, self.loop, server.adopt_connection
@@ -138,14 +145,14 @@
             listening = server.start(address, shared=True)
         self._server = server
         if self._state_directory is not None:
-            # In place of the process that served here: the next one connects to this one.
+            # Replaces the old process's server: the next successor process connects to this one.
             self._hot_restart_server.start(self._state_directory)
         if self._hot_restart_client is not None:
             self._hot_restart_client.announce_serving()
         return listening
 
     async def _inherit(self, server: Listener[Any]) -> list[tuple[str, int]] | None:
-        """Take over the listening socket and the state once ready; None without an answer."""
+        """Take over the listening socket and the state once ready; None if there is no answer."""
         assert self._hot_restart_client is not None
         end = self.loop.time() + READY_TIMEOUT_S
         while not self.could_serve() and self.loop.time() < end:
@@ -153,19 +160,19 @@
         try:
             descriptor, documents = await self._hot_restart_client.request_state()
         except OSError as error:
-            log.warning("hot restart: no answer (%s); serving beside the old process, if it runs", error)
+            log.warning("hot restart: old process did not answer (%s); listening beside it", error)
             self._hot_restart_client = None
             return None
         try:
             restore(self.decision_module, documents)
-            self.known_hosts.add(_names_in(documents))
-        except StateError as error:  # perhaps of another version: its clients are taken over all the same
+            self.known_hosts.add(_host_names_in(documents))
+        except StateError as error:  # e.g. from another version: the clients are taken over nevertheless
             log.warning("hot restart: state of the old process ignored: %s", error)
         log.info("hot restart: took over from the process that served here")
         return server.inherit_socket(descriptor)
 
     def hand_over(self) -> HandOver:
-        """Stop accepting and deciding; returns the listening socket and the state."""
+        """Stop accepting and deciding; returns the listening socket and the state for the successor."""
         assert self._server is not None
         self.post(api.TakenOver(True))
         names = self.known_hosts.all()
@@ -176,25 +183,25 @@
         return HandOver(self._server.lend_socket(), chain(export(self.decision_module), known_hosts))
 
     def resume(self) -> None:
-        """Serve again: the successor ended before it served."""
+        """Serve again, after the successor process ended before it served."""
         assert self._server is not None
         self.post(api.TakenOver(False))
         self._server.take_back_socket()
 
     def on_successor_serving(self, successor: SuccessorProcess) -> None:
-        """The successor accepts connections: pass the clients' connections on to it."""
+        """Pass the clients' connections to a successor process that accepts connections."""
         assert self._server is not None
         self._server.hand_over_to(successor)
 
     def on_successor_lost(self) -> None:
-        """The successor that served has ended; connections cannot be passed on to it any more."""
+        """Stop passing connections to a successor process that served and has ended."""
         assert self._server is not None
         self._server.successor = None
 
     # Operators' calls
 
     def metrics_by_name(self) -> dict[str, object]:
-        """All metrics, as JSON holds them."""
+        """All metrics by name, as JSON values."""
         open_now = sum(request.client is not None for request in self.requests.values())
         fleet = self.decision_module.fleet
         return self.metrics.to_dict(
@@ -202,7 +209,7 @@
         )
 
     def override_host(self, host: str, disabled: bool) -> str:
-        """Disable a host, or enable it again; "" once that is in force, else why not."""
+        """Disable or enable a host; returns "" once that is in effect, otherwise the reason why not."""
         error_text = rejection_reason(host, disabled, self.known_hosts, self._disabled)
         if error_text:
             return error_text
@@ -214,7 +221,7 @@
         return ""
 
     def _poll_override_file(self) -> None:
-        """Put in force what another process of this gateway was told."""
+        """Apply overrides that another process of this gateway accepted, and schedule the next poll."""
         names = self._override_file.refresh()
         if names is not None:
             self._disable_hosts(names)
@@ -229,7 +236,7 @@
     # Metrics
 
     def apply_endpoints(self, response: DiscoveryResponse, kind: ListKind) -> None:
-        """Also note the hosts, which operators may disable from now on."""
+        """Also record the host names, which operators may disable from now on."""
         self.known_hosts.add(endpoint.name for endpoint in response.endpoints)
         super().apply_endpoints(response, kind)
 
@@ -252,7 +259,7 @@
             self.metrics.count_attempt(request.forward_request.class_name)
 
 
-def _names_in(documents: Iterable[dict[str, Any]]) -> Iterator[str]:
+def _host_names_in(documents: Iterable[dict[str, Any]]) -> Iterator[str]:
     """The host names in the documents of a hot restart."""
     for document in documents:
         if document.get("t") == KNOWN_HOSTS_DOCUMENT and isinstance(document.get("names"), list):
--- a/hillmux/net/platform_gateway.py
+++ b/hillmux/net/platform_gateway.py
@@ -1,4 +1,4 @@
-"""The platform's gateway: one gateway core between its discovery, its counter and its upstream hosts."""
+"""The platform's gateway: a gateway core connected to discovery, the counter and the upstream hosts."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 from hillmux.net.streaming_client import STREAMED_REQUEST_TIMEOUT_S, StreamingClientConnection
 from hillmux.net.streaming_upstream import StreamingUpstreamConnection, StreamingUpstreamPool
 
-UPSTREAM_SOCKET_SHARE: Final = 0.36  # of the process's sockets
-# How long a start waits for discovery before it serves with the list it was given. Discovery answers at once,
-# or after seconds when it is overloaded, in which clients would find no gateway.
+UPSTREAM_SOCKET_SHARE: Final = 0.36  # of the process's sockets, for connections to hosts
+# How long a start waits for discovery before it serves with the configured endpoint list. An overloaded
+# discovery answers after seconds only, and clients would find no gateway until then.
 DISCOVERY_WAIT_S: Final = 0.25
 
 
 class PlatformGateway(GatewayCore):
-    """A gateway whose hosts come from discovery and whose counts go to the platform's counter."""
+    """A gateway that takes its hosts from discovery and counts quota use in the platform's counter."""
 
     pool_class: ClassVar[type[StreamingUpstreamPool]] = StreamingUpstreamPool
 
@@ -65,10 +65,10 @@
         self.counter = self._counter_client
         self._known_endpoints = config.known_endpoints
         self._started_at = 0.0
-        self.discovery_answered = False  # since this process started
+        self.discovery_answered = False  # whether discovery has responded since this process started
 
     def start(self) -> None:
-        """Put the known list of hosts in force, then watch discovery and connect to the counter."""
+        """Apply the known endpoint list, then start the discovery watch and connect to the counter."""
         self._started_at = time.monotonic()
         self.apply_endpoints(self._known_endpoints, ListKind.CACHED)
         self.upstreams.start()
@@ -78,7 +78,7 @@
         self.loop_lag.start()
 
     def stop(self) -> None:
-        """Close everything but the clients' side."""
+        """Close all connections except those of clients, and stop the timers."""
         self._discovery.stop()
         self.upstreams.stop()
         self.loop_lag.stop()
@@ -86,7 +86,7 @@
             self._counter_client.stop()
 
     def reload(self, config: GatewayConfig) -> None:
-        """Put the discovery, counter and settings of a new configuration in force."""
+        """Apply the discovery address, counter address and settings of a new configuration."""
         self._discovery.change_address(config.discovery)
         if self._counter_client is not None and config.counter is not None:
             self._counter_client.change_address(config.counter)
@@ -94,17 +94,20 @@
             self.change_settings(config.settings)
 
     def reload_rejected(self) -> None:
-        """A new configuration was rejected."""
+        """Record that a new configuration was rejected; does nothing here."""
 
     async def listen(self, address: tuple[str, int] | None) -> None:
-        """Accept operators' calls at an address, where there is one.
+        """Accept operators' calls at an address; does nothing if it is None.
 
         Raises:
             OSError: the address cannot be listened on.
         """
 
     async def open(self, server: Listener[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
-        """Accept clients at an address; the addresses that are listened on.
+        """Accept clients at an address.
+
+        Returns:
+            The addresses that are listened on.
 
         Raises:
             OSError: the address cannot be listened on.
@@ -112,13 +115,13 @@
         return server.start(address)
 
     def ready(self) -> bool:
-        """Whether requests can be served: hosts are known, from discovery unless it is silent."""
+        """Whether requests can be served: hosts are known, from discovery unless it does not answer."""
         if self.draining or not self.upstreams.host_names():
             return False
         return self.discovery_answered or time.monotonic() - self._started_at > DISCOVERY_WAIT_S
 
     def longest_s(self) -> float:
-        """The longest that a request may take, in seconds."""
+        """The longest deadline of a request, in seconds."""
         return max(c.deadline_ms for c in self.settings.classes) / 1000
 
     # Discovery
@@ -128,20 +131,20 @@
         self.apply_endpoints(response, ListKind.FULL if response.is_full else ListKind.CHANGES)
 
     def _hold_if_stalled(self) -> bool:
-        """Whether an answer of discovery was read after a stall; events are held until the next one then."""
+        """Hold events if a discovery response was read after a stall; returns whether that was so."""
         if self.loop_lag.lag_ms(time.monotonic()) <= STALE_ENDPOINTS_STALL_MS:
             return False
         self.hold_events()
         return True
 
     def endpoints_due(self) -> bool:
-        """Whether discovery still owes an answer that holds all that is known now."""
+        """Whether a poll is pending whose response brings the endpoint list up to date."""
         return self._discovery.catching_up
 
-    # Bodies and responses that are streamed
+    # Streamed bodies and responses
 
     def await_streamed_body(self, request: OpenRequest) -> None:
-        """Give a body that is still arriving its own time limit; the client's starts with its last byte."""
+        """Set the time limit for a body that is still arriving; the deadline counts from its last byte."""
         request.deadline = time.monotonic() + STREAMED_REQUEST_TIMEOUT_S
         request.forward_request.streamed_body.on_complete = partial(self._streamed_body_complete, request)
 
@@ -173,17 +176,17 @@
         request = self.requests.get(request_id)
         super().client_disconnected(request_id)
         if request is not None:
-            self._cancel_useless_attempts(request)
+            self._cancel_unneeded_attempts(request)
 
     def abort_request(self, request_id: str, status: int) -> None:
         """Also end attempts whose response is streamed or whose body is incomplete."""
         request = self.requests.get(request_id)
         super().abort_request(request_id, status)
         if request is not None:
-            self._cancel_useless_attempts(request)
+            self._cancel_unneeded_attempts(request)
 
-    def _cancel_useless_attempts(self, request: OpenRequest) -> None:
-        """End the attempts with a response that nobody reads, or with half a body."""
+    def _cancel_unneeded_attempts(self, request: OpenRequest) -> None:
+        """Cancel a disconnected client's attempts if the response is streamed or the body incomplete."""
         upload = request.forward_request.streamed_body
         if request.streaming_attempt is not None or (upload is not None and not upload.complete):
             for attempt in request.attempts:
--- a/hillmux/net/shutdown.py
+++ b/hillmux/net/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of a process that serves."""
+"""Graceful shutdown of a serving process."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 from hillmux.net.listener import Listener
 
-ACCEPT_GRACE_S = 0.5  # after SIGTERM, new connections still arrive for 0.4 s
-MAX_DRAIN_S = 3.0  # the platform kills 0.7 s after the longest deadline, or after this if it is less
-FAIL_ALL_GRACE_S = 0.4  # after the longest deadline, until all open requests are failed
-FLUSH_TIMEOUT_S = 0.2  # for these last answers to leave; the platform kills 0.1 s later at the earliest
+ACCEPT_GRACE_S = 0.5  # from SIGTERM on; the platform sends new connections for 0.4 s of it
+MAX_DRAIN_S = 3.0  # the platform sends SIGKILL 0.7 s after the longest deadline, or after this if it is less
+FAIL_ALL_GRACE_S = 0.4  # from the end of the drain until all open requests are failed
+FLUSH_TIMEOUT_S = 0.2  # for sending these last responses; SIGKILL follows 0.1 s later at the earliest
 CHECK_INTERVAL_S = 0.02
 
 
 class Drainable(Protocol):
-    """What holds open requests."""
+    """A holder of open requests that can be shut down gracefully."""
 
     draining: bool
 
     def drain(self) -> None:
-        """Set `draining`, and give back what is reserved elsewhere."""
+        """Set `draining`, and return the quota leases."""
 
     def longest_s(self) -> float:
-        """The longest that a request may still take, in seconds."""
+        """The longest that an open request may still take, in seconds."""
 
     def fail_all(self) -> None:
-        """Answer all open requests as failed."""
+        """Answer all open requests as failed, and reject new ones."""
 
 
 class Shutdown:
-    """Accepts a little longer, completes the open requests, then sets `done`."""
+    """Accepts for ACCEPT_GRACE_S more, completes the open requests, then sets `done`."""
 
     def __init__(
         self,
@@ -44,10 +44,10 @@
         self._gateway, self._listener, self._loop = gateway, listener, loop
         self._max_drain_s = max_drain_s
         self.done = asyncio.Event()
-        self._flush_until = inf  # the loop's time
+        self._flush_until = inf  # by the loop's clock; then `done` is set although connections are open
 
     def begin(self) -> None:
-        """Start to drain; further signals change nothing."""
+        """Start to drain; does nothing if the gateway is draining already."""
         if self._gateway.draining:
             return
         logging.info("draining")
@@ -57,9 +57,10 @@
         self._loop.call_later(drain_s + FAIL_ALL_GRACE_S, self.fail_open_requests)
 
     def stop_accepting(self) -> None:
-        """Accept no more clients, and wait until all connections are closed.
+        """Stop accepting clients, and wait until all connections are closed.
 
-        While the gateway drains an answer closes its connection, so with the last one all is answered.
+        A draining gateway closes each connection after its response, so once all connections are closed, all
+        requests are answered.
         """
         self._listener.stop_accepting()
         self._check()
@@ -71,10 +72,10 @@
             self._loop.call_later(CHECK_INTERVAL_S, self._check)
 
     def fail_open_requests(self) -> None:
-        """Answer all that is still open as failed, before the platform kills the process.
+        """Answer all open requests as failed, before the platform sends SIGKILL.
 
-        The process then ends with the last client that has read its answer, or after FLUSH_TIMEOUT_S: an exit
-        over answers that have not left, or over unread input, would lose them.
+        The process then exits when the last client has read its response, or after FLUSH_TIMEOUT_S. An exit
+        with unsent responses or unread input would lose responses.
         """
         self._gateway.fail_all()
         self._flush_until = self._loop.time() + FLUSH_TIMEOUT_S
--- a/tests/net/test_discovery_races.py
+++ b/tests/net/test_discovery_races.py
@@ -15,9 +15,9 @@
 from hillmux.net.discovery_response import DiscoveryResponse
 from hillmux.net.discovery_watch import (
     DIAL_TIMEOUT_S,
+    LONG_SILENCE_TIMEOUT_S,
     MAX_WATCH_MS,
     MIN_BACKOFF_S,
-    PATIENT_SILENCE_TIMEOUT_S,
     READ_GRACE_S,
     SILENCE_TIMEOUT_S,
     DiscoveryWatch,
@@ -30,8 +30,8 @@
     """A watch falls silent right before a change; then a dial, or a call, fails in the slowest way."""
     silent = MAX_WATCH_MS / 1000 + SILENCE_TIMEOUT_S + READ_GRACE_S
     dial = DIAL_TIMEOUT_S + READ_GRACE_S
-    dial_fails = MIN_BACKOFF_S + dial + 2 * MIN_BACKOFF_S + dial + PATIENT_SILENCE_TIMEOUT_S + READ_GRACE_S
-    call_fails = MIN_BACKOFF_S + dial + PATIENT_SILENCE_TIMEOUT_S + READ_GRACE_S + 2 * MIN_BACKOFF_S + dial
+    dial_fails = MIN_BACKOFF_S + dial + 2 * MIN_BACKOFF_S + dial + LONG_SILENCE_TIMEOUT_S + READ_GRACE_S
+    call_fails = MIN_BACKOFF_S + dial + LONG_SILENCE_TIMEOUT_S + READ_GRACE_S + 2 * MIN_BACKOFF_S + dial
     assert silent + dial_fails < TOLD_S
     assert silent + call_fails < TOLD_S
     moved = dial + MIN_BACKOFF_S + dial + SILENCE_TIMEOUT_S + READ_GRACE_S
@@ -41,7 +41,7 @@
 @pytest.fixture
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
     """The same clock, ten times as fast."""
-    for name in ("MAX_WATCH_MS", "SILENCE_TIMEOUT_S", "PATIENT_SILENCE_TIMEOUT_S", "DIAL_TIMEOUT_S"):
+    for name in ("MAX_WATCH_MS", "SILENCE_TIMEOUT_S", "LONG_SILENCE_TIMEOUT_S", "DIAL_TIMEOUT_S"):
         monkeypatch.setattr(discovery_watch, name, getattr(discovery_watch, name) / 10)
 
 
@@ -143,7 +143,7 @@
         def stall() -> None:  # among what the loop reads: its timers come before it reads again
             loop.remove_reader(ours)
             agent.sendall(listing(1, "a"))
-            time.sleep(discovery_watch.PATIENT_SILENCE_TIMEOUT_S + 0.05)
+            time.sleep(discovery_watch.LONG_SILENCE_TIMEOUT_S + 0.05)
 
         loop.add_reader(ours, stall)
         theirs.send(b"x")
@@ -168,7 +168,7 @@
 
         def slow(seen: Seen) -> bytes | None:
             calls.append(seen)
-            later = (discovery_watch.SILENCE_TIMEOUT_S + discovery_watch.PATIENT_SILENCE_TIMEOUT_S) / 2
+            later = (discovery_watch.SILENCE_TIMEOUT_S + discovery_watch.LONG_SILENCE_TIMEOUT_S) / 2
             if seen.line.startswith("GET /v1/endpoints "):
                 asyncio.get_running_loop().call_later(later, seen.writer.write, listing(1, "a"))
             return None
