--- a/hillmux/__main__.py
+++ b/hillmux/__main__.py
@@ -40,7 +40,7 @@
 def _reload(gateway: PlatformGateway, server: StreamingListener, started: GatewayConfig) -> None:
     """Handle SIGHUP; an invalid configuration changes nothing."""
     try:
-        config = load(os.environ, before=started)
+        config = load(os.environ, initial=started)
     except ConfigError as error:
         logging.error("reload: the configuration is kept: %s", error)
         gateway.reload_rejected()
--- a/hillmux/hosted/core.py
+++ b/hillmux/hosted/core.py
@@ -158,7 +158,7 @@
         self.clock = resources.clock
         self._resources, self.stats, self._settled = resources, stats, settled
         self.upstreams: TenantHosts = TenantHosts(
-            tenant, loop, resources, self.attempt_ended, make_room, self.is_wanted
+            tenant, loop, resources, self.attempt_ended, make_room, self.client_is_waiting
         )
         self._timers: dict[str, asyncio.TimerHandle] = {}
         self._dozing = False
--- a/hillmux/hosted/service.py
+++ b/hillmux/hosted/service.py
@@ -145,7 +145,7 @@
         for core in (*self._awake.values(), *self._leaving):
             core.return_leases()
 
-    def longest_s(self) -> float:
+    def max_request_time_s(self) -> float:
         """The longest that a request may still take, in seconds."""
         cores = [*self._awake.values(), *self._leaving]
         return max((c.deadline_ms for core in cores for c in core.settings.classes), default=0.0) / 1000
--- a/hillmux/net/config.py
+++ b/hillmux/net/config.py
@@ -66,28 +66,28 @@
     present_fields: frozenset[str] = frozenset()  # paths of the fields present in the file
 
 
-def load(environ: Mapping[str, str], before: GatewayConfig | None = None) -> GatewayConfig:
+def load(environ: Mapping[str, str], initial: GatewayConfig | None = None) -> GatewayConfig:
     """Read the configuration file that ROUTER_CONFIG names; other variables override its fields.
 
     Args:
         environ: The environment variables.
-        before: When the file is read again, the configuration at the start. The discovery address of the
+        initial: When the file is read again, the configuration at the start. The discovery address of the
             file then takes precedence over that of the environment. Each field that was present must still
             be present: the default in place of a missing field would be taken for a change.
 
     Raises:
-        ConfigError: the configuration is invalid, or cannot replace `before`.
+        ConfigError: the configuration is invalid, or cannot replace `initial`.
     """
     raw = _read_file(environ.get(CONFIG_VARIABLE))
     present_fields = frozenset(_field_paths("", raw))
-    missing = sorted(before.present_fields - present_fields) if before is not None else ()
+    missing = sorted(initial.present_fields - present_fields) if initial is not None else ()
     if missing:
         raise ConfigError(f"{missing[0]}: is missing, but was present at the start")
     for field, variable in VARIABLES_BY_FIELD.items():
-        if environ.get(variable) and not (before is not None and field == "discovery"):
+        if environ.get(variable) and not (initial is not None and field == "discovery"):
             raw[field] = environ[variable]
     config = parse(raw)
-    if before is not None and config.settings.plans != before.settings.plans:
+    if initial is not None and config.settings.plans != initial.settings.plans:
         raise ConfigError("settings: packages: plans cannot change in service")
     state_directory = environ.get("TMPDIR") or None
     return replace(config, present_fields=present_fields, state_directory=state_directory)
--- a/hillmux/net/gateway_core.py
+++ b/hillmux/net/gateway_core.py
@@ -261,7 +261,7 @@
             api.AttemptEnded(action.request_id, number, action.host, AttemptResult.NOT_SENT, 0.0, final)
         )
 
-    def is_wanted(self, attempt: Attempt) -> bool:
+    def client_is_waiting(self, attempt: Attempt) -> bool:
         """Whether an attempt's client is connected with time left; checked right before its first byte."""
         request = self.requests.get(attempt.request_id)
         if request is None or request.client is None:
--- a/hillmux/net/platform_gateway.py
+++ b/hillmux/net/platform_gateway.py
@@ -46,7 +46,7 @@
             config.dial_timeout_ms,
             config.idle_timeout_ms,
             self.attempt_ended,
-            self.is_wanted,
+            self.client_is_waiting,
         )
         self.streaming_pool.on_stream_started = self._response_started
         self.upstreams = self.streaming_pool
@@ -120,7 +120,7 @@
             return False
         return self.discovery_answered or time.monotonic() - self._started_at > DISCOVERY_WAIT_S
 
-    def longest_s(self) -> float:
+    def max_request_time_s(self) -> float:
         """The longest deadline of a request, in seconds."""
         return max(c.deadline_ms for c in self.settings.classes) / 1000
 
--- a/hillmux/net/shutdown.py
+++ b/hillmux/net/shutdown.py
@@ -24,7 +24,7 @@
     def drain(self) -> None:
         """Set `draining`, and return the quota leases."""
 
-    def longest_s(self) -> float:
+    def max_request_time_s(self) -> float:
         """The longest that an open request may still take, in seconds."""
 
     def fail_all(self) -> None:
@@ -52,7 +52,7 @@
             return
         logging.info("draining")
         self._gateway.drain()
-        drain_s = min(self._gateway.longest_s(), self._max_drain_s)
+        drain_s = min(self._gateway.max_request_time_s(), self._max_drain_s)
         self._loop.call_later(ACCEPT_GRACE_S, self.stop_accepting)
         self._loop.call_later(drain_s + FAIL_ALL_GRACE_S, self.fail_open_requests)
 
--- a/tests/net/test_connection_close.py
+++ b/tests/net/test_connection_close.py
@@ -225,7 +225,7 @@
     def __init__(self, desk: Desk) -> None:
         self._desk = desk
 
-    def longest_s(self) -> float:
+    def max_request_time_s(self) -> float:
         return 1.0
 
     def fail_all(self) -> None:
