--- a/hillmux/net/discovery_response.py
+++ b/hillmux/net/discovery_response.py
@@ -20,10 +20,10 @@
 class DiscoveryResponse:
     """One discovery response: hosts, named by their instance ids, and their addresses."""
 
-    generation: int  # of the list; discovery increments it with each change
+    generation: int  # generation of the list; discovery increments it with each change
     is_full: bool  # whether all hosts are listed, not only the changed ones
     endpoints: tuple[api.Endpoint, ...]
-    addresses: dict[str, tuple[str, int]]  # by host name; without removed hosts
+    addresses: dict[str, tuple[str, int]]  # addresses by host name; removed hosts have none
 
 
 def parse_discovery_response(raw: object) -> DiscoveryResponse:
--- a/hillmux/net/discovery_watch.py
+++ b/hillmux/net/discovery_watch.py
@@ -56,12 +56,12 @@
         """
         self._loop, self._address, self._on_response = loop, address, on_response
         self._rng = random.Random(seed)
-        self._generation: int | None = generation or None  # of the known list; None: request the full list
+        self._generation: int | None = generation or None  # None: the full list is requested
         self._connection: DiscoveryConnection | None = None
         self._dial: asyncio.Task[Any] | None = None
         self._timer: asyncio.TimerHandle | None = None  # the silence time-out or the backoff
         self._failures = 0
-        self._use_long_timeout = False  # set by a time-out for the next poll
+        self._use_long_timeout = False  # whether the next poll gets LONG_SILENCE_TIMEOUT_S
         self._stopped = False
         self._is_stalled = is_stalled
         self.catching_up = False  # whether the current poll has no wait and brings the list up to date
--- a/hillmux/net/gateway_core.py
+++ b/hillmux/net/gateway_core.py
@@ -25,7 +25,7 @@
 # Reserved for the network between client and gateway, for the request and the response together.
 CLIENT_TRANSIT_MS: Final = 4.0
 DEADLINE_MARGIN_MS: Final = 8.0  # the deadline timer fires this long before the client's deadline
-DECISION_MARGIN_MS: Final = 20.0  # subtracted from the decision module's time, so that it answers first
+DECISION_MARGIN_MS: Final = 20.0  # the decision module's deadline is this much earlier, to answer first
 # After a longer stall of the loop, endpoint changes are handled before all queued events.
 STALE_ENDPOINTS_STALL_MS: Final = 500.0
 
@@ -134,7 +134,7 @@
         )
 
     def client_disconnected(self, request_id: str) -> None:
-        """The client of a request has disconnected."""
+        """Detach a disconnected client from its request, and report it to the decision module."""
         request = self.requests.get(request_id)
         if request is not None and request.client is not None:
             self._detach_client(request)
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -28,7 +28,7 @@
 log = logging.getLogger(__name__)
 
 READY_TIMEOUT_S: Final = 4.0  # a successor process that is not ready by then takes over nevertheless
-# The hot-restart document with the names of the hosts that operators may disable, and its maximum length.
+# The hot-restart document that holds names of hosts which operators may disable, and the most it may hold.
 KNOWN_HOSTS_DOCUMENT: Final = "seen"
 MAX_NAMES_PER_DOCUMENT: Final = 512
 # An override that another process of this gateway accepted must take effect here within a second.
@@ -160,7 +160,7 @@
         try:
             descriptor, documents = await self._hot_restart_client.request_state()
         except OSError as error:
-            log.warning("hot restart: old process did not answer (%s); listening beside it", error)
+            log.warning("hot restart: no answer (%s); serving beside the old process, if it runs", error)
             self._hot_restart_client = None
             return None
         try:
--- a/hillmux/net/platform_gateway.py
+++ b/hillmux/net/platform_gateway.py
@@ -27,9 +27,9 @@
 from hillmux.net.streaming_client import STREAMED_REQUEST_TIMEOUT_S, StreamingClientConnection
 from hillmux.net.streaming_upstream import StreamingUpstreamConnection, StreamingUpstreamPool
 
-UPSTREAM_SOCKET_SHARE: Final = 0.36  # of the process's sockets, for connections to hosts
-# How long a start waits for discovery before it serves with the configured endpoint list. An overloaded
-# discovery answers after seconds only, and clients would find no gateway until then.
+UPSTREAM_SOCKET_SHARE: Final = 0.36  # share of the process's sockets that connections to hosts may use
+# How long a start waits for discovery before it serves with the configured endpoint list. Discovery answers
+# at once, or after seconds when it is overloaded; clients would find no gateway during those.
 DISCOVERY_WAIT_S: Final = 0.25
 
 
--- a/hillmux/net/shutdown.py
+++ b/hillmux/net/shutdown.py
@@ -9,7 +9,7 @@
 
 from hillmux.net.listener import Listener
 
-ACCEPT_GRACE_S = 0.5  # from SIGTERM on; the platform sends new connections for 0.4 s of it
+ACCEPT_GRACE_S = 0.5  # accept for this long after SIGTERM; new connections still arrive for 0.4 s
 MAX_DRAIN_S = 3.0  # the platform sends SIGKILL 0.7 s after the longest deadline, or after this if it is less
 FAIL_ALL_GRACE_S = 0.4  # from the end of the drain until all open requests are failed
 FLUSH_TIMEOUT_S = 0.2  # for sending these last responses; SIGKILL follows 0.1 s later at the earliest
@@ -44,7 +44,7 @@
         self._gateway, self._listener, self._loop = gateway, listener, loop
         self._max_drain_s = max_drain_s
         self.done = asyncio.Event()
-        self._flush_until = inf  # by the loop's clock; then `done` is set although connections are open
+        self._flush_until = inf  # loop time after which `done` is set even if connections are open
 
     def begin(self) -> None:
         """Start to drain; does nothing if the gateway is draining already."""
--- a/tests/net/test_counter_client.py
+++ b/tests/net/test_counter_client.py
@@ -1,4 +1,4 @@
-"""The client of the counter: results of calls, connections that fail, time-outs."""
+"""The counter client: results of calls, failed connections, time-outs."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 async def start_counter_client(
-    monkeypatch: pytest.MonkeyPatch, fake: Fake, wait_ms: float
+    monkeypatch: pytest.MonkeyPatch, fake: Fake, timeout_ms: float
 ) -> tuple[HttpCounterClient, asyncio.Queue[api.CounterReply]]:
     monkeypatch.setattr(counter_client, "CONNECTIONS", 1)
     await fake.start()
     got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
-    counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), wait_ms, got.put_nowait)
+    counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), timeout_ms, got.put_nowait)
     return counter, got
 
 
@@ -51,7 +51,7 @@
         (
             lambda seen: b"",
             AttemptResult.CONNECTION_LOST,
-        ),  # broken after the call was written: it may have been added
+        ),  # reset after the call was written: it may have been added
         (lambda seen: reply(b"", 503), AttemptResult.QUEUE_FULL),
         (lambda seen: reply(b"many"), AttemptResult.MALFORMED_RESPONSE),
         (lambda seen: reply(b"nan"), AttemptResult.MALFORMED_RESPONSE),
@@ -72,8 +72,8 @@
     on_loop(scenario)
 
 
-def test_answer_after_the_expected_time_still_counts(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A busy counter answers after the bound that the settings give; its totals are true all the same."""
+def test_response_after_the_configured_wait_is_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against taking a busy counter for a silent one: its late totals are still valid."""
 
     async def scenario() -> None:
         fake = Fake(lambda seen: None)
@@ -108,7 +108,7 @@
 
 
 def test_silent_counter_is_dialled_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A counter that is cut off leaves its connection open; the calls must not go there for ever."""
+    """A counter that is cut off leaves its connection open; later calls must not be sent on it."""
 
     async def scenario() -> None:
         fake = Fake(lambda seen: None)
@@ -129,35 +129,35 @@
 def test_connection_reset_while_it_opens_is_dialled_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its loss is told before its dial is over; it must not stand for the slot's connection from then on."""
+    """Guards against a channel that keeps a dead connection: its loss is reported before its dial ends."""
 
     async def scenario() -> None:
         monkeypatch.setattr(counter_client, "CONNECTIONS", 1)
         listener = socket.create_server((LOOP, 0))
-        made, gone = (
+        connection_made, connection_lost = (
             counter_channel.CounterConnection.connection_made,
             counter_channel.CounterConnection.connection_lost,
         )
-        ended = asyncio.Event()
+        lost = asyncio.Event()
 
-        def made_and_reset(connection, transport: asyncio.BaseTransport) -> None:
+        def make_and_reset(connection, transport: asyncio.BaseTransport) -> None:
             accepted, _ = listener.accept()
             accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             accepted.close()
-            monkeypatch.setattr(counter_channel.CounterConnection, "connection_made", made)
-            made(connection, transport)
+            monkeypatch.setattr(counter_channel.CounterConnection, "connection_made", connection_made)
+            connection_made(connection, transport)
 
-        def lost(connection, exc: Exception | None) -> None:
-            gone(connection, exc)
-            ended.set()
+        def record_loss(connection, exc: Exception | None) -> None:
+            connection_lost(connection, exc)
+            lost.set()
 
-        monkeypatch.setattr(counter_channel.CounterConnection, "connection_made", made_and_reset)
-        monkeypatch.setattr(counter_channel.CounterConnection, "connection_lost", lost)
+        monkeypatch.setattr(counter_channel.CounterConnection, "connection_made", make_and_reset)
+        monkeypatch.setattr(counter_channel.CounterConnection, "connection_lost", record_loss)
         got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
         counter = HttpCounterClient(asyncio.get_running_loop(), listener.getsockname(), 5000, got.put_nowait)
         counter.start()
-        await ended.wait()
-        await asyncio.sleep(0.01)  # the dial's task has ended, too
+        await lost.wait()
+        await asyncio.sleep(0.01)  # until the dial's task has ended, too
         fake = Fake(lambda seen: reply(b"1"))
         fake.server = await asyncio.start_server(fake._serve, sock=listener)
         counter.call(api.IncrementCounter("a", 1, 1000))
@@ -169,7 +169,7 @@
 
 
 def test_dial_cancelled_as_its_connection_opens_is_repeated(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The loop tells nobody of that connection's end; its slot would hold a dead one for good."""
+    """Guards against a channel that keeps a dead connection: the loop does not report this one's loss."""
 
     async def scenario() -> None:
         monkeypatch.setattr(counter_client, "CONNECTIONS", 1)
@@ -177,17 +177,17 @@
         await fake.start()
         got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
         counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), 5000, got.put_nowait)
-        made = counter_channel.CounterConnection.connection_made
+        connection_made = counter_channel.CounterConnection.connection_made
 
-        def made_and_called_off(connection, transport: asyncio.BaseTransport) -> None:
-            monkeypatch.setattr(counter_channel.CounterConnection, "connection_made", made)
+        def make_and_cancel_dial(connection, transport: asyncio.BaseTransport) -> None:
+            monkeypatch.setattr(counter_channel.CounterConnection, "connection_made", connection_made)
             dial = counter._channels[0]._dial
-            made(connection, transport)
+            connection_made(connection, transport)
             dial.cancel()
 
-        monkeypatch.setattr(counter_channel.CounterConnection, "connection_made", made_and_called_off)
+        monkeypatch.setattr(counter_channel.CounterConnection, "connection_made", make_and_cancel_dial)
         counter.start()
-        while counter_channel.CounterConnection.connection_made is not made:
+        while counter_channel.CounterConnection.connection_made is not connection_made:
             await asyncio.sleep(0)
         await asyncio.sleep(0.05)
         counter.call(api.IncrementCounter("a", 1, 1000))
@@ -205,12 +205,12 @@
         await fake.start()
         got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
 
-        def replied(answer: api.CounterReply) -> None:
+        def on_reply(answer: api.CounterReply) -> None:
             got.put_nowait(answer)
             if answer.result == AttemptResult.MALFORMED_RESPONSE:
                 counter.call(api.IncrementCounter("a", 1, 1000))
 
-        counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), 5000, replied)
+        counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), 5000, on_reply)
         counter.call(api.IncrementCounter("a", 1, 1000))
         assert [(await got.get()).result, (await got.get()).result] == [
             AttemptResult.MALFORMED_RESPONSE,
@@ -225,8 +225,8 @@
 @pytest.mark.parametrize(
     ("stuck", "results"),
     [
-        (1, {AttemptResult.CONNECTION_LOST}),  # what waits behind the call that ran out is cut with it
-        (2, {AttemptResult.TIMED_OUT}),  # on more than one connection it is the counter that is slow
+        (1, {AttemptResult.CONNECTION_LOST}),  # calls behind the timed-out one are lost with the connection
+        (2, {AttemptResult.TIMED_OUT}),  # silence on several connections means a slow counter
     ],
 )
 def test_only_silent_connection_is_closed(
@@ -246,15 +246,15 @@
         got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
         counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), 200, got.put_nowait)
         counter.start()
-        while not all(slot._connection for slot in counter._channels):
+        while not all(channel._connection for channel in counter._channels):
             await asyncio.sleep(0.01)
         for i in range(stuck):
             counter.call(api.IncrementCounter(f"stuck{i}", 1, 1000))
         await fake.until(lambda fake: len(silent) == stuck)
         counter.call(api.IncrementCounter("well", 1, 1000))
         assert (await got.get()).result == AttemptResult.OK
-        ends = [await got.get() for _ in range(stuck)]
-        assert {end.result for end in ends} == results
+        replies = [await got.get() for _ in range(stuck)]
+        assert {r.result for r in replies} == results
         counter.stop()
         fake.stop()
 
@@ -270,8 +270,8 @@
         await fake.until(lambda fake: fake.opened == 2)
         counter.stop()
         await fake.until(lambda fake: fake.closed == 1)
-        await asyncio.sleep(0.2)  # longer than the rests so far
-        assert fake.opened == 2  # what is stopped dials no more
+        await asyncio.sleep(0.2)  # longer than the backoffs so far
+        assert fake.opened == 2  # a stopped client does not dial
         fake.stop()
 
     on_loop(scenario, 5)
@@ -291,7 +291,7 @@
         counter.call(api.IncrementCounter("a", 1, 1000))
         assert (await got.get()).result == AttemptResult.CONNECT_FAILED
         fake.server = await asyncio.start_server(fake._serve, LOOP, fake.port)
-        while True:  # calls in its rest fail at once; then it dials again
+        while True:  # calls during the backoff fail at once; after it the client dials again
             counter.call(api.IncrementCounter("a", 1, 1000))
             if (await got.get()).result == AttemptResult.OK:
                 break
--- a/tests/net/test_descriptor_limits.py
+++ b/tests/net/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""Idle clients that fill the descriptors while discovery is silent."""
+"""The limit of descriptors: idle clients use them up while discovery is silent."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from fakes.desk import Desk, reads
 from fakes.system import sockets
 
-MOST = 128
+MAX_SOCKETS = 128
 
 
 def serve(seen: Seen) -> bytes:
@@ -18,13 +18,13 @@
 
 def test_clients_and_discovery_are_served_when_descriptors_run_out(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve, serve, sockets=MOST) as rig:
-            drained, stays = rig.hosts
-            speaks = rig.directory.fake.behave
+        async with Rig(tmp_path, serve, serve, sockets=MAX_SOCKETS) as rig:
+            draining_host, ready_host = rig.hosts
+            normal_behaviour = rig.directory.fake.behave
             rig.directory.fake.behave = lambda seen: None
             rig.directory.waiting.clear()
             idle = []
-            for i in range(2 * MOST):  # half of them have asked once
+            for i in range(2 * MAX_SOCKETS):  # half of them have sent one request
                 idle.append(await rig.connect())
                 if i % 2:
                     reader, writer = idle[-1]
@@ -32,50 +32,56 @@
                     assert (await read_message(reader, writer)).body == b"served"
             for i in range(30):
                 assert await rig.status(message(rid=b"ask-%d" % i)) == 200
-            assert sockets(rig) < MOST
-            # It has given the silent watch up by now or does so; the next call is answered.
+            assert sockets(rig) < MAX_SOCKETS
+            # The silent watch times out, or has done so already; the next poll is answered.
             rig.directory.generation = 7
-            rig.directory.instances = [instance("s-0", drained.port, "draining"), instance("s-1", stays.port)]
+            rig.directory.instances = [
+                instance("s-0", draining_host.port, "draining"),
+                instance("s-1", ready_host.port),
+            ]
             rig.directory.fake.behave = lambda seen: (
                 rig.directory.listing(rig.directory.instances, True)
                 if "after=1&" in seen.line
-                else speaks(seen)
+                else normal_behaviour(seen)
             )
             await rig.directory.fake.until(lambda fake: any("after=7&" in seen.line for seen in fake.seen))
-            before = len(drained.seen)
+            requests_before_drain = len(draining_host.seen)
             for i in range(10):
                 assert await rig.status(message(rid=b"told-%d" % i)) == 200
-            assert not [seen.headers["x-request-id"] for seen in drained.seen[before:]]
-            assert sockets(rig) < MOST
+            assert not [seen.headers["x-request-id"] for seen in draining_host.seen[requests_before_drain:]]
+            assert sockets(rig) < MAX_SOCKETS
             assert not any("accept failed" in line for line in rig.log)
             for _, writer in idle:
                 writer.close()
 
-    on_loop(scenario, 15)  # a silent watch alone took 22 s before
+    on_loop(scenario, 15)  # a watch that waits on for the silent agent takes 22 s alone
 
 
 def test_evicted_connection_is_closed_before_next_accept() -> None:
-    """A close takes a turn of the loop: what hosts, counter and discovery were to have is not lent out."""
+    """Guards against exceeding the limit: a close takes one turn of the loop to release its descriptor.
+
+    Otherwise accepted clients would use the descriptors reserved for hosts, counter and discovery.
+    """
 
     async def scenario() -> None:
         desk = Desk()
         desk.server.max_connections = 10
-        held = [desk.connect() for _ in range(10)]
+        connected = [desk.connect() for _ in range(10)]
         while len(desk.server.connections) < 10:
             await asyncio.sleep(0)
-        more = [desk.connect() for _ in range(5)]
-        before = sockets()
+        new_clients = [desk.connect() for _ in range(5)]
+        socket_count = sockets()
         (listener,) = desk.server.sockets
         desk.server.accept(listener)
-        assert sockets() == before
-        for i, client in enumerate(more):
+        assert sockets() == socket_count
+        for i, client in enumerate(new_clients):
             client.sendall(message(rid=b"%d" % i))
         while len(desk.taken) < 5:
-            assert sockets() <= before
+            assert sockets() <= socket_count
             await asyncio.sleep(0)
         desk.answer_all()
-        assert [await reads(client) for client in more] == [[b"%d" % i] for i in range(5)]
-        for client in (*held, *more):
+        assert [await reads(client) for client in new_clients] == [[b"%d" % i] for i in range(5)]
+        for client in (*connected, *new_clients):
             client.close()
 
     on_loop(scenario, 5)
--- a/tests/net/test_discovery_and_counter.py
+++ b/tests/net/test_discovery_and_counter.py
@@ -1,4 +1,4 @@
-"""Discovery and the counter as the real program meets them."""
+"""The gateway process with fake discovery and counter servers, tested from outside."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
                 assert await rig.status(message(rid=b"id-%d" % i)) == 200
             assert len(rig.hosts[0].seen) == 0
             await rig.directory.tell([instance("s-0", rig.hosts[0].port)], whole=True)  # s-1 is not in it
-            await rig.hosts[1].until(lambda fake: fake.closed > 0)  # its kept connection goes
+            await rig.hosts[1].until(lambda fake: fake.closed > 0)  # its idle connection is closed
             for i in range(6):
                 assert await rig.status(message(rid=b"more-%d" % i)) == 200
             assert (len(rig.hosts[0].seen), len(rig.hosts[1].seen)) == (6, 6)
 
-    on_loop(scenario, 10)  # before an idle connection would be retired
+    on_loop(scenario, 10)  # sooner than an idle connection times out
 
 
-def test_host_may_change_its_address(tmp_path: Path) -> None:
+def test_host_with_a_new_address_gets_requests_there(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, serve) as rig:
             await rig.directory.tell([instance("s-1", rig.hosts[1].port, "gone")])
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    "nonsense",
+    "malformed",
     [
         reply(b"{"),
         reply(b'{"generation":9,"reset":true,"instances":[{}]}'),
@@ -54,13 +54,13 @@
         b"nonsense\r\n\r\n",
     ],
 )
-def test_malformed_discovery_response_keeps_the_endpoints(tmp_path: Path, nonsense: bytes) -> None:
+def test_malformed_discovery_response_keeps_the_endpoints(tmp_path: Path, malformed: bytes) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
-            await rig.directory.answer_watch(lambda: nonsense)  # returns once it has asked again
+            await rig.directory.answer_watch(lambda: malformed)  # returns after the next poll
             assert await rig.status(message()) == 200
 
-    on_loop(scenario, 12)  # before the watch's own time-out would begin a new one
+    on_loop(scenario, 12)  # sooner than the watch's own time-out would start a new one
 
 
 def test_requests_are_served_while_counter_fails(tmp_path: Path) -> None:
@@ -68,7 +68,7 @@
         async with Rig(tmp_path, serve) as rig:
             for i, behave in enumerate((silent, reset, lambda _: reply(b"", 503), lambda _: reply(b"x"))):
                 rig.counter.behave = behave
-                for j in range(3):  # a customer not seen before makes the module ask
+                for j in range(3):  # a customer not seen before causes a counter call
                     data = message(rid=b"%d-%d" % (i, j), customer=f"{1 + 3 * i + j:016x}")
                     assert await rig.status(data) == 200
             rig.counter.stop()
@@ -78,7 +78,7 @@
 
 
 def test_counter_that_closes_connections_is_called_for_every_new_customer(tmp_path: Path) -> None:
-    """One call in three is reset, the others are answered: that is no silent counter."""
+    """Guards against taking a counter for silent that resets every third call and answers the others."""
 
     async def scenario() -> None:
         def behave(seen: Seen) -> bytes:
@@ -89,8 +89,8 @@
             for i in range(40):
                 data = message(rid=b"id-%d" % i, customer=f"{i + 1:016x}")
                 assert await rig.status(data) == 200
-            asked = {seen.line.split("?")[0].partition(".")[0] for seen in rig.counter.seen}
-            assert len(asked) == 40
+            counted_customers = {seen.line.split("?")[0].partition(".")[0] for seen in rig.counter.seen}
+            assert len(counted_customers) == 40
             assert not any("failed" in line for line in rig.log)
 
     on_loop(scenario)
--- a/tests/net/test_discovery_races.py
+++ b/tests/net/test_discovery_races.py
@@ -1,4 +1,4 @@
-"""Discovery's clock: how long a change that could be told stays unknown, whatever happens to the watch."""
+"""How long a change in discovery can stay unknown to the gateway when the watch fails."""
 
 from __future__ import annotations
 
@@ -23,41 +23,42 @@
     DiscoveryWatch,
 )
 
-TOLD_S, TOLD_AFTER_SIGHUP_S = 6.0, 4.0  # the operators' terms
+# The operators' limits for a change in discovery to reach the gateway.
+MAX_CHANGE_DELAY_S, MAX_CHANGE_DELAY_AFTER_SIGHUP_S = 6.0, 4.0
 
 
-def test_longest_time_to_learn_of_a_change_is_within_the_terms() -> None:
-    """A watch falls silent right before a change; then a dial, or a call, fails in the slowest way."""
+def test_longest_delay_of_a_change_is_within_the_operators_limits() -> None:
+    """A watch falls silent right before a change, then a dial or a poll fails as late as possible."""
     silent = MAX_WATCH_MS / 1000 + SILENCE_TIMEOUT_S + READ_GRACE_S
     dial = DIAL_TIMEOUT_S + READ_GRACE_S
     dial_fails = MIN_BACKOFF_S + dial + 2 * MIN_BACKOFF_S + dial + LONG_SILENCE_TIMEOUT_S + READ_GRACE_S
-    call_fails = MIN_BACKOFF_S + dial + LONG_SILENCE_TIMEOUT_S + READ_GRACE_S + 2 * MIN_BACKOFF_S + dial
-    assert silent + dial_fails < TOLD_S
-    assert silent + call_fails < TOLD_S
-    moved = dial + MIN_BACKOFF_S + dial + SILENCE_TIMEOUT_S + READ_GRACE_S
-    assert moved < TOLD_AFTER_SIGHUP_S
+    poll_fails = MIN_BACKOFF_S + dial + LONG_SILENCE_TIMEOUT_S + READ_GRACE_S + 2 * MIN_BACKOFF_S + dial
+    assert silent + dial_fails < MAX_CHANGE_DELAY_S
+    assert silent + poll_fails < MAX_CHANGE_DELAY_S
+    address_change = dial + MIN_BACKOFF_S + dial + SILENCE_TIMEOUT_S + READ_GRACE_S
+    assert address_change < MAX_CHANGE_DELAY_AFTER_SIGHUP_S
 
 
 @pytest.fixture
-def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The same clock, ten times as fast."""
+def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The watch's time-outs, divided by ten."""
     for name in ("MAX_WATCH_MS", "SILENCE_TIMEOUT_S", "LONG_SILENCE_TIMEOUT_S", "DIAL_TIMEOUT_S"):
         monkeypatch.setattr(discovery_watch, name, getattr(discovery_watch, name) / 10)
 
 
-SPOILT = reply(b'{"generation": 7}')
+MALFORMED = reply(b'{"generation": 7}')
 
 
 @pytest.mark.parametrize("state", ["silent", "reset", "503", "spoilt", "half", "closed"])
-def test_failed_watch_is_followed_by_a_call_that_does_not_wait(quick: None, state: str) -> None:
-    """It tells at once what was missed, and whether anybody answers at all on the new connection."""
+def test_failed_watch_is_followed_by_a_call_that_does_not_wait(short_timeouts: None, state: str) -> None:
+    """A poll without a wait shows what was missed, and whether the agent answers on the new connection."""
 
     async def scenario() -> None:
         failure = {
             "silent": None,
             "reset": b"",
             "503": reply(b"", 503),
-            "spoilt": SPOILT,
+            "spoilt": MALFORMED,
             "half": listing(3, "c", whole=False)[:-10],
             "closed": reply(b"", 503, headers=b"Connection: close\r\n"),
         }[state]
@@ -66,16 +67,16 @@
         ).start()
         assert [(await agent.told.get()).generation for _ in range(2)] == [1, 2]
         await agent.fake.until(lambda fake: len(fake.seen) == 4)
-        first, failed, missed, watch = agent.waits()
-        assert first == -1 and failed > 0 and watch > 0
-        assert missed == (-1 if state == "spoilt" else 0)
+        full, failed, catch_up, watch = agent.waits()
+        assert full == -1 and failed > 0 and watch > 0
+        assert catch_up == (-1 if state == "spoilt" else 0)
         agent.stop()
 
     on_loop(scenario, 5)
 
 
-def test_lower_generation_makes_the_watch_request_the_full_list(quick: None) -> None:
-    """Discovery was started anew: what it calls 2 is not what we called 2."""
+def test_lower_generation_makes_the_watch_request_the_full_list(short_timeouts: None) -> None:
+    """After a restart of discovery, its generation 2 is not the generation 2 known before."""
 
     async def scenario() -> None:
         agent = await FakeDiscovery(listing(9, "a"), listing(2, "b", whole=False), listing(2, "c")).start()
@@ -86,7 +87,7 @@
     on_loop(scenario, 5)
 
 
-def test_dial_that_never_succeeds_is_repeated(quick: None) -> None:
+def test_dial_that_never_succeeds_is_repeated(short_timeouts: None) -> None:
     async def scenario() -> None:
         agent = FakeDiscovery(listing(1, "a"))
         await agent.fake.start()
@@ -95,7 +96,7 @@
         agent.discovery.start()
         await dials.started.wait()
         dials.started.clear()
-        await dials.started.wait()  # the second one, with the first never up
+        await dials.started.wait()  # the second dial, while the first is not established
         dials.release.set()
         assert (await agent.told.get()).generation == 1
         agent.stop()
@@ -103,7 +104,7 @@
     on_loop(scenario, 5)
 
 
-def test_address_change_during_a_dial_polls_the_new_address_only(quick: None) -> None:
+def test_address_change_during_a_dial_polls_the_new_address_only(short_timeouts: None) -> None:
     async def scenario() -> None:
         old, new = FakeDiscovery(listing(1, "a")), FakeDiscovery(listing(1, "b"))
         await old.fake.start()
@@ -122,45 +123,45 @@
     on_loop(scenario, 5)
 
 
-def test_stall_of_the_loop_is_not_taken_for_silence_of_the_agent(quick: None) -> None:
-    """The answer came in time and lies unread: timers fire first, and must not end the watch.
+def test_stall_of_the_loop_is_not_taken_for_silence_of_the_agent(short_timeouts: None) -> None:
+    """Guards against ending a watch whose response arrived in time but lies unread after a stall.
 
-    Guards against a paused machine, or a long collection, that is over before timers fire.
+    After a pause of the machine or a long garbage collection, timers fire before sockets are read.
     """
 
     async def scenario() -> None:
         listener = socket.create_server((LOOP, 0))
-        told: asyncio.Queue[DiscoveryResponse] = asyncio.Queue()
+        responses: asyncio.Queue[DiscoveryResponse] = asyncio.Queue()
         loop = asyncio.get_running_loop()
-        discovery = DiscoveryWatch(loop, (LOOP, listener.getsockname()[1]), told.put_nowait, 0, 1)
+        discovery = DiscoveryWatch(loop, (LOOP, listener.getsockname()[1]), responses.put_nowait, 0, 1)
         discovery.start()
         agent, _ = await loop.run_in_executor(None, listener.accept)
         agent.setblocking(False)
         await loop.sock_recv(agent, 65536)
         agent.setblocking(True)
-        ours, theirs = socket.socketpair()
+        trigger_reader, trigger_writer = socket.socketpair()
 
-        def stall() -> None:  # among what the loop reads: its timers come before it reads again
-            loop.remove_reader(ours)
+        def stall() -> None:  # as a read callback: timers fire before the loop reads sockets again
+            loop.remove_reader(trigger_reader)
             agent.sendall(listing(1, "a"))
             time.sleep(discovery_watch.LONG_SILENCE_TIMEOUT_S + 0.05)
 
-        loop.add_reader(ours, stall)
-        theirs.send(b"x")
-        assert (await told.get()).generation == 1
+        loop.add_reader(trigger_reader, stall)
+        trigger_writer.send(b"x")
+        assert (await responses.get()).generation == 1
         assert not discovery._failures
         listener.setblocking(False)
         with pytest.raises(BlockingIOError):  # no second connection
             listener.accept()
         discovery.stop()
-        for sock in (agent, listener, ours, theirs):
+        for sock in (agent, listener, trigger_reader, trigger_writer):
             sock.close()
 
     on_loop(scenario, 5)
 
 
-def test_slow_agent_gets_a_longer_timeout_on_the_next_call(quick: None) -> None:
-    """What was given up once is waited for longer: else a slow whole list would never be had."""
+def test_slow_agent_gets_a_longer_timeout_on_the_next_call(short_timeouts: None) -> None:
+    """Guards against a slow agent whose full list would never arrive within the shorter time-out."""
 
     async def scenario() -> None:
         agent = FakeDiscovery()
@@ -168,9 +169,9 @@
 
         def slow(seen: Seen) -> bytes | None:
             calls.append(seen)
-            later = (discovery_watch.SILENCE_TIMEOUT_S + discovery_watch.LONG_SILENCE_TIMEOUT_S) / 2
+            delay_s = (discovery_watch.SILENCE_TIMEOUT_S + discovery_watch.LONG_SILENCE_TIMEOUT_S) / 2
             if seen.line.startswith("GET /v1/endpoints "):
-                asyncio.get_running_loop().call_later(later, seen.writer.write, listing(1, "a"))
+                asyncio.get_running_loop().call_later(delay_s, seen.writer.write, listing(1, "a"))
             return None
 
         agent.fake.behave = slow
@@ -181,8 +182,8 @@
     on_loop(scenario, 5)
 
 
-def test_watches_of_a_fleet_do_not_synchronise() -> None:
-    """200 gateways that began at once would else all call in the same moment, again and again."""
+def test_watches_of_many_gateways_do_not_synchronise() -> None:
+    """Guards against 200 gateways, started together, that poll at the same moments."""
     waits = set()
     for seed in range(200):
         discovery = DiscoveryWatch(None, (LOOP, 1), lambda listing: None, 1, seed)  # type: ignore[arg-type]
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch on the list of hosts, between scripted agents: it outlives whatever they do."""
+"""The discovery watch, against scripted agents: it recovers from every failure of theirs."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def test_rejected_call_is_followed_by_a_call_for_changes() -> None:
-    """The whole list is the dearest call there is: a 503 loses nothing of what is known."""
+    """The full list is the most expensive request, and a 503 does not invalidate the known list."""
 
     async def scenario() -> None:
         busy = reply(b"", 503)
@@ -37,10 +37,10 @@
     on_loop(scenario)
 
 
-@pytest.mark.parametrize("spoilt", [reply(b"{"), listing(3, "a", whole=False)])
-def test_malformed_answer_makes_the_watch_request_the_full_list(spoilt: bytes) -> None:
+@pytest.mark.parametrize("malformed", [reply(b"{"), listing(3, "a", whole=False)])
+def test_malformed_answer_makes_the_watch_request_the_full_list(malformed: bytes) -> None:
     async def scenario() -> None:
-        watch = await FakeDiscovery(listing(7, "a"), spoilt, listing(9, "b")).start()
+        watch = await FakeDiscovery(listing(7, "a"), malformed, listing(9, "b")).start()
         await watch.told.get()
         assert (await watch.told.get()).is_full
         assert watch.asked()[:3] == ["/v1/endpoints", "/v1/endpoints?after=7", "/v1/endpoints"]
@@ -50,15 +50,15 @@
 
 
 def test_agent_that_resets_new_connections_is_polled_again() -> None:
-    """Such a connection is closing before it can be written to; the watch must not hang on it."""
+    """Guards against a watch that hangs on a connection that closes before it can be written to."""
 
     async def scenario() -> None:
-        told: asyncio.Queue[DiscoveryResponse] = asyncio.Queue()
-        broken = [0]
+        responses: asyncio.Queue[DiscoveryResponse] = asyncio.Queue()
+        reset_count = [0]
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            if broken[0] < 5:
-                broken[0] += 1
+            if reset_count[0] < 5:
+                reset_count[0] += 1
                 writer.transport.abort()
                 return
             await reader.readuntil(b"\r\n\r\n")
@@ -66,10 +66,10 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        discovery = DiscoveryWatch(asyncio.get_running_loop(), ("127.0.0.1", port), told.put_nowait)
+        discovery = DiscoveryWatch(asyncio.get_running_loop(), ("127.0.0.1", port), responses.put_nowait)
         discovery.start()
-        assert [s.name for s in (await told.get()).endpoints] == ["a"]
-        assert broken[0] == 5
+        assert [s.name for s in (await responses.get()).endpoints] == ["a"]
+        assert reset_count[0] == 5
         discovery.stop()
         server.close()
 
@@ -77,7 +77,7 @@
 
 
 def test_closing_connection_is_not_written_to() -> None:
-    """What the loop has not yet told of: the watch is begun anew, and nothing is raised."""
+    """A connection lost before the loop reports it: the watch reconnects, and nothing is raised."""
 
     async def scenario() -> None:
         watch = await FakeDiscovery(listing(1, "a"), None, listing(2, "b")).start()
--- a/tests/net/test_gateway_core.py
+++ b/tests/net/test_gateway_core.py
@@ -1,4 +1,4 @@
-"""The life of a request in one process: events that cannot be brought about from outside for certain."""
+"""Open requests in one process: events that cannot be triggered reliably from outside."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def simulate_stall(core: GatewayCore) -> None:
-    """As after a stall that is over before the heartbeat could tell."""
+    """Make the heartbeat overdue, as after a stall that ended before the heartbeat fired."""
     core.loop_lag._next_heartbeat_at = time.monotonic() - 2
 
 
@@ -52,17 +52,17 @@
 def test_after_a_stall_all_endpoint_changes_are_handled_before_held_events(
     monkeypatch: pytest.MonkeyPatch, answers: bool
 ) -> None:
-    """The watch that was open brings the first; the second comes at once when asked for, or in vain.
+    """Guards against sending to draining hosts after a virtual machine was paused.
 
-    Guards against a virtual machine that was paused while hosts drained.
+    The open watch returns the first change. A poll without a wait returns the second, or is not answered.
     """
 
     async def scenario() -> None:
-        told: list[str] = []
+        polled_paths: list[str] = []
 
         def agent(seen: Seen) -> bytes | None:
-            told.append(seen.line.split()[1])
-            if len(told) == 2 and answers:
+            polled_paths.append(seen.line.split()[1])
+            if len(polled_paths) == 2 and answers:
                 return reply(
                     json.dumps(
                         {
@@ -78,24 +78,24 @@
         core, decisions = await start_gateway_core(monkeypatch, host)
         core._discovery.start()
         await host.until(lambda fake: len(fake.seen) == 1)
-        began = len(decisions.events)
+        events_before_stall = len(decisions.events)
         simulate_stall(core)
-        first = {"generation": 2, "reset": False, "instances": [instance("s-1", 9)]}
+        first_change = {"generation": 2, "reset": False, "instances": [instance("s-1", 9)]}
         core._discovery.on_response(
-            core._discovery._connection, discovery_response(first), True
+            core._discovery._connection, discovery_response(first_change), True
         )  # read after the stall
         core.request(RecordingClient(), forward_request())
-        core.loop_lag._next_heartbeat_at = time.monotonic() + 60  # caught up
+        core.loop_lag._next_heartbeat_at = time.monotonic() + 60  # no longer behind
         while not any(isinstance(e, api.Request) for e in decisions.events):
             await asyncio.sleep(0.002)
-        kinds = [type(e) for e in decisions.events[began:]]
+        kinds = [type(e) for e in decisions.events[events_before_stall:]]
         assert kinds == [api.EndpointList, *([api.EndpointList] if answers else []), api.Request]
-        await host.until(lambda fake: len(told) >= (3 if answers else 2))  # perhaps a turn later
-        waits = [int(query.rpartition("=")[2]) for query in told[1:]]
+        await host.until(lambda fake: len(polled_paths) >= (3 if answers else 2))  # may take one more turn
+        waits = [int(query.rpartition("=")[2]) for query in polled_paths[1:]]
         assert waits[0] == 0 and len(waits) == (2 if answers else 1)
         assert all(
             MAX_WATCH_MS / 2 <= wait <= MAX_WATCH_MS for wait in waits[1:]
-        )  # a watch again, as long as ever
+        )  # a watch with its usual wait again
         core.stop()
         host.stop()
 
@@ -114,7 +114,7 @@
 
 
 def discovery_response(raw: dict[str, object]) -> Response:
-    """An answer of discovery, read whole."""
+    """A complete discovery response."""
     return Response(200, {}, json.dumps(raw).encode(), True)
 
 
@@ -122,13 +122,13 @@
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
-        broken, served = RecordingClient(), RecordingClient()
+        failed_client, served_client = RecordingClient(), RecordingClient()
         decisions.actions[api.Request] = RuntimeError("broken")
-        core.request(broken, forward_request())
-        assert await broken.statuses.get() == 500
+        core.request(failed_client, forward_request())
+        assert await failed_client.statuses.get() == 500
         decisions.actions[api.Request] = [api.SendAttempt("r2", "s-0", 1000)]
-        core.request(served, forward_request())
-        assert await served.statuses.get() == 200
+        core.request(served_client, forward_request())
+        assert await served_client.statuses.get() == 200
         host.stop()
 
     on_loop(scenario)
@@ -143,7 +143,7 @@
             api.SendAttempt("r1", "s-0", 1000),
             api.SendAttempt("r1", "nowhere", 1000),
             api.SendAttempt("r1", "s-0", 1000),
-        ]  # the third is beyond the limit of two
+        ]  # the third one exceeds the limit of two attempts
         core.request(client, forward_request())
         assert decisions.outcomes() == [AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT]
         await host.until(lambda fake: bool(fake.seen))
@@ -173,19 +173,19 @@
         host = await Fake(lambda seen: reply()).start()
         core, decisions = await start_gateway_core(monkeypatch, host)
         order: list[str] = []
-        handle, act = decisions.handle, core.execute
+        handle, execute = decisions.handle, core.execute
 
-        def handled(now_ms: float, event: api.Event) -> list[api.Action]:
+        def record_event(now_ms: float, event: api.Event) -> list[api.Action]:
             order.append(type(event).__name__)
             return handle(now_ms, event)
 
-        def acted(action: api.Action) -> None:
+        def record_action(action: api.Action) -> None:
             order.append(type(action).__name__)
-            act(action)
+            execute(action)
 
-        monkeypatch.setattr(decisions, "handle", handled)
-        monkeypatch.setattr(core, "execute", acted)
-        monkeypatch.setattr(core, "counter", None)  # so each call fails at once
+        monkeypatch.setattr(decisions, "handle", record_event)
+        monkeypatch.setattr(core, "execute", record_action)
+        monkeypatch.setattr(core, "counter", None)  # so that each call fails at once
         decisions.actions[api.TimerFired] = [
             api.IncrementCounter("a", 1.0, 1.0),
             api.IncrementCounter("b", 1.0, 1.0),
@@ -206,7 +206,7 @@
 
 
 def test_stall_of_the_loop_is_not_reported_as_host_latency(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against an overloaded core or a collection: our wait is no host's latency."""
+    """Guards against counting a stall of this process (overload, garbage collection) as host latency."""
 
     async def scenario() -> None:
         host = Fake(lambda seen: None)
@@ -217,9 +217,9 @@
         core.request(client, forward_request())
         await host.until(lambda fake: any("/api/" in s.line for s in fake.seen))
         os.write(host.seen[-1].writer.get_extra_info("socket").fileno(), reply(b"served"))
-        time.sleep(0.6)  # the answer lies unread meanwhile
+        time.sleep(0.6)  # the response lies unread during the stall
         assert await client.statuses.get() == 200
-        while not decisions.outcomes():  # the client has its answer; the module is told after the hosts' news
+        while not decisions.outcomes():  # held until endpoint changes are read; the client is answered before
             await asyncio.sleep(0.001)
         (outcome,) = [e for e in decisions.events if isinstance(e, api.AttemptEnded)]
         assert outcome.elapsed_ms < 400
--- a/tests/net/test_lease_return.py
+++ b/tests/net/test_lease_return.py
@@ -1,4 +1,4 @@
-"""SIGTERM and leases of quota: the real program, from outside."""
+"""Quota leases at SIGTERM, tested from outside the gateway process."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def added(rig: Rig) -> list[float]:
-    """The amounts that the counter was given, in their order."""
+    """The amounts added by the counter calls so far, in order."""
     return [float(seen.line.split("add=")[1].split("&")[0]) for seen in rig.counter.seen]
 
 
 def test_drain_returns_leases(tmp_path: Path) -> None:
-    """Each request counts as two units and takes one; what the second one leaves is leased until SIGTERM."""
+    """Each request reserves two units and uses one; the unit left by the second is leased until SIGTERM."""
 
     async def scenario() -> None:
         async with Rig(tmp_path, bills_one_unit) as rig:
--- a/tests/net/test_process_signals.py
+++ b/tests/net/test_process_signals.py
@@ -1,4 +1,4 @@
-"""Start, signals and exit of the real program."""
+"""Start, signals and exit of the gateway process."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
                 await asyncio.sleep(0.01)
             late = asyncio.create_task(rig.ask(message(rid=b"late")))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 2)
-            assert await idle_reader.read() == b""  # closed though the others are still served
+            assert await idle_reader.read() == b""  # closed while the other connections are still served
             assert rig.process.returncode is None
             for seen in rig.hosts[0].seen:
                 seen.writer.write(reply(b"served"))
@@ -47,10 +47,10 @@
 def test_sigterm_fails_open_requests_and_exits_before_sigkill(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
-            asked = asyncio.create_task(rig.status(message("put", deadline="60000m")))
+            status = asyncio.create_task(rig.status(message("put", deadline="60000m")))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
             rig.process.send_signal(signal.SIGTERM)
-            assert await asked == 504  # by the program itself, not by chance while it falls apart
+            assert await status == 504  # a deliberate response, not a side effect of the exit
             async with asyncio.timeout(3.7):
                 assert await rig.process.wait() == 0
 
@@ -99,23 +99,23 @@
 
 
 def test_sighup_switches_to_the_configured_discovery_and_counter(tmp_path: Path) -> None:
-    """Also where the environment named discovery at the start; what is out meanwhile is served."""
+    """Also if the environment named discovery at the start; a request in flight is still served."""
 
     async def scenario() -> None:
         async with Rig(tmp_path, silent, serve) as rig:
             await rig.directory.tell([instance("s-1", rig.hosts[1].port, "gone")])
-            asked = asyncio.create_task(rig.ask(message(rid=b"old")))
+            response = asyncio.create_task(rig.ask(message(rid=b"old")))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
             old_directory, old_counter = rig.directory, rig.counter
             for _ in range(2):
                 await rig.reload([instance("s-1", rig.hosts[1].port)])
                 await rig.directory.fake.until(lambda fake: any("after=" in s.line for s in fake.seen))
             await old_directory.fake.until(lambda fake: fake.closed > 0)
-            assert "after=" not in rig.directory.fake.seen[0].line  # the whole list first
+            assert "after=" not in rig.directory.fake.seen[0].line  # the full list first
             assert await rig.status(message(rid=b"new", customer="0000000000000007")) == 200
             assert [s.headers["x-request-id"] for s in rig.hosts[1].seen] == ["new"]
             rig.hosts[0].seen[0].writer.write(reply(b"served"))
-            assert (await asked).body == b"served"
+            assert (await response).body == b"served"
             await rig.counter.until(lambda fake: len(fake.seen) > 0)
             assert old_counter is not rig.counter
             await old_counter.until(lambda fake: fake.closed > 0)
@@ -144,13 +144,13 @@
 def test_sighup_during_drain_changes_nothing(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
-            asked = asyncio.create_task(rig.ask(message()))
+            response = asyncio.create_task(rig.ask(message()))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
             rig.process.send_signal(signal.SIGTERM)
             await rig.reload([instance("s-0", rig.hosts[0].port)])
             await rig.directory.fake.until(lambda fake: len(fake.seen) > 0)
             rig.hosts[0].seen[0].writer.write(reply(b"served"))
-            assert (await asked).body == b"served"
+            assert (await response).body == b"served"
             rig.process.send_signal(signal.SIGHUP)
             assert await rig.process.wait() == 0
 
@@ -158,13 +158,13 @@
 
 
 def test_start_at_an_address_in_use_ends_with_one_line(tmp_path: Path) -> None:
-    """Guards against a warning of a socket that never listened, above the line that says why."""
+    """Guards against a warning about a socket that never listened, printed above the error line."""
 
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
             second = await rig.run(tmp_path / "config.json")
-            _, said = await second.communicate()
+            _, stderr = await second.communicate()
             assert second.returncode == 2
-            assert said.decode().splitlines() == ["listen: [Errno 98] Address already in use"]
+            assert stderr.decode().splitlines() == ["listen: [Errno 98] Address already in use"]
 
     on_loop(scenario)
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -1,4 +1,4 @@
-"""SIGTERM and what may come just then: the real program, from outside."""
+"""Graceful shutdown after SIGTERM, tested mostly from outside the gateway process."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     return None
 
 
-async def drains(rig: Rig) -> None:
-    """Send SIGTERM, and wait until the program knows."""
+async def start_drain(rig: Rig) -> None:
+    """Send SIGTERM, and wait until the gateway logs that it is draining."""
     rig.process.send_signal(signal.SIGTERM)
     while not any("draining" in line for line in rig.log):
         await asyncio.sleep(0.01)
@@ -32,7 +32,7 @@
             for i in range(3):
                 writer.write(message(rid=b"id-%d" % i))
             await host.until(lambda fake: len(fake.seen) == 1)
-            await drains(rig)
+            await start_drain(rig)
             for i in range(3):
                 await host.until(lambda fake, count=i + 1: len(fake.seen) == count)
                 host.seen[i].writer.write(reply(b"served %d" % i))
@@ -46,24 +46,24 @@
     on_loop(scenario, 10)
 
 
-@pytest.mark.parametrize("again", [None, signal.SIGTERM, signal.SIGHUP])
-def test_hanging_hosts_cost_a_complete_failure_answer_at_shutdown(
-    tmp_path: Path, again: signal.Signals | None
+@pytest.mark.parametrize("second_signal", [None, signal.SIGTERM, signal.SIGHUP])
+def test_requests_on_hanging_hosts_get_complete_error_responses_at_shutdown(
+    tmp_path: Path, second_signal: signal.Signals | None
 ) -> None:
-    """Also over further bytes of the client, and with a second signal meanwhile."""
+    """Also if the client sends a further request, and if a second signal arrives during the drain."""
 
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
             reader, writer = await rig.connect()
             writer.write(message("put", rid=b"hangs", deadline="60000m"))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
-            await drains(rig)
-            if again is not None:
-                rig.process.send_signal(again)
+            await start_drain(rig)
+            if second_signal is not None:
+                rig.process.send_signal(second_signal)
             writer.write(message("put", rid=b"behind", deadline="60000m"))
             statuses = [(await read_message(reader, writer)).line.split()[1] for _ in range(2)]
-            assert statuses == ["504", "503"]  # what had not been sent on may be asked again elsewhere
-            assert await reader.read() == b""  # an end in good order
+            assert statuses == ["504", "503"]  # 503: not forwarded, so safe to retry elsewhere
+            assert await reader.read() == b""  # closed without a reset
             writer.close()
             assert await rig.process.wait() == 0
             assert [seen.headers["x-request-id"] for seen in rig.hosts[0].seen] == ["hangs"]
@@ -79,12 +79,12 @@
         core.request(client, forward_request())
         core.fail_all()
         assert await client.statuses.get() == 504
-        before = len(decisions.events)
+        event_count = len(decisions.events)
         decisions.actions[api.Request] = [api.SendAttempt("r2", "s-0", 5000)]
         core.request(client, forward_request())
         assert await client.statuses.get() == 503
         await asyncio.sleep(0.02)
-        assert len(decisions.events) == before and not host.seen
+        assert len(decisions.events) == event_count and not host.seen
         host.stop()
 
     on_loop(scenario, 5)
@@ -93,9 +93,9 @@
 def test_connection_accepted_during_drain_is_served(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, lambda seen: reply(b"served")) as rig:
-            await drains(rig)
+            await start_drain(rig)
             reader, writer = await rig.connect()
-            await asyncio.sleep(0.3)  # still within what clients are let in for
+            await asyncio.sleep(0.3)  # still within ACCEPT_GRACE_S
             writer.write(message())
             answer = await read_message(reader, writer)
             assert (answer.body, answer.headers["connection"]) == (b"served", "close")
