--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -28,7 +28,7 @@
 log = logging.getLogger(__name__)
 
 READY_TIMEOUT_S: Final = 4.0  # a successor process that is not ready by then takes over nevertheless
-# The hot-restart document that holds names of hosts which operators may disable, and the most it may hold.
+# The kind of hot-restart document that lists the hosts which operators may disable, and its maximum length.
 KNOWN_HOSTS_DOCUMENT: Final = "seen"
 MAX_NAMES_PER_DOCUMENT: Final = 512
 # An override that another process of this gateway accepted must take effect here within a second.
--- a/tests/net/test_descriptor_limits.py
+++ b/tests/net/test_descriptor_limits.py
@@ -54,7 +54,7 @@
             for _, writer in idle:
                 writer.close()
 
-    on_loop(scenario, 15)  # a watch that waits on for the silent agent takes 22 s alone
+    on_loop(scenario, 15)  # a watch that keeps waiting for the silent agent takes 22 s
 
 
 def test_evicted_connection_is_closed_before_next_accept() -> None:
