--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -50,13 +50,13 @@
     servers = [api.Endpoint(f"h{i}") for i in range(HOSTS)]
 
     def born(me: int, now: float, listed: list[api.Endpoint]) -> LoadBalancer:
-        fleet = LoadBalancer(replace(settings, gateway_index=me), random.Random(rng.random()))
-        fleet.now = now
-        fleet.update_endpoints(api.EndpointList(ListKind.FULL, tuple(listed)))
-        return fleet
+        load_balancer = LoadBalancer(replace(settings, gateway_index=me), random.Random(rng.random()))
+        load_balancer.now = now
+        load_balancer.update_endpoints(api.EndpointList(ListKind.FULL, tuple(listed)))
+        return load_balancer
 
     start = 1e6 + BEFORE_MS
-    fleets = [born(me, 1e6, servers[1:]) for me in range(gateways)]
+    load_balancers = [born(me, 1e6, servers[1:]) for me in range(gateways)]
     shares = [rng.expovariate(1.0) + 0.1 for _ in range(gateways)]
     cold = replace(servers[0], started_at_ms=start)
     due: list[tuple[float, int, str, int, Host | None, float]] = []
@@ -83,25 +83,25 @@
         if what == "request":
             push(now + rng.expovariate(1 / every), "request", 0)
             me = rng.choices(range(gateways), shares)[0]
-        fleet = fleets[me]
-        fleet.now = now
+        load_balancer = load_balancers[me]
+        load_balancer.now = now
         if what == "sweep":
-            fleet.sweep(SWEEP_MS, 0.9)
+            load_balancer.sweep(SWEEP_MS, 0.9)
             push(now + SWEEP_MS, "sweep", me)
         elif what == "restart":
-            fleets[me] = born(me, now, [cold, *servers[1:]])
+            load_balancers[me] = born(me, now, [cold, *servers[1:]])
         elif what == "list":
-            fleet.update_endpoints(api.EndpointList(ListKind.CHANGES, (cold,)))
+            load_balancer.update_endpoints(api.EndpointList(ListKind.CHANGES, (cold,)))
         elif what == "done":
             assert host is not None
-            fleet.request_ended(host)
-            fleet.record_latency_ratio(host, 1.0)
-            fleet.reindex(host)
+            load_balancer.request_ended(host)
+            load_balancer.record_latency_ratio(host, 1.0)
+            load_balancer.reindex(host)
         else:
-            picked = fleet.select("", MEAN_MS, True, [])
+            picked = load_balancer.select("", MEAN_MS, True, [])
             if picked is None:
                 continue
-            fleet.request_started(picked, MEAN_MS)
+            load_balancer.request_started(picked, MEAN_MS)
             work = rng.expovariate(1.0)  # its true work, in means
             push(now + MEAN_MS * max(work, 0.05), "done", me, picked)
             if picked.name == cold.name:
--- a/hillmux/decision/attempts.py
+++ b/hillmux/decision/attempts.py
@@ -39,7 +39,7 @@
 
     __slots__ = (
         "_context",
-        "_fleet",
+        "_load_balancer",
         "_quotas",
         "_admission",
         "_latency",
@@ -51,7 +51,7 @@
     def __init__(
         self,
         context: DecisionContext,
-        fleet: LoadBalancer,
+        load_balancer: LoadBalancer,
         quotas: Quotas,
         admission: AdmissionControl,
         latency: LatencyEstimates,
@@ -59,12 +59,12 @@
         retry_budget: RetryBudget,
     ) -> None:
         self._context = context
-        self._fleet = fleet
+        self._load_balancer = load_balancer
         self._quotas = quotas
         self._admission = admission
         self._latency = latency
         self._occupancy = occupancy
-        self._health = HostHealth(context, fleet, latency)
+        self._health = HostHealth(context, load_balancer, latency)
         self._retry_budget = retry_budget
 
     def select_host(self, pending: PendingRequest) -> Host | None:
@@ -84,7 +84,7 @@
                 return None
             locality = allowed
             tried = [attempt.host for attempt in pending.attempts]
-        return self._fleet.select(
+        return self._load_balancer.select(
             pending.request.pool,
             pending.expected_work,
             pending.request_class.idempotency == Idempotency.IDEMPOTENT,
@@ -102,7 +102,7 @@
             timeout_ms = early_timeout_ms(pending, timeout_ms, self._latency.expected_ms(pending))
         pending.attempts.append(Attempt(host, context.now))
         pending.open_attempts += 1
-        self._fleet.request_started(host, pending.expected_work)
+        self._load_balancer.request_started(host, pending.expected_work)
         context.actions.append(SendAttempt(pending.request.id, host.name, timeout_ms, window_ms))
 
     def response_started(self, event: api.ResponseStarted) -> None:
@@ -115,8 +115,8 @@
         if attempt.open and not attempt.streaming:
             # The host has done its work; a client that reads slowly must not count as the host's load.
             attempt.streaming = True
-            self._fleet.request_ended(attempt.host)
-            self._fleet.reindex(attempt.host)
+            self._load_balancer.request_ended(attempt.host)
+            self._load_balancer.reindex(attempt.host)
 
     def ended(self, event: api.AttemptEnded) -> None:
         """An attempt has ended: take account of its result, then answer the request or retry it."""
@@ -129,7 +129,7 @@
         attempt.open = False
         pending.open_attempts -= 1
         if not attempt.streaming:
-            self._fleet.request_ended(attempt.host)
+            self._load_balancer.request_ended(attempt.host)
         if event.result in NEVER_EXECUTED:
             attempt.may_have_run = False
             if event.result in NEVER_DELIVERED:
@@ -137,7 +137,7 @@
         if self._occupancy.record(pending, attempt, event):
             self._admission.update()
         self._health.record(pending, attempt.host, event)
-        self._fleet.reindex(attempt.host)
+        self._load_balancer.reindex(attempt.host)
         if event.result == AttemptResult.OK:
             self._occupancy.completions += 1
             if event.actual_units > 0 and pending.quota.plan.rate > 0:
--- a/hillmux/decision/gateway.py
+++ b/hillmux/decision/gateway.py
@@ -40,17 +40,17 @@
         settings.check()
         self.rng = random.Random(seed)
         self.context = DecisionContext(settings, self.rng)
-        self.fleet = LoadBalancer(settings, self.rng)
-        self.hosts = self.fleet.hosts
+        self.load_balancer = LoadBalancer(settings, self.rng)
+        self.hosts = self.load_balancer.hosts
         self.pending = self.context.pending
         self.quotas = Quotas(settings, self.rng, self._settle)
         self.latency = LatencyEstimates(settings.classes)
-        self.occupancy = OccupancyEstimator(self.context, self.fleet)
+        self.occupancy = OccupancyEstimator(self.context, self.load_balancer)
         self.admission = AdmissionControl(self.context, self.quotas, self.latency, self.occupancy)
         self.retry_budget = RetryBudget()
         self.attempts = AttemptManager(
             self.context,
-            self.fleet,
+            self.load_balancer,
             self.quotas,
             self.admission,
             self.latency,
@@ -59,7 +59,7 @@
         )
         self.new_requests = NewRequestHandler(
             self.context,
-            self.fleet,
+            self.load_balancer,
             self.quotas,
             self.admission,
             self.latency,
@@ -83,7 +83,7 @@
         """
         context = self.context
         if now_ms > context.now:
-            context.now = self.fleet.now = self.quotas.now = now_ms
+            context.now = self.load_balancer.now = self.quotas.now = now_ms
         context.actions = self.quotas.actions = []
         if context.now > self._overdue_at:
             self._housekeeping_overdue()
@@ -142,7 +142,7 @@
             case api.ClientDisconnected():
                 self._client_disconnected(event.request_id)
             case api.HostDisabled():
-                self.fleet.set_disabled(event.host, event.disabled)
+                self.load_balancer.set_disabled(event.host, event.disabled)
             case api.DrainStarted():
                 self.quotas.drain()
             case api.TakenOver():
@@ -166,7 +166,7 @@
             delay_ms = RESUBSCRIBE_MS * (1 + self.rng.random())
             self.context.actions.append(api.SetTimer(SUBSCRIBE_TIMER, delay_ms))
         else:
-            self.fleet.update_endpoints(event)
+            self.load_balancer.update_endpoints(event)
 
     def _client_disconnected(self, request_id: str) -> None:
         self.new_requests.client_disconnected(request_id)
@@ -183,7 +183,7 @@
         if settings.plans != self.settings.plans:
             raise ValueError("plans: cannot change in service")
         self.context.change(settings)
-        self.fleet.change_settings(settings)
+        self.load_balancer.change_settings(settings)
         self.quotas.change_settings(settings)
         used = {pending.request_class.name for pending in self.pending.values()}
         used |= set(self.context.classes) | self.new_requests.waiting_classes()
@@ -195,7 +195,7 @@
         """Let what was observed decay, update the admit fractions, and set the timer again."""
         interval_ms = max(self.context.now - self._housekeeping_due_at + HOUSEKEEPING_INTERVAL_MS, 1.0)
         decay = self.occupancy.update_completion_rate(interval_ms)
-        self.fleet.sweep(interval_ms, decay)
+        self.load_balancer.sweep(interval_ms, decay)
         self.admission.decay_work(decay)
         self.admission.update()
         self.new_requests.settle_overdue()
@@ -219,7 +219,7 @@
             self.is_idle()
             and self.quotas.is_quiescent()
             and all(
-                not h.ejections and not h.connection_refused and self.fleet.capacity_share(h) >= 1
+                not h.ejections and not h.connection_refused and self.load_balancer.capacity_share(h) >= 1
                 for h in self.hosts.values()
             )
         )
--- a/hillmux/decision/host_health.py
+++ b/hillmux/decision/host_health.py
@@ -19,19 +19,21 @@
 class HostHealth:
     """Updates latency and consecutive failures of hosts, and ejects those that fail."""
 
-    __slots__ = ("_context", "_fleet", "_latency")
+    __slots__ = ("_context", "_load_balancer", "_latency")
 
-    def __init__(self, context: DecisionContext, fleet: LoadBalancer, latency: LatencyEstimates) -> None:
+    def __init__(
+        self, context: DecisionContext, load_balancer: LoadBalancer, latency: LatencyEstimates
+    ) -> None:
         self._context = context
-        self._fleet = fleet
+        self._load_balancer = load_balancer
         self._latency = latency
 
     def record(self, pending: PendingRequest, host: Host, event: api.AttemptEnded) -> None:
         """Take account of a finished attempt."""
         result = event.result
         if result == AttemptResult.OK:
-            self._fleet.record_success(host)
-            self._fleet.record_latency_ratio(host, self._latency.record_response(pending, event))
+            self._load_balancer.record_success(host)
+            self._load_balancer.record_latency_ratio(host, self._latency.record_response(pending, event))
         elif result == AttemptResult.CONNECT_FAILED:
             # A reset ends one connection only. Taken for the host's death it would eject a good host, and
             # count it as warming up afterwards; a dead one refuses the next connection.
@@ -41,8 +43,10 @@
             self._record_failures(host, 1)
         elif result in (AttemptResult.ERROR, AttemptResult.TIMED_OUT, AttemptResult.QUEUE_FULL):
             ratio = pending.request_class.latency_objective_ms / self._latency.expected_ms(pending)
-            self._fleet.record_latency_ratio(host, max(ratio, FAILURE_LATENCY_RATIO))
-            outlier_timed_out = result == AttemptResult.TIMED_OUT and self._fleet.outliers.is_outlier(host)
+            self._load_balancer.record_latency_ratio(host, max(ratio, FAILURE_LATENCY_RATIO))
+            outlier_timed_out = result == AttemptResult.TIMED_OUT and self._load_balancer.outliers.is_outlier(
+                host
+            )
             self._record_failures(host, int(outlier_timed_out or result == AttemptResult.ERROR))
 
     def _record_failures(self, host: Host, count: int) -> None:
@@ -51,5 +55,5 @@
             self._eject(host)
 
     def _eject(self, host: Host) -> None:
-        if self._fleet.eject(host):
+        if self._load_balancer.eject(host):
             self._context.log_rate_limited(LogSubject.HOST_EJECTION, f"{host.name} fails: resting it")
--- a/hillmux/decision/new_requests.py
+++ b/hillmux/decision/new_requests.py
@@ -26,7 +26,7 @@
 
     __slots__ = (
         "_context",
-        "_fleet",
+        "_load_balancer",
         "_quotas",
         "_admission",
         "_latency",
@@ -40,7 +40,7 @@
     def __init__(
         self,
         context: DecisionContext,
-        fleet: LoadBalancer,
+        load_balancer: LoadBalancer,
         quotas: Quotas,
         admission: AdmissionControl,
         latency: LatencyEstimates,
@@ -48,7 +48,7 @@
         retry_budget: RetryBudget,
     ) -> None:
         self._context = context
-        self._fleet = fleet
+        self._load_balancer = load_balancer
         self._quotas = quotas
         self._admission = admission
         self._latency = latency
@@ -71,7 +71,7 @@
         if request.time_left_ms <= 0:
             self._admission.reject(request.id, RejectReason.DEADLINE)
             return
-        if not self._fleet.hosts:
+        if not self._load_balancer.hosts:
             self._admission.reject(request.id, RejectReason.NO_HOST)
             return
         deadline_at = context.now + request.time_left_ms
--- a/hillmux/decision/occupancy.py
+++ b/hillmux/decision/occupancy.py
@@ -35,7 +35,7 @@
 
     __slots__ = (
         "_context",
-        "_fleet",
+        "_load_balancer",
         "smoothed",
         "interval_sum",
         "interval_count",
@@ -46,9 +46,9 @@
         "completion_rate",
     )
 
-    def __init__(self, context: DecisionContext, fleet: LoadBalancer) -> None:
+    def __init__(self, context: DecisionContext, load_balancer: LoadBalancer) -> None:
         self._context = context
-        self._fleet = fleet
+        self._load_balancer = load_balancer
         self.smoothed = 0.0
         self.interval_sum = 0.0  # of the samples since the last update
         self.interval_count = 0
@@ -62,7 +62,7 @@
         """Add a finished attempt's sample, if it has one; returns whether the interval is full."""
         if attempt.sent_at < self._context.stalled_at or event.result in NO_SAMPLE:
             return False
-        if self._fleet.outliers.is_outlier(attempt.host):
+        if self._load_balancer.outliers.is_outlier(attempt.host):
             return False  # a few slow hosts must not shed requests of all: outlier ejection handles them
         occupancy = 1.0
         if event.result in RESPONSES:
@@ -71,7 +71,7 @@
             self.response_occupancy += (taken - self.response_occupancy) / MIN_SAMPLES
             self.lost_ratio -= self.lost_ratio / LOST_MEMORY
             # By Little's law a new request would see this latency; it counts by how well the rate is known.
-            predicted_ms = self._fleet.host_set.open_on_healthy / max(self.completion_rate, 1e-9)
+            predicted_ms = self._load_balancer.host_set.open_on_healthy / max(self.completion_rate, 1e-9)
             completions = self.completion_rate * (self._context.now - (self._context.started_at or 0.0))
             weight = MAX_PREDICTION_WEIGHT * min(completions / PREDICTION_SAMPLES, 1.0)
             latency_ms = event.elapsed_ms + weight * (predicted_ms - event.elapsed_ms)
--- a/hillmux/hot_restart/state_codec.py
+++ b/hillmux/hot_restart/state_codec.py
@@ -113,13 +113,13 @@
     """All that a module knows but for what is open, in documents of bounded size; of its customers those that
     are `wanted`.
     """
-    fleet, quotas = gateway.fleet, gateway.quotas
+    load_balancer, quotas = gateway.load_balancer, gateway.quotas
     yield {
         "t": MODULE,
         "version": VERSION,
         "scalars": {name: _scalar(gateway, name) for name in SCALARS}
         | {name: getattr(quotas.throttle, COUNTER_ATTRIBUTES[name]) for name in COUNTER},
-        "warm_rate": fleet.slow_start.warm_work_rate,
+        "warm_rate": load_balancer.slow_start.warm_work_rate,
         "latency": gateway.latency.learned(),
         "asked_at": dict(quotas.registry.last_request_at),
         "cells": [
@@ -127,7 +127,7 @@
             for key, share in gateway.admission.shares.items()
         ],
     }
-    hosts = list(fleet.hosts.values())
+    hosts = list(load_balancer.hosts.values())
     for at in range(0, len(hosts), AT_ONCE):
         some = hosts[at : at + AT_ONCE]
         yield {
@@ -172,7 +172,7 @@
     Raises:
         StateError: the documents are malformed; the gateway is unchanged.
     """
-    state = _parse(documents, gateway.fleet.hosts)
+    state = _parse(documents, gateway.load_balancer.hosts)
     _restore_scalars(gateway, state)
     _restore_cells(gateway, state.cells)
     for name, fields in state.hosts.items():
@@ -244,7 +244,7 @@
     gateway.quotas.shedding_load = gateway.admission.admit_fraction < 1
     gateway.latency.restore(state.latency)
     gateway.quotas.registry.last_request_at.update({n: v for n, v in state.asked_at.items() if n in plans})
-    gateway.fleet.slow_start.warm_work_rate = state.warm_rate
+    gateway.load_balancer.slow_start.warm_work_rate = state.warm_rate
 
 
 def _restore_cells(gateway: Gateway, cells: list[tuple[str, str, list[float]]]) -> None:
@@ -261,16 +261,16 @@
 
 
 def _restore_host(gateway: Gateway, name: str, fields: dict[str, Any]) -> None:
-    fleet, host = gateway.fleet, gateway.fleet.hosts[name]
+    load_balancer, host = gateway.load_balancer, gateway.load_balancer.hosts[name]
     born = host.started_at_ms
     if fields["born"] < born:
         return  # it has started anew since: what was learnt of it is of no use
-    fleet.host_set.detach(host)
+    load_balancer.host_set.detach(host)
     for field, value in fields.items():
         setattr(host, HOST_ATTRIBUTES[field], value)
     host.connection_refused = bool(host.connection_refused)
     host.update_load()
-    fleet.host_set.attach(host, fleet.now)
+    load_balancer.host_set.attach(host, load_balancer.now)
 
 
 def _restore_use(gateway: Gateway, customer: str, plan: str, fields: dict[str, Any]) -> None:
--- a/hillmux/net/managed_gateway.py
+++ b/hillmux/net/managed_gateway.py
@@ -196,9 +196,12 @@
     def metrics_by_name(self) -> dict[str, object]:
         """All metrics, as JSON holds them."""
         open_now = sum(request.client is not None for request in self.requests.values())
-        fleet = self.decision_module.fleet
+        load_balancer = self.decision_module.load_balancer
         return self.metrics.to_dict(
-            [c.name for c in self.settings.classes], open_now, len(fleet.hosts), fleet.skipped_count()
+            [c.name for c in self.settings.classes],
+            open_now,
+            len(load_balancer.hosts),
+            load_balancer.skipped_count(),
         )
 
     def override_host(self, host: str, disabled: bool) -> str:
--- a/hillmux/recovery/snapshotting_gateway.py
+++ b/hillmux/recovery/snapshotting_gateway.py
@@ -130,9 +130,9 @@
 
     def _condition(self, now_ms: float, late: bool) -> GatewayCondition:
         """What the gateway sees of itself; `late`: this observation comes after a stall of the process."""
-        gateway, fleet, throttle = (
+        gateway, load_balancer, throttle = (
             self.decision_module,
-            self.decision_module.fleet,
+            self.decision_module.load_balancer,
             self.decision_module.quotas.throttle,
         )
         counter_used = self.settings.counter_available and throttle.called_at > self._started_at_ms
@@ -142,9 +142,9 @@
             counter_answers=not counter_used or throttle.answer_rate >= SILENT_RATE,
             outcomes=self._outcomes,
             admit_fraction=gateway.admission.admit_fraction,
-            hosts=fleet.host_set.available_count,
-            warming_hosts=fleet.host_set.warming_count,
-            ejected_hosts=fleet.host_set.ejected_count,
+            hosts=load_balancer.host_set.available_count,
+            warming_hosts=load_balancer.host_set.warming_count,
+            ejected_hosts=load_balancer.host_set.ejected_count,
             stalled=late or now_ms - gateway.context.stalled_at < STALL_MEMORY_MS,
         )
 
--- a/tests/admin/test_disabled_hosts.py
+++ b/tests/admin/test_disabled_hosts.py
@@ -30,11 +30,11 @@
     d.give(api.EndpointList(ListKind.FULL, tuple(server(i, capacity=2.0) for i in range(3))))
     d.give(api.EndpointList(ListKind.CHANGES, (server(0, started_at_ms=d.now),)))
     assert "h0" not in sends(d)
-    assert d.gateway.fleet.skipped_count() == 1
+    assert d.gateway.load_balancer.skipped_count() == 1
     d.give(api.HostDisabled("h0", True))
     d.give(api.HostDisabled("h0", False))  # one call back ends it, however often it was taken out
     assert "h0" in sends(d, 200)
-    assert d.gateway.fleet.skipped_count() == 0
+    assert d.gateway.load_balancer.skipped_count() == 0
 
 
 def test_retry_avoids_a_host_disabled_meanwhile() -> None:
@@ -62,7 +62,7 @@
     d.give(api.HostDisabled("h0", True), after=100)
     d.give(api.HostDisabled("h0", False), after=3000)  # restarted meanwhile: the list has not told yet
     host = d.gateway.hosts["h0"]
-    assert d.gateway.fleet.capacity_share(host) == pytest.approx(0.2)
+    assert d.gateway.load_balancer.capacity_share(host) == pytest.approx(0.2)
     back = d.now
     d.give(api.EndpointList(ListKind.CHANGES, (server(0, started_at_ms=back - 1000),)), after=500)
     assert host.warming_since_ms == back - 1000
@@ -75,13 +75,17 @@
 
 def test_enabled_host_is_no_longer_ejected() -> None:
     d = Driver(servers=2)
-    fleet, host = d.gateway.fleet, d.gateway.hosts["h0"]
-    fleet.eject(host)
-    fleet.reindex(host)
-    before = fleet.host_set.open_on_healthy
+    balancer, host = d.gateway.load_balancer, d.gateway.hosts["h0"]
+    balancer.eject(host)
+    balancer.reindex(host)
+    before = balancer.host_set.open_on_healthy
     d.give(api.HostDisabled("h0", True))
     d.give(api.HostDisabled("h0", False))
-    assert (host.ejections, fleet.host_set.ejected_count, fleet.host_set.open_on_healthy) == (0, 0, before)
+    assert (host.ejections, balancer.host_set.ejected_count, balancer.host_set.open_on_healthy) == (
+        0,
+        0,
+        before,
+    )
 
 
 def test_disabled_host_that_was_never_listed_costs_one_name() -> None:
@@ -90,7 +94,7 @@
     d.give(api.EndpointList(ListKind.CHANGES, (server(9),)))
     assert "h9" not in sends(d)
     d.give(api.HostDisabled("h9", False))
-    assert d.gateway.fleet.disabled_since == {}
+    assert d.gateway.load_balancer.disabled_since == {}
 
 
 def changed(**changes: object) -> api.SettingsChanged:
@@ -174,17 +178,17 @@
 
 def test_response_that_a_client_reads_slowly_does_not_count_as_load_of_its_host() -> None:
     d = Driver(servers=1)
-    fleet, host = d.gateway.fleet, d.gateway.hosts["h0"]
+    balancer, host = d.gateway.load_balancer, d.gateway.hosts["h0"]
     streams = [d.ask()[0] for _ in range(5)]
-    assert (host.open_requests, fleet.host_set.open_on_healthy) == (5, 5)
+    assert (host.open_requests, balancer.host_set.open_on_healthy) == (5, 5)
     for rid in streams:
         d.give(api.ResponseStarted(rid, 0))
         d.give(api.ResponseStarted(rid, 0))  # told twice, it counts once
     d.give(api.ResponseStarted(streams[0], 7))
-    assert (host.open_requests, fleet.host_set.open_on_healthy) == (0, 0)
+    assert (host.open_requests, balancer.host_set.open_on_healthy) == (0, 0)
     for rid in streams:
         assert of(d.end(rid, took=40, after=5000), api.SendAttempt | api.Reject) == []
-    assert (host.open_requests, fleet.host_set.open_on_healthy, d.gateway.pending) == (0, 0, {})
+    assert (host.open_requests, balancer.host_set.open_on_healthy, d.gateway.pending) == (0, 0, {})
 
 
 def test_response_that_breaks_off_is_not_retried() -> None:
--- a/tests/balancing/test_selection.py
+++ b/tests/balancing/test_selection.py
@@ -197,7 +197,7 @@
     d = Driver(servers=50)
     rids = [d.ask()[0] for _ in range(100)]
     d.give(api.EndpointList(ListKind.FULL, tuple(server(i) for i in range(100, 150))))
-    balancer = d.gateway.fleet
+    balancer = d.gateway.load_balancer
     assert balancer.host_set.open_on_healthy == 0 and balancer.host_set.available_count == 50
     for rid in rids:  # their outcomes come from hosts that are off the list
         d.end(rid)
--- a/tests/capacity/test_awake_and_figures.py
+++ b/tests/capacity/test_awake_and_figures.py
@@ -13,7 +13,7 @@
 
 def test_a_woken_tenant_has_served_each_of_its_customers() -> None:
     gateway = awake.woken(1)
-    assert gateway.fleet.host_set.available_count == 1
+    assert gateway.load_balancer.host_set.available_count == 1
     assert not gateway.is_quiescent()  # its customers' use still counts: it would not be put away
 
 
--- a/tests/compatibility/test_stored_state.py
+++ b/tests/compatibility/test_stored_state.py
@@ -109,7 +109,7 @@
     gateway = restored(seed)
     head, *others = documents_of(seed)
     assert scalar_fields(gateway) == head["scalars"]
-    assert gateway.fleet.slow_start.warm_work_rate == head["warm_rate"]
+    assert gateway.load_balancer.slow_start.warm_work_rate == head["warm_rate"]
     assert gateway.latency.per_unit_ms == head["latency"]
     assert gateway.quotas.registry.last_request_at == head["asked_at"]
     cells = [
--- a/tests/decision/test_admission.py
+++ b/tests/decision/test_admission.py
@@ -16,7 +16,7 @@
     host = d.gateway.hosts[name]
     host.latency_ratio = pace
     host.update_load()
-    d.gateway.fleet.reindex(host)
+    d.gateway.load_balancer.reindex(host)
 
 
 def test_admit_fraction_falls_from_all_to_the_minimum() -> None:
@@ -124,7 +124,10 @@
         d = Driver(servers=1)
         request_id, _ = d.ask()
         slow_down(d, "h0", 10.0)
-        d.gateway.fleet.outliers.median_latency_ratio, d.gateway.occupancy.response_occupancy = mid, 0.5
+        d.gateway.load_balancer.outliers.median_latency_ratio, d.gateway.occupancy.response_occupancy = (
+            mid,
+            0.5,
+        )
         d.end(request_id, AttemptResult.TIMED_OUT, took=90)
         assert d.gateway.occupancy.interval_count == samples
 
--- a/tests/decision/test_attempts.py
+++ b/tests/decision/test_attempts.py
@@ -20,7 +20,7 @@
     assert d.gateway.attempts.select_host(pending) is None  # the first one is still out
     pending.attempts[0].open, pending.open_attempts = False, 0
     for _ in range(5):  # the other zone's hosts are free, this one's are loaded, one was tried
-        d.gateway.fleet.request_started(first, 0.0)
+        d.gateway.load_balancer.request_started(first, 0.0)
     picked = {d.gateway.attempts.select_host(pending) for _ in range(30)}
     assert other not in picked and {h.zone for h in picked} == {first.zone}
     d.gateway.context.now += 3000
@@ -35,7 +35,7 @@
     assert of(out, api.SendAttempt)
     d.end(request_id)
     host = d.gateway.hosts["h0"]
-    assert d.gateway.fleet.capacity_share(host) < 0.3
+    assert d.gateway.load_balancer.capacity_share(host) < 0.3
 
 
 @pytest.mark.parametrize(
@@ -74,8 +74,8 @@
     d = Driver(servers=4)
     d.sweep()
     host = d.gateway.hosts["h0"]
-    d.gateway.fleet.eject(host)
-    d.gateway.fleet.reindex(host)
+    d.gateway.load_balancer.eject(host)
+    d.gateway.load_balancer.reindex(host)
     seen = {of(d.ask(after=1)[1], api.SendAttempt)[0].host for _ in range(20)}
     assert "h0" not in seen
     assert of(d.ask(after=BASE_EJECTION_MS)[1], api.SendAttempt)[0].host == "h0"
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -32,11 +32,11 @@
 def test_slow_start_budget_has_the_computed_size() -> None:
     d = Driver(servers=1)
     gateway = d.gateway
-    gateway.fleet.slow_start.warm_work_rate = 0.1  # work sent to a warm host each ms
+    gateway.load_balancer.slow_start.warm_work_rate = 0.1  # work sent to a warm host each ms
     d.give(api.EndpointList(ListKind.FULL, (server(9, started_at_ms=d.now - 5000),)))
     cold = gateway.hosts["h9"]
     saved = 0.2 * 0.1 * 2000 / 2  # at most half a span's worth is saved up
-    assert gateway.fleet.slow_start.has_budget(cold, 0.2, saved - 0.1, gateway.fleet.now)
+    assert gateway.load_balancer.slow_start.has_budget(cold, 0.2, saved - 0.1, gateway.load_balancer.now)
     gateway.latency.per_unit_ms["read"] = saved / 4.5
     outs = [d.ask()[1] for _ in range(20)]
     assert (
@@ -49,7 +49,7 @@
     sent = 0
     for i in range(300):
         d = Driver(servers=1, seed=i, fleet_size=300)
-        d.gateway.fleet.slow_start.warm_work_rate, work = (
+        d.gateway.load_balancer.slow_start.warm_work_rate, work = (
             0.1,
             0.36 * 0.1 * 1000 / part,
         )  # 2 of 10 s: at least 0.36 warm
--- a/tests/hot_restart/test_state_codec.py
+++ b/tests/hot_restart/test_state_codec.py
@@ -29,7 +29,7 @@
     """The same requests at the same times, to the old module as if it went on and to its successor."""
     d = busy_gateway(seed, faults=False)
     new = successor_of(d)
-    assert new.gateway.fleet.skipped_count() == d.gateway.fleet.skipped_count()
+    assert new.gateway.load_balancer.skipped_count() == d.gateway.load_balancer.skipped_count()
     answers = []
     for module in (d, new):
         module.gateway.rng.seed(seed)
@@ -78,7 +78,7 @@
     new.give(api.EndpointList(ListKind.CHANGES, (server(2, started_at_ms=d.now),)))
     restore(new.gateway, exported_documents(d.gateway))
     assert new.gateway.hosts["h2"].latency_ratio == 1.0
-    assert new.gateway.fleet.capacity_share(new.gateway.hosts["h2"]) < 1
+    assert new.gateway.load_balancer.capacity_share(new.gateway.hosts["h2"]) < 1
 
 
 def test_sketch_of_forgotten_ceilings_is_restored() -> None:
--- a/tests/recovery/test_retention.py
+++ b/tests/recovery/test_retention.py
@@ -123,7 +123,7 @@
     new.give(api.EndpointList(ListKind.CHANGES, (restarted,)))
     restore(new.gateway, retained(documents, d.now, True, new.now, new.now))
     host = new.gateway.hosts["h2"]
-    assert new.gateway.fleet.capacity_share(host) < 1 and host.latency_ratio == 1.0
+    assert new.gateway.load_balancer.capacity_share(host) < 1 and host.latency_ratio == 1.0
 
 
 def test_host_that_is_not_listed_is_not_restored() -> None:
