--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -113,7 +113,7 @@
     Planted(
         "a keyed request is sent again after its window",
         RETRIES,
-        "if now - risky[0].sent_at > request_class.idempotency_window_ms - 2 * clock_resolution_ms:",
+        "if now - possible_runs[0].sent_at > request_class.idempotency_window_ms - 2 * clock_resolution_ms:",
         "if False:",
         "effects",
         day(*SLOW, *FAILING, booking=KEYED),
--- a/hillmux/decision/admission.py
+++ b/hillmux/decision/admission.py
@@ -1,8 +1,8 @@
 """Admission control by SiRED: the admit fraction falls as the smoothed occupancy of the hosts rises.
 
 Occupancy is the share of its latency objective that a response takes. Its smoothed value maps to a fraction
-of requests to admit, which an accumulator per class and plan turns into single decisions. Fractions are
-staggered, so that requests with the least priority per work are shed first.
+of requests to admit, which an accumulator per class and plan turns into a decision on each request. Fractions
+are staggered, so that requests with the least priority per work are shed first.
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 from hillmux.quotas.quotas import Quotas
 
 MIN_ADMIT_FRACTION: Final = 0.05
-BEYOND_QUOTA_OCCUPANCY: Final = 0.5 * MIN_OCCUPANCY  # below this, requests beyond their quota may be admitted
-LOGGED_ADMIT_FRACTION: Final = 0.9  # a lower one is logged
-ROUNDING: Final = 1e-9  # what a sum of fractions may lack of 1
+BEYOND_QUOTA_OCCUPANCY: Final = 0.5 * MIN_OCCUPANCY  # requests beyond their quota may be admitted below this
+LOGGED_ADMIT_FRACTION: Final = 0.9  # lower fractions are logged
+ROUNDING: Final = 1e-9  # a sum of fractions may be this much below 1
 
 
 def admit_fraction_for(occupancy: float) -> float:
-    """The SiRED admit fraction for a smoothed occupancy."""
+    """Return the SiRED admit fraction for a smoothed occupancy."""
     slope = (MAX_OCCUPANCY - occupancy) / (MAX_OCCUPANCY - MIN_OCCUPANCY)
     return max(MIN_ADMIT_FRACTION, min(slope, 1.0))
 
 
 class AdmissionShare:
-    """Requests of one class and plan: their priority, their work and the fraction admitted."""
+    """Requests of one class and plan: their priority, their work and their admit fraction."""
 
     __slots__ = ("value", "work", "admit_fraction", "accumulator")
 
     def __init__(self) -> None:
         self.value = 0.0  # priority per work
-        self.work = 0.0  # expected work of recent requests, decaying
+        self.work = 0.0  # expected work of recent requests in ms, decaying
         self.admit_fraction = 1.0
         self.accumulator = 0.0
 
 
 class AdmissionControl:
-    """The fractions of requests that the occupancy of the hosts admits."""
+    """Admits or sheds requests by the occupancy of the hosts."""
 
     __slots__ = (
         "_context",
@@ -81,26 +81,26 @@
         return True
 
     def reject(self, request_id: str, reason: api.RejectReason, wait_ms: float = 0.0) -> None:
-        """Reject a request; the client should wait for `wait_ms`, or longer while hosts are overloaded."""
+        """Reject a request; Retry-After is `wait_ms`, or longer while load is shed, within its maximum."""
         wait_ms = max(wait_ms, HOUSEKEEPING_INTERVAL_MS / self.admit_fraction)
         wait_ms = min(wait_ms, self._context.settings.max_retry_after_ms)
         self._context.actions.append(api.Reject(request_id, wait_ms, reason))
 
     def has_spare_capacity(self) -> bool:
-        """Whether the hosts may serve requests beyond their quota."""
+        """Whether the hosts have capacity for requests beyond their quota."""
         return self._occupancy.smoothed < BEYOND_QUOTA_OCCUPANCY
 
     def decay_work(self, factor: float) -> None:
-        """Let the work of earlier requests weigh less."""
+        """Multiply the work of earlier requests by `factor`."""
         for share in self.shares.values():
             share.work *= factor
 
     def retain_classes(self, names: set[str]) -> None:
-        """Forget classes that have none of these names."""
+        """Drop the shares of classes that have none of these names."""
         self.shares = {key: share for key, share in self.shares.items() if key[0] in names}
 
     def reset(self) -> None:
-        """Go back to the state of a new gateway, which admits all requests."""
+        """Return to the state of a new gateway, which admits all requests."""
         self._occupancy.reset()
         self.admit_fraction = 1.0
         self._quotas.shedding_load = False
@@ -109,7 +109,7 @@
             share.accumulator = 0.0
 
     def update(self) -> None:
-        """Update the occupancy, and the admit fractions by it."""
+        """Update the occupancy, and the admit fractions that follow from it."""
         self._occupancy.update()
         self.admit_fraction = admit_fraction_for(self._occupancy.value())
         self._quotas.shedding_load = self.admit_fraction < 1
@@ -121,14 +121,14 @@
             )
 
     def _stagger_fractions(self) -> None:
-        """Give the admitted work to the shares in order of priority per work; the sum stays the same."""
-        total = sum(share.work for share in self.shares.values())
-        above = 0.0
+        """Assign the admitted work to the shares in order of priority per work; its sum stays the same."""
+        total_work = sum(share.work for share in self.shares.values())
+        higher_part = 0.0  # part of the work that has a higher priority
         for share in sorted(self.shares.values(), key=lambda share: -share.value):
-            part = share.work / total if total > 0 else 1.0
+            part = share.work / total_work if total_work > 0 else 1.0
             if part > 0:
-                left = (self.admit_fraction - above) / part
-                share.admit_fraction = max(MIN_ADMIT_FRACTION, min(left, 1.0))
+                fraction = (self.admit_fraction - higher_part) / part
+                share.admit_fraction = max(MIN_ADMIT_FRACTION, min(fraction, 1.0))
             else:
                 share.admit_fraction = self.admit_fraction
-            above += part
+            higher_part += part
--- a/hillmux/decision/attempts.py
+++ b/hillmux/decision/attempts.py
@@ -35,7 +35,7 @@
 
 
 class AttemptManager:
-    """Starts attempts, takes account of their results, and answers each request once."""
+    """Starts attempts, handles their results, and answers each request once."""
 
     __slots__ = (
         "_context",
@@ -68,7 +68,7 @@
         self._retry_budget = retry_budget
 
     def select_host(self, pending: PendingRequest) -> Host | None:
-        """The best host for the next attempt, under the rules on drains, pools and idempotency."""
+        """Return the best host for the next attempt, or None if draining, pools or idempotency allow none."""
         if len(pending.attempts) >= pending.max_attempts:
             return None
         locality = ANY_LOCALITY
@@ -93,7 +93,7 @@
         )
 
     def start(self, pending: PendingRequest, host: Host, window_ms: float = inf) -> None:
-        """Start an attempt, whose last byte must reach the host within `window_ms`."""
+        """Start an attempt; its last byte must reach the host within `window_ms`."""
         context = self._context
         timeout_ms = pending.due_at - context.now - context.settings.clock_resolution_ms
         if timeout_ms < MIN_TIMEOUT_MS:
@@ -106,20 +106,20 @@
         context.actions.append(SendAttempt(pending.request.id, host.name, timeout_ms, window_ms))
 
     def response_started(self, event: api.ResponseStarted) -> None:
-        """The response has begun at the client: no other attempt may answer the request."""
+        """Handle the start of the response to the client: no other attempt may answer the request."""
         pending = self._context.pending.get(event.request_id)
         if pending is None or not 0 <= event.attempt < len(pending.attempts):
             return
         pending.streaming = True
         attempt = pending.attempts[event.attempt]
         if attempt.open and not attempt.streaming:
-            # The host has done its work; a client that reads slowly must not count as the host's load.
+            # The host has finished its work; a client that reads slowly must not count as load on the host.
             attempt.streaming = True
             self._load_balancer.request_ended(attempt.host)
             self._load_balancer.reindex(attempt.host)
 
     def ended(self, event: api.AttemptEnded) -> None:
-        """An attempt has ended: take account of its result, then answer the request or retry it."""
+        """Handle the result of an attempt, then answer the request or retry it."""
         pending = self._context.pending.get(event.request_id)
         if pending is None or not 0 <= event.attempt < len(pending.attempts):
             return
@@ -150,12 +150,12 @@
             self._retry_or_answer(pending, event)
 
     def _retry_or_answer(self, pending: PendingRequest, event: api.AttemptEnded) -> None:
-        # A limit of this gateway is the same for every host: a retry would end in the same way.
+        # A limit of this gateway applies to every host: a retry would fail in the same way.
         if event.result == AttemptResult.LOCAL_LIMIT or not self._retry(pending, event):
             self._answer(pending)
 
     def _retry(self, pending: PendingRequest, event: api.AttemptEnded) -> bool:
-        """Start a further attempt, if it can be in time and the retry budget covers it."""
+        """Retry if the answer can be in time and the retry budget covers it; return whether it did."""
         context = self._context
         clock_resolution_ms = context.settings.clock_resolution_ms
         expected_ms = self._latency.expected_ms(pending)
@@ -171,8 +171,8 @@
         return True
 
     def _answer(self, pending: PendingRequest) -> None:
-        """Give the final answer of a request that no host will serve."""
-        # A rejection promises that the request never ran.
+        """Answer a request that no host will serve."""
+        # A rejection guarantees that the request never ran.
         if any(attempt.may_have_run for attempt in pending.attempts):
             self._context.actions.append(api.Fail(pending.request.id))
         else:
@@ -180,7 +180,7 @@
         self.finish(pending)
 
     def finish(self, pending: PendingRequest) -> None:
-        """Start no more attempts; open ones are cancelled where possible, and their results awaited."""
+        """Start no more attempts, cancel open ones where allowed, drop the request once all have ended."""
         if pending.open_attempts:
             if self._context.settings.cancellation_allowed and not (pending.streaming or pending.answered):
                 self._context.actions.extend(
@@ -195,5 +195,5 @@
             return
         pending.quota.open_requests -= 1
         if pending.undelivered_attempts and pending.undelivered_attempts == len(pending.attempts):
-            # Otherwise a client that leaves during a dial would use up a quota for which nothing was sent.
+            # Otherwise a client that disconnects during connection setup would use up quota without sending.
             self._quotas.refund(pending.quota, pending.request.units, pending.beyond_quota)
--- a/hillmux/decision/context.py
+++ b/hillmux/decision/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a gateway's decisions share: settings, clock, pending requests, actions of this event."""
+"""State that the parts of the decision module share: settings, clock, pending requests, actions."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from hillmux.decision.request_state import PendingRequest
 
 HOUSEKEEPING_INTERVAL_MS: Final = 100.0  # also the interval of occupancy updates
-LOG_INTERVAL_MS: Final = 5000.0  # between two lines of one subject
+LOG_INTERVAL_MS: Final = 5000.0  # minimum time between two lines of one subject
 
 
 class LogSubject(StrEnum):
-    """What a line of the log is about; lines of one subject are limited in rate."""
+    """Subject of a log line; lines of one subject are rate-limited."""
 
     OVERLOAD = "overload"
     COUNTER = "counter"
@@ -22,7 +22,7 @@
 
 
 class DecisionContext:
-    """State that several parts of the decision module read. Times are ms on the caller's clock."""
+    """State that several parts of the decision module use. Times are in ms on the caller's clock."""
 
     __slots__ = (
         "settings",
@@ -44,18 +44,18 @@
         self.rng = rng
         self.now = 0.0
         self.started_at: float | None = None  # moment of the first event
-        self.stalled_at = -1.0  # moment at which the last stall of this process was noticed
-        self.actions: list[api.Action] = []  # the answer to the event at hand
+        self.stalled_at = -1.0  # when the last stall of this process was detected
+        self.actions: list[api.Action] = []  # actions for the current event
         self.pending: dict[str, PendingRequest] = {}  # by request id
         self._logged_at: dict[LogSubject, float] = {}
 
-    def change(self, settings: api.Settings) -> None:
-        """Replace the settings; plans stay as they are."""
+    def change_settings(self, settings: api.Settings) -> None:
+        """Replace the settings; the plans are the same."""
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
 
     def log_rate_limited(self, subject: LogSubject, text: str) -> None:
-        """Log a line, unless one of the same subject was logged a short time ago."""
+        """Log a line, unless one of the same subject was logged within `LOG_INTERVAL_MS`."""
         if self.now - self._logged_at.get(subject, -1e9) >= LOG_INTERVAL_MS:
             self._logged_at[subject] = self.now
             self.actions.append(api.Log(text))
--- a/hillmux/decision/gateway.py
+++ b/hillmux/decision/gateway.py
@@ -1,7 +1,8 @@
-"""The decisions of one gateway: each event goes to the part that handles it.
+"""The decisions of one gateway: passes each event to the part that handles it.
 
-A request passes quota and ceiling, admission control and the choice of a host; its attempts end in one final
-answer. Free of I/O: the caller brings events and the clock (ms), and carries the actions out.
+A request is checked against quota, ceiling and admission control, then sent to the selected host; its
+attempts lead to one final answer. Free of I/O: the caller supplies the events and the time (ms), and executes
+the actions.
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
 from hillmux.quotas.quotas import Quotas
 from hillmux.quotas.state import QuotaState
 
-STALL_MS: Final = 2 * HOUSEKEEPING_INTERVAL_MS  # housekeeping so late shows a stall of this process
-OUTDATED_MS: Final = 5000.0  # after a stall so long, the occupancy seen before it tells nothing any more
-RESUBSCRIBE_MS: Final = 500.0  # least delay before the endpoint list is requested again
+STALL_MS: Final = 2 * HOUSEKEEPING_INTERVAL_MS  # a longer delay of housekeeping shows a stall of this process
+OUTDATED_MS: Final = 5000.0  # after a stall of this length, the occupancy measured before it is outdated
+RESUBSCRIBE_MS: Final = 500.0  # minimum delay before the endpoint list is requested again
 HOUSEKEEPING_TIMER: Final = "sweep"
 SUBSCRIBE_TIMER: Final = "subscribe"
 
@@ -34,8 +35,10 @@
     """The decisions of one gateway."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        """Raises:
-        ValueError: the settings make no sense; the text names the field.
+        """Create a gateway without hosts and requests; `seed` initialises its random numbers.
+
+        Raises:
+            ValueError: a setting is invalid; the message names the field.
         """
         settings.check()
         self.rng = random.Random(seed)
@@ -67,7 +70,7 @@
             self.retry_budget,
         )
         self._housekeeping_due_at = 0.0
-        self._overdue_at = -inf  # housekeeping; the first event comes after this
+        self._overdue_at = -inf  # housekeeping is overdue after this moment, and at the first event
 
     @property
     def settings(self) -> api.Settings:
@@ -75,11 +78,11 @@
         return self.context.settings
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        """The actions that answer one event at `now_ms`; times never run backwards.
+        """Handle an event at `now_ms` and return the actions; the gateway's clock never moves backwards.
 
         Raises:
-            TypeError: it is no event of `hillmux.interface`.
-            ValueError: new settings make no sense.
+            TypeError: `event` is not an event of `hillmux.interface`.
+            ValueError: a new setting is invalid.
         """
         context = self.context
         if now_ms > context.now:
@@ -96,14 +99,14 @@
         return context.actions
 
     def _housekeeping_overdue(self) -> None:
-        """The gateway has not started yet, or this process was stalled."""
+        """Start the gateway at its first event, or handle a stall of this process."""
         if self.context.started_at is None:
             self._start()
         else:
             self._note_stall()
 
     def _start(self) -> None:
-        """Set the timers going at the first event."""
+        """Set the housekeeping timer, and subscribe to the endpoint list if discovery requires it."""
         context = self.context
         context.started_at = self.quotas.started_at = context.now
         self._set_housekeeping_timer()
@@ -116,11 +119,11 @@
         self.context.actions.append(api.SetTimer(HOUSEKEEPING_TIMER, HOUSEKEEPING_INTERVAL_MS))
 
     def _note_stall(self) -> None:
-        """Keep a stall of this process from being taken for slow hosts.
+        """Prevent a stall of this process from being mistaken for slow hosts.
 
-        Attempts that were open during it give no occupancy sample. After a long one the gateway admits all
-        requests, as a new one does: going by what it saw before, it would shed requests of a calm fleet until
-        the few results that it lets come show otherwise.
+        Attempts that were open during the stall give no occupancy sample. After a long stall the gateway
+        admits all requests, as a new one does: with the occupancy measured before, it would shed requests
+        although hosts are no longer loaded, until the results of the few admitted ones lowered it.
         """
         context = self.context
         context.stalled_at = context.now
@@ -129,7 +132,7 @@
             self.admission.reset()
 
     def _handle_control_event(self, event: api.Event) -> None:
-        """Handle an event that is rarer than requests and results."""
+        """Handle an event that is less frequent than requests and results of attempts."""
         match event:
             case api.CounterReply():
                 self.new_requests.counter_replied(event)
@@ -155,7 +158,7 @@
                 raise TypeError(f"not an event of hillmux.interface: {event!r}")
 
     def _timer_fired(self, name: str) -> None:
-        """Timers of an earlier process with other names are ignored."""
+        """Handle a timer; timers with other names, set by an earlier process, are ignored."""
         if name == HOUSEKEEPING_TIMER:
             self._run_housekeeping()
         elif name == SUBSCRIBE_TIMER:
@@ -178,21 +181,25 @@
         self.new_requests.settle(quota)
 
     def _change_settings(self, settings: api.Settings) -> None:
-        """Take over new classes and limits. Open requests keep what they began with; plans stay."""
+        """Apply new classes and limits; open requests keep theirs.
+
+        Raises:
+            ValueError: a setting is invalid, or the plans differ.
+        """
         settings.check()
         if settings.plans != self.settings.plans:
             raise ValueError("plans: cannot change in service")
-        self.context.change(settings)
+        self.context.change_settings(settings)
         self.load_balancer.change_settings(settings)
         self.quotas.change_settings(settings)
-        used = {pending.request_class.name for pending in self.pending.values()}
-        used |= set(self.context.classes) | self.new_requests.waiting_classes()
-        self.latency.change(settings.classes, used)
-        self.admission.retain_classes(used)
-        self.new_requests.change(settings.classes)
+        used_names = {pending.request_class.name for pending in self.pending.values()}
+        used_names |= set(self.context.classes) | self.new_requests.waiting_classes()
+        self.latency.change_classes(settings.classes, used_names)
+        self.admission.retain_classes(used_names)
+        self.new_requests.change_classes(settings.classes)
 
     def _run_housekeeping(self) -> None:
-        """Let what was observed decay, update the admit fractions, and set the timer again."""
+        """Decay observed rates, update the admit fractions and set the timer again."""
         interval_ms = max(self.context.now - self._housekeeping_due_at + HOUSEKEEPING_INTERVAL_MS, 1.0)
         decay = self.occupancy.update_completion_rate(interval_ms)
         self.load_balancer.sweep(interval_ms, decay)
@@ -203,17 +210,18 @@
         self._set_housekeeping_timer()
 
     def is_idle(self) -> bool:
-        """Whether housekeeping may be rare: no request is open or waits, and no pressure has to fade."""
+        """Whether housekeeping may be rare: no open or waiting request, no occupancy that must decay."""
         if self.pending or self.new_requests.waiting_quotas:
             return False
         return self.occupancy.is_idle() and self.admission.admit_fraction >= 1.0
 
     def is_quiescent(self) -> bool:
-        """Whether nothing is left that a new gateway of the same start would not know from its host list:
-        no request, no customer's use that still counts, no host that is warming up or ejected, no pressure.
+        """Whether a new gateway with the same start time and endpoint list could replace this one.
 
-        Such a gateway may be dropped, and made again from its settings for the next request: its first event,
-        handled at the time of the start, gives ceilings back all that they have earned since.
+        That is so if there is no request, no usage of a customer that still counts, no host that is warming
+        up or ejected, and no overload. Such a gateway may be discarded and created again from its settings
+        for the next request: its first event, handled at the time of the start, refills ceilings for all the
+        time since.
         """
         return (
             self.is_idle()
--- a/hillmux/decision/host_health.py
+++ b/hillmux/decision/host_health.py
@@ -1,4 +1,4 @@
-"""What the result of an attempt says of its host."""
+"""Health of hosts, as the results of attempts show it."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from hillmux.decision.request_state import PendingRequest
 from hillmux.interface import AttemptResult
 
-MAX_CONSECUTIVE_FAILURES: Final = 3  # failed or slow attempts, or resets, after which a host is ejected
-FAILURE_LATENCY_RATIO: Final = 2.0  # a failed attempt counts as at least this slow
+MAX_CONSECUTIVE_FAILURES: Final = 3  # failed or slow attempts or resets in a row that eject a host
+FAILURE_LATENCY_RATIO: Final = 2.0  # lower bound of the latency ratio of a failed attempt
 
 
 class HostHealth:
-    """Updates latency and consecutive failures of hosts, and ejects those that fail."""
+    """Updates latency ratio and consecutive failures of hosts, and ejects hosts that fail."""
 
     __slots__ = ("_context", "_load_balancer", "_latency")
 
@@ -29,14 +29,14 @@
         self._latency = latency
 
     def record(self, pending: PendingRequest, host: Host, event: api.AttemptEnded) -> None:
-        """Take account of a finished attempt."""
+        """Update the host's health with the result of an attempt."""
         result = event.result
         if result == AttemptResult.OK:
             self._load_balancer.record_success(host)
             self._load_balancer.record_latency_ratio(host, self._latency.record_response(pending, event))
         elif result == AttemptResult.CONNECT_FAILED:
-            # A reset ends one connection only. Taken for the host's death it would eject a good host, and
-            # count it as warming up afterwards; a dead one refuses the next connection.
+            # A reset ends only one connection. Treated like this, it would eject a healthy host and count it
+            # as warming up afterwards; a failed host refuses the next connection.
             host.connection_refused = True
             self._eject(host)
         elif result in (AttemptResult.RESET, AttemptResult.INCOMPLETE_REQUEST):
--- a/hillmux/decision/new_requests.py
+++ b/hillmux/decision/new_requests.py
@@ -18,7 +18,7 @@
 from hillmux.quotas.state import QuotaState, WaitingRequest
 from hillmux.quotas.throttle import SILENT_RATE
 
-WAIT_MARGIN_MS: Final = 2 * HOUSEKEEPING_INTERVAL_MS  # time that is left when a wait for the counter ends
+WAIT_MARGIN_MS: Final = 2 * HOUSEKEEPING_INTERVAL_MS  # time that must remain after a wait for the counter
 
 
 class NewRequestHandler:
@@ -55,11 +55,12 @@
         self._attempts = attempts
         self._retry_budget = retry_budget
         self.deadline_samples = {c.name: DeadlineSamples() for c in context.settings.classes}
-        self.waiting: dict[str, QuotaState] = {}  # by the id of a request that waits for the counter
-        self.waiting_quotas: dict[QuotaState, None] = {}  # a request waits, or its client left meanwhile
+        self.waiting: dict[str, QuotaState] = {}  # by id of the request that waits for the counter
+        # Quotas that requests wait for, in order; those whose clients have disconnected stay until settled.
+        self.waiting_quotas: dict[QuotaState, None] = {}
 
     def handle(self, request: api.Request) -> None:
-        """Decide on a request, or let it wait for the counter's total."""
+        """Decide on a request, or hold it back until the counter replies with the total."""
         context = self._context
         if request.id in context.pending or request.id in self.waiting:
             return
@@ -83,7 +84,7 @@
         if quota is None:
             self._admission.reject(request.id, RejectReason.TOO_MANY_CUSTOMERS)
             return
-        # A request with little time left would wait past its end, so it is decided at once.
+        # A request with little time left would be due before the reply, so it is decided at once.
         longest_wait_ms = context.settings.counter_timeout_ms + WAIT_MARGIN_MS
         if due_at - context.now > longest_wait_ms and self._quotas.should_ask_counter(quota, request.units):
             self._wait_for_counter(request, request_class, quota, due_at, deadline_at)
@@ -91,18 +92,19 @@
             self._decide(request, request_class, quota, due_at, deadline_at, False)
 
     def _due_at(self, request: api.Request, request_class: api.RequestClass, deadline_at: float) -> float:
-        """Moment after which an answer has no value.
+        """Return the moment after which an answer has no value.
 
-        Late retries would take quota and work from requests that are in time. First attempts of a class share
-        one time left, which a client's retry has less of. Clients with time limits of their own must not be
-        taken for late, so this applies only while a third of the recent requests agree on the usual time.
+        A client's retry is due when its first attempt was: late retries would take quota and capacity from
+        requests that are in time. First attempts of a class have the same time to deadline, and retries have
+        less. Clients that set their own deadlines must not be mistaken for late, so this applies only while a
+        third of the recent requests have the usual time to deadline.
         """
         if request_class.late_priority_weight > 0:
             return deadline_at
         time_left_ms = request.time_left_ms
         due_at = self._context.now + request_class.latency_objective_ms
         if time_left_ms < self.deadline_samples[request_class.name].record(time_left_ms):
-            due_at -= max(request_class.deadline_ms - time_left_ms, 0.0)  # spent on earlier attempts
+            due_at -= max(request_class.deadline_ms - time_left_ms, 0.0)  # time that earlier attempts took
         return min(due_at, deadline_at)
 
     def _wait_for_counter(
@@ -113,8 +115,8 @@
         due_at: float,
         deadline_at: float,
     ) -> None:
-        """Hold a request back until the counter tells the total of its quota, some ms later."""
-        # Calls for requests that are shed afterwards would load the counter for nothing.
+        """Hold a request back until the counter replies with the total of its quota, some ms later."""
+        # Counter calls for requests that are shed afterwards would load the counter needlessly.
         if not self._admission.admits(request_class, quota.plan, request.units):
             self._admission.reject(request.id, RejectReason.OVERLOAD)
             return
@@ -126,7 +128,7 @@
         self._quotas.report_use(quota, request.units)
 
     def counter_replied(self, reply: api.CounterReply) -> None:
-        """Take over the counter's total, and decide on the requests that waited for it."""
+        """Apply the counter's total, and decide on the requests that waited for it."""
         quota = self._quotas.handle_reply(reply)
         if self._quotas.throttle.answer_rate < SILENT_RATE:
             self._context.log_rate_limited(
@@ -148,7 +150,7 @@
                 self._decide(request, request_class, quota, due_at, deadline_at, True)
 
     def settle_overdue(self) -> None:
-        """Decide on requests whose counter call should have ended: a lost reply must not cost an answer."""
+        """Decide on requests whose counter call is overdue, so that a lost reply costs no answer."""
         overdue_ms = self._context.settings.counter_timeout_ms + HOUSEKEEPING_INTERVAL_MS
         for quota in list(self.waiting_quotas):
             if self._context.now - quota.called_at > overdue_ms:
@@ -156,7 +158,7 @@
                 self.settle(quota)
 
     def client_disconnected(self, request_id: str) -> None:
-        """Forget a request that waits for the counter."""
+        """Drop a request that waits for the counter."""
         self.waiting.pop(request_id, None)
 
     def waiting_classes(self) -> set[str]:
@@ -165,8 +167,8 @@
             waiting.request_class.name for quota in self.waiting_quotas for waiting in quota.waiting or ()
         }
 
-    def change(self, classes: tuple[api.RequestClass, ...]) -> None:
-        """Take over new classes; those with a known name keep their samples."""
+    def change_classes(self, classes: tuple[api.RequestClass, ...]) -> None:
+        """Apply new classes; those with a known name keep their samples."""
         samples = self.deadline_samples
         self.deadline_samples = {c.name: samples.get(c.name) or DeadlineSamples() for c in classes}
 
@@ -179,7 +181,7 @@
         deadline_at: float,
         admitted: bool,
     ) -> None:
-        """Accept or reject a request at once; `admitted` where admission control has admitted it already."""
+        """Accept or reject a request at once; `admitted`: admission control has already admitted it."""
         beyond_quota = not self._quotas.has_units(quota, request.units)
         if beyond_quota:
             plan = quota.plan
@@ -209,7 +211,7 @@
             )
 
     def _forward(self, pending: PendingRequest) -> None:
-        """Take the units of an accepted request and start its first attempt; reject it if no host is left."""
+        """Spend the units of an accepted request and start its first attempt; without a host, reject it."""
         request, quota = pending.request, pending.quota
         host = self._attempts.select_host(pending)
         if host is None:
@@ -227,7 +229,7 @@
     def _reject(
         self, request: api.Request, quota: QuotaState, reason: RejectReason, beyond_quota: bool
     ) -> None:
-        """Reject a request; beyond its quota, its client should wait until the units have been refilled."""
+        """Reject a request; beyond its quota, Retry-After is at least the time to refill its units."""
         rate = quota.plan.rate
         refill_ms = 1000 * request.units / rate if beyond_quota and rate else 0.0
         self._admission.reject(request.id, reason, refill_ms)
--- a/hillmux/decision/request_state.py
+++ b/hillmux/decision/request_state.py
@@ -1,4 +1,4 @@
-"""State of a request that is owed an answer, or that still has open attempts."""
+"""State of a request that awaits its answer or still has open attempts."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
         self.host = host
         self.sent_at = sent_at
         self.open = True
-        self.may_have_run = True  # until a result proves that it never did
-        self.streaming = False  # its response has begun at the client
+        self.may_have_run = True  # false once a result shows that it never ran
+        self.streaming = False  # the client has received the start of its response
 
 
 class PendingRequest:
@@ -53,13 +53,13 @@
         self.request = request
         self.request_class = request_class
         self.quota = quota
-        self.due_at = due_at  # a later answer has no value
-        self.deadline_at = deadline_at  # the client waits no longer
+        self.due_at = due_at  # an answer after this moment has no value
+        self.deadline_at = deadline_at  # the client waits no longer than to this moment
         self.expected_work = expected_work  # expected latency of all its units, in ms
         self.max_attempts = max_attempts
-        self.beyond_quota = beyond_quota  # its units are not taken from the quota
+        self.beyond_quota = beyond_quota  # its units are not deducted from the quota
         self.attempts: list[Attempt] = []
         self.open_attempts = 0
-        self.undelivered_attempts = 0  # their last byte never reached a host
+        self.undelivered_attempts = 0  # attempts whose last byte never reached a host
         self.answered = False
         self.streaming = False
--- a/hillmux/decision/retries.py
+++ b/hillmux/decision/retries.py
@@ -1,4 +1,4 @@
-"""Rules for a further attempt: its budget, idempotency, and how long a request may still be delivered."""
+"""Rules for retries: retry budget, idempotency, and how long a retry may still be delivered."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hillmux.decision.request_state import PendingRequest
 from hillmux.interface import AttemptResult, Idempotency, KeyScope
 
-RETRY_RATIO: Final = 0.2  # retries that an accepted request earns
+RETRY_RATIO: Final = 0.2  # retries that one accepted request earns
 MAX_RETRY_BALANCE: Final = 10.0
 CONNECTION_FAILURES: Final = frozenset(
     (
@@ -18,7 +18,7 @@
         AttemptResult.STALE_CONNECTION,
         AttemptResult.INCOMPLETE_REQUEST,
     )
-)  # the connection failed, which says nothing of the request's work
+)  # connection failures, which say nothing about how long the request's work takes
 Locality = tuple[str | int, ...]  # a zone, or a zone and a cell
 ANY_LOCALITY: Final[Locality] = ()
 
@@ -37,15 +37,15 @@
             self.balance = min(self.balance + RETRY_RATIO, MAX_RETRY_BALANCE)
 
     def withdraw(self, cost: float) -> None:
-        """Take the cost of a retry."""
+        """Deduct the cost of a retry."""
         self.balance -= cost
 
 
 def retry_cost(event: api.AttemptEnded, expected_ms: float) -> float:
-    """What a retry costs after this result, in whole attempts.
+    """Return the cost of a retry after this result, from 0 to 1 attempt.
 
-    A connection that failed at once has cost its host next to nothing; an attempt that was stopped before its
-    first byte, nothing at all.
+    A connection that failed at once has cost its host almost nothing; an attempt that was stopped before its
+    first byte was sent has cost nothing.
     """
     if event.result == AttemptResult.NOT_SENT:
         return 0.0
@@ -55,30 +55,31 @@
 
 
 def retry_locality(pending: PendingRequest, now: float, clock_resolution_ms: float) -> Locality | None:
-    """Where a further attempt may run; None where it may run nowhere."""
+    """Return the locality in which a retry may run, or None if it may not run at all."""
     request_class = pending.request_class
     if request_class.idempotency == Idempotency.IDEMPOTENT:
         return ANY_LOCALITY
-    risky = [attempt for attempt in pending.attempts if attempt.may_have_run]
-    if not risky:
+    possible_runs = [attempt for attempt in pending.attempts if attempt.may_have_run]
+    if not possible_runs:
         return ANY_LOCALITY
     if request_class.idempotency == Idempotency.NOT_IDEMPOTENT:
         return None
-    if now - risky[0].sent_at > request_class.idempotency_window_ms - 2 * clock_resolution_ms:
+    if now - possible_runs[0].sent_at > request_class.idempotency_window_ms - 2 * clock_resolution_ms:
         return None
     if request_class.key_scope == KeyScope.GLOBAL:
         return ANY_LOCALITY
     by_cell = request_class.key_scope == KeyScope.CELL
     localities: set[Locality] = {
-        (attempt.host.zone, attempt.host.cell) if by_cell else (attempt.host.zone,) for attempt in risky
+        (attempt.host.zone, attempt.host.cell) if by_cell else (attempt.host.zone,)
+        for attempt in possible_runs
     }
     return localities.pop() if len(localities) == 1 else None
 
 
 def delivery_window_ms(pending: PendingRequest, now: float, clock_resolution_ms: float) -> float:
-    """How long a retry may still reach a host: with an idempotency key, while hosts remember the key.
+    """Return how long a retry may take to reach a host: with an idempotency key, while hosts recognise it.
 
-    Setting up a connection takes time; delivered later than this, the request would run twice.
+    Connection setup takes time; a request that is delivered later than this would run twice.
     """
     if pending.request_class.idempotency != Idempotency.KEYED:
         return inf
--- a/hillmux/interface/__init__.py
+++ b/hillmux/interface/__init__.py
@@ -1,6 +1,6 @@
-"""Interface of the decision module: its settings, the events it handles, the actions it answers with.
+"""Interface of the decision module: its settings, the events it handles and the actions it returns.
 
-No decision is made here. Times are in milliseconds on the caller's clock, amounts of use in quota units.
+Contains no decision logic. Times are in milliseconds on the caller's clock, amounts in quota units.
 """
 
 from hillmux.interface.actions import (
--- a/hillmux/interface/actions.py
+++ b/hillmux/interface/actions.py
@@ -1,6 +1,6 @@
-"""Actions with which the decision module answers an event.
+"""Actions that the decision module returns for an event.
 
-Every time is in milliseconds on the caller's clock, every amount of use in quota units.
+All times are in milliseconds on the caller's clock, all amounts in quota units.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     request_id: str
     host: str
     timeout_ms: float
-    delivery_window_ms: float = math.inf  # within which its last byte must reach the host
+    delivery_window_ms: float = math.inf  # time limit for the last byte to reach the host
 
     def __init__(
         self, request_id: str, host: str, timeout_ms: float, delivery_window_ms: float = math.inf
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: rejected; it never ran, so the client may send it again."""
+    """Final answer: rejected. The request never ran, so the client may retry it."""
 
     request_id: str
     retry_after_ms: float
@@ -42,14 +42,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed; it may have run."""
+    """Final answer: failed. The request may have run."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt."""
+    """Cancel one open attempt."""
 
     request_id: str
     attempt: int
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` after a delay."""
+    """Request a `TimerFired` after a delay."""
 
     name: str
     delay_ms: float
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask discovery for the endpoint list and its changes."""
+    """Subscribe to the endpoint list of discovery and its changes."""
 
 
 @dataclass(slots=True)
--- a/hillmux/interface/events.py
+++ b/hillmux/interface/events.py
@@ -1,6 +1,6 @@
 """Events that the decision module handles.
 
-Every time is in milliseconds on the caller's clock, every amount of use in quota units.
+All times are in milliseconds on the caller's clock, all amounts in quota units.
 """
 
 from __future__ import annotations
@@ -10,13 +10,14 @@
 from hillmux.interface.results import AttemptResult, ListKind
 from hillmux.interface.settings import Endpoint, Settings
 
-# Events and actions are not changed once they are made, but a frozen dataclass takes longer to create.
-# Those of every request write their `__init__` out: mypyc does not compile the one that dataclass generates.
+# Events and actions are never modified after creation, but a frozen dataclass takes longer to create.
+# Classes instantiated for every request define `__init__`: mypyc does not compile the one that dataclass
+# generates.
 
 
 @dataclass(slots=True)
 class EndpointList:
-    """Hosts from discovery: all of them, those that changed, or none where discovery could not be asked."""
+    """Hosts from discovery: the full list, the changed hosts, or none if the call to discovery failed."""
 
     kind: ListKind
     endpoints: tuple[Endpoint, ...] = ()
@@ -32,8 +33,8 @@
     customer: str
     time_left_ms: float
     units: float = 1.0
-    replicas: int = 1  # gateways that this customer's requests may come through
-    first_replica: int = 0  # index of the first of them
+    replicas: int = 1  # number of gateways that serve this customer
+    first_replica: int = 0  # index of the first gateway that serves this customer
     is_retry: bool = False
     pool: str = ""  # name of the host pool that may serve it
 
@@ -62,7 +63,7 @@
 
 @dataclass(slots=True, init=False)
 class AttemptEnded:
-    """How one attempt ended; `final` is set once the request has its answer."""
+    """Result of one attempt; `final` is true once the request has its final answer."""
 
     request_id: str
     attempt: int
@@ -70,7 +71,7 @@
     result: AttemptResult
     elapsed_ms: float
     final: bool
-    usage_percent: float = 0.0  # 1 + the customer's metered use in percent; 0: not reported
+    usage_percent: float = 0.0  # 1 + the customer's metered usage in percent; 0: not reported
     actual_units: float = 0.0  # 0: not reported
     load_report: dict[str, float] = field(default_factory=dict)
 
@@ -98,7 +99,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """The response's first bytes went to the client: no other attempt may answer the request."""
+    """The first bytes of the response were sent to the client: no other attempt may answer the request."""
 
     request_id: str
     attempt: int
@@ -106,24 +107,24 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has closed its connection; no answer is owed any more."""
+    """The client has closed its connection; the request needs no answer any more."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that a `SetTimer` asked for has fired."""
+    """A timer set with `SetTimer` has fired."""
 
     name: str
 
 
 @dataclass(slots=True)
 class CounterReply:
-    """How one `IncrementCounter` ended.
+    """Result of one `IncrementCounter`.
 
-    With MALFORMED_RESPONSE the amount was added, but the total is not known; with CONNECTION_LOST it may have
-    been added.
+    With MALFORMED_RESPONSE the amount was added, but the total is unknown. With CONNECTION_LOST the amount
+    may have been added.
     """
 
     name: str
@@ -134,7 +135,7 @@
 
 @dataclass(slots=True)
 class HealthCheckReply:
-    """How one health check ended."""
+    """Result of one health check."""
 
     host: str
     result: AttemptResult
@@ -144,7 +145,7 @@
 
 @dataclass(slots=True)
 class HostDisabled:
-    """An operator has disabled or enabled a host; a disabled one drains, whatever discovery lists."""
+    """An operator has disabled or enabled a host; a disabled host drains, whatever discovery lists."""
 
     host: str
     disabled: bool
@@ -152,20 +153,21 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """New settings; open requests keep the class and the number of attempts that they began with."""
+    """New settings; open requests keep their class and their maximum number of attempts."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class DrainStarted:
-    """This process ends soon, without a successor: it returns the units that it leased ahead of use."""
+    """This process exits soon without a successor process: leased units that are not used are returned."""
 
 
 @dataclass(slots=True)
 class TakenOver:
-    """A successor of this process decides from now on and owns this gateway's part of ceilings; where
-    `by_successor` is false, it has ended before it did, and this process goes on.
+    """A successor process has taken over the decisions and this gateway's share of the ceilings.
+
+    If `by_successor` is false, the successor process has ended first, and this process decides again.
     """
 
     by_successor: bool
--- a/hillmux/interface/results.py
+++ b/hillmux/interface/results.py
@@ -1,6 +1,6 @@
-"""Fixed choices of the decision module's interface.
+"""Enumerations of the decision module's interface.
 
-Values are those of settings, metrics and stored records; members carry the field's terms.
+The values are those written in settings, metrics and stored records.
 """
 
 from __future__ import annotations
@@ -10,21 +10,21 @@
 
 
 class RejectReason(StrEnum):
-    """Why a request is rejected: before any attempt, or after attempts that certainly never ran."""
+    """Why a request is rejected: before any attempt, or after attempts that are known not to have run."""
 
     QUOTA = "quota"
     CEILING = "ceiling"
     OVERLOAD = "pressure"
-    """The hosts' occupancy is too high: shed by the admit fraction."""
+    """The hosts' occupancy is too high, so admission control sheds the request."""
     NO_HOST = "no_host"
     DEADLINE = "late"
-    """Too little time is left to answer in time."""
+    """Too little time is left for an answer in time."""
     TOO_MANY_CUSTOMERS = "crowded"
     UNKNOWN_CLASS_OR_PLAN = "unknown"
 
 
 class AttemptResult(StrEnum):
-    """How an attempt, a counter call or a health check ended."""
+    """Result of an attempt, a counter call or a health check."""
 
     OK = "ok"
     ERROR = "error"
@@ -34,17 +34,17 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "moot"
-    """Stopped before its first byte: the request had been answered, or its host was draining."""
+    """Stopped before the first byte was sent: the request had been answered, or the host was draining."""
     MALFORMED_RESPONSE = "spoilt"
     """The response could not be parsed: the request may have run, and the host may be healthy."""
     STALE_CONNECTION = "stale"
     """An idle connection was reset on reuse: the request may have run, and the host may be healthy."""
     INCOMPLETE_REQUEST = "unsent"
-    """The connection broke before the last byte was written: the request never ran."""
+    """The connection was lost before the last byte was written: the request never ran."""
     CONNECTION_LOST = "cut"
-    """The connection broke during a counter call: the amount may have been added."""
+    """The connection was lost during a counter call: the amount may have been added."""
     LOCAL_LIMIT = "no_room"
-    """A limit of this gateway kept the request from being sent, which says nothing of the host."""
+    """A limit of this gateway kept the request from being sent, which says nothing about the host."""
 
 
 class Idempotency(StrEnum):
@@ -52,7 +52,7 @@
 
     IDEMPOTENT = "safe"
     KEYED = "keyed"
-    """Hosts recognise a repeated idempotency key for a time, within the key's scope."""
+    """Hosts recognise a repeated idempotency key for a limited time, within the key's scope."""
     NOT_IDEMPOTENT = "unsafe"
 
 
@@ -65,7 +65,7 @@
 
 
 class HostStatus(StrEnum):
-    """What discovery says of a host."""
+    """Status of a host in the endpoint list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -73,16 +73,16 @@
 
 
 class ListKind(StrEnum):
-    """What an endpoint list holds."""
+    """Kind of an endpoint list."""
 
     FULL = "full"
     CACHED = "kept"
-    """The whole list as it was stored earlier, not as discovery has it now."""
+    """The full list as it was stored earlier, not as discovery has it now."""
     CHANGES = "changes"
     FAILED = "failed"
 
 
-# An attempt with one of these results certainly never ran at its host.
+# An attempt with one of these results is known not to have run at its host.
 NEVER_EXECUTED: Final = frozenset(
     (
         AttemptResult.QUEUE_FULL,
@@ -92,7 +92,7 @@
         AttemptResult.LOCAL_LIMIT,
     )
 )
-# With one of these it never reached the host either, and used nothing of a quota or a ceiling.
+# An attempt with one of these results did not reach its host either, and used no units of a quota or ceiling.
 NEVER_DELIVERED: Final = frozenset(
     (AttemptResult.NOT_SENT, AttemptResult.INCOMPLETE_REQUEST, AttemptResult.LOCAL_LIMIT)
 )
--- a/hillmux/interface/settings.py
+++ b/hillmux/interface/settings.py
@@ -1,6 +1,6 @@
 """Settings of a gateway, and the hosts that discovery lists.
 
-Every time is in milliseconds on the caller's clock, every amount of use in quota units.
+All times are in milliseconds on the caller's clock, all amounts in quota units.
 """
 
 from __future__ import annotations
@@ -13,33 +13,33 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A class of request: its priority, its latency objective and deadline, whether it may run again."""
+    """A request class: its priority, latency objective, deadline and idempotency."""
 
     name: str
     latency_objective_ms: float
     deadline_ms: float
     priority_weight: float = 1.0
-    late_priority_weight: float = 0.0  # of an answer between objective and deadline
+    late_priority_weight: float = 0.0  # for answers between objective and deadline
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     key_scope: KeyScope = KeyScope.GLOBAL
-    idempotency_window_ms: float = 0.0  # how long hosts remember a key
+    idempotency_window_ms: float = 0.0  # how long hosts recognise a key
     streaming: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """A plan: the quota and the ceiling of each customer that has it, and the priority of their requests."""
+    """A plan: the quota, the ceiling and the request priority of each of its customers."""
 
     name: str
-    rate: float = 0.0  # quota units a second; 0: no quota
+    rate: float = 0.0  # quota units per second; 0: no quota
     burst: float = 0.0
     priority_weight: float = 1.0
     over_quota_weight: float = 0.0
     over_quota_cost: float = 0.0
-    ceiling_rate: float = 0.0  # quota units a second; 0: no ceiling
+    ceiling_rate: float = 0.0  # quota units per second; 0: no ceiling
     ceiling_burst: float = 0.0
     ceiling_tolerance: float = 0.0
-    max_concurrency: int = 0  # open attempts; 0: no such limit
+    max_concurrency: int = 0  # open requests of a customer, over all gateways; 0: unlimited
 
 
 @dataclass(slots=True, frozen=True)
@@ -48,7 +48,7 @@
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...] = ()
-    gateway_index: int = 0  # this gateway's number among `fleet_size`
+    gateway_index: int = 0  # number of this gateway, from 0 to `fleet_size` - 1
     fleet_size: int = 1
     zone: str = ""
     max_attempts: int = 1
@@ -57,26 +57,27 @@
     max_retry_after_ms: float = 0.0
     health_checks_allowed: bool = False
     gossip_allowed: bool = False
-    must_subscribe: bool = False  # the endpoint list comes on request only
+    must_subscribe: bool = False  # discovery sends the endpoint list only to subscribers
     counter_available: bool = False
     max_request_units: float = math.inf
-    max_customers: int = 8192  # known at once: bounds the memory that a flood of new names takes
+    max_customers: int = 8192  # tracked at once; bounds the memory used under a flood of new names
     counter_timeout_ms: float = 50.0
     actual_units_reported: bool = False
     usage_period_ms: float = 0.0
     clock_resolution_ms: float = 1.0
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 0.0
-    slow_start_min_share: float = 1.0  # of its capacity that a host can serve at its start
+    slow_start_min_share: float = 1.0  # share of its capacity that a host has right after its start
     slow_start_ms: float = 0.0
     overload_multiple: float = 1.0
     overload_after_ms: float = 0.0
 
     def check(self) -> None:
-        """Check that the settings make sense.
+        """Validate the settings.
 
         Raises:
-            ValueError: the text names the platform's field, what was found and what is allowed.
+            ValueError: a setting is invalid; the message names the platform's field, the value found and the
+                values allowed.
         """
         if not self.classes:
             raise ValueError("classes: found none, expected at least one")
@@ -149,5 +150,5 @@
     cell: int = 0
     status: HostStatus = HostStatus.UP
     capacity: float = 1.0
-    started_at_ms: float = 0.0  # 0: long ago, it needs no slow start
-    pool: str = ""  # it serves requests that name this pool, and no others
+    started_at_ms: float = 0.0  # 0: started long ago, no slow start needed
+    pool: str = ""  # the host serves only requests that name this pool
--- a/hillmux/platform_settings.py
+++ b/hillmux/platform_settings.py
@@ -1,8 +1,8 @@
 """The platform's setting names, mapped to the settings of the decision module.
 
-The platform nests its settings; here each stands under its path, as in `grades.0.objective_ms`, with its
-value as text. Both of its forms come to this: the simulator's first message, and the file of a gateway.
-Unknown settings are ignored.
+The platform's settings are nested. Here they are flattened to a mapping from path, such as
+`grades.0.objective_ms`, to value as text. Both sources, the simulator's first message and a gateway's
+configuration file, are converted to this mapping. Unknown settings are ignored.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 
 from hillmux.interface import Idempotency, KeyScope, Plan, RequestClass, Settings
 
-ABSENT = "-"
+ABSENT = "-"  # stands for a missing value
 
 Choice = TypeVar("Choice", bound=StrEnum)
 
 
 class NumberFormatError(ValueError):
-    """A text that is not a finite number."""
+    """A text does not hold a finite number."""
 
 
 def parse_number(text: str) -> float:
-    """A finite number; an absent one reads as 0.
+    """Return the finite number in `text`; `ABSENT` is read as 0.
 
     Raises:
-        NumberFormatError: it is none.
+        NumberFormatError: `text` does not hold a finite number.
     """
     if text == ABSENT:
         return 0.0
@@ -41,11 +41,11 @@
 
 
 def parse_settings(values: Mapping[str, str]) -> Settings:
-    """Settings from the platform's values by path; `Settings.check` has still to judge them.
+    """Convert the platform's values by path to settings, which are not yet validated by `Settings.check`.
 
     Raises:
-        NumberFormatError: a value is no number; the text names its path.
-        ValueError: a value is none of its choices; the text names the field and what is allowed.
+        NumberFormatError: a value is not a finite number; the message names its path.
+        ValueError: a value is not one of the allowed choices; the message names the field and the choices.
     """
     reader = _SettingReader(values)
     return Settings(
@@ -77,7 +77,7 @@
 
 
 class _SettingReader:
-    """Reads values by path as the types that they stand for."""
+    """Looks up values by path and converts them to their types."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
         self._values = values
@@ -100,12 +100,15 @@
         return self.text(path, "false") in ("true", "1")
 
     def choice(self, path: str, default: Choice, field: str, allowed: str) -> Choice:
-        """One of the choices that `default` belongs to; `field` and `allowed` are for the error's text."""
+        """Return the member of `default`'s enumeration at `path`, or `default` if there is none.
+
+        `field` and `allowed` are used in the error message only.
+        """
         text = self.text(path, default.value)
-        kind = type(default)
-        if text not in set(kind):
+        choices = type(default)
+        if text not in set(choices):
             raise ValueError(f"{field}: found {text!r}, expected {allowed}")
-        return kind(text)
+        return choices(text)
 
 
 def _request_class(reader: _SettingReader, path: str) -> RequestClass:
