--- a/hillmux/decision/admission.py
+++ b/hillmux/decision/admission.py
@@ -30,10 +30,10 @@
 class AdmissionShare:
     """Requests of one class and plan: their priority, their work and their admit fraction."""
 
-    __slots__ = ("value", "work", "admit_fraction", "accumulator")
+    __slots__ = ("priority_per_work", "work", "admit_fraction", "accumulator")
 
     def __init__(self) -> None:
-        self.value = 0.0  # priority per work
+        self.priority_per_work = 0.0  # priority weight per ms of expected latency per quota unit
         self.work = 0.0  # expected work of recent requests in ms, decaying
         self.admit_fraction = 1.0
         self.accumulator = 0.0
@@ -72,7 +72,9 @@
         if share is None:
             share = self.shares[key] = AdmissionShare()
         per_unit_ms = self._latency.per_unit_ms[request_class.name]
-        share.value = request_class.priority_weight * plan.priority_weight / max(per_unit_ms, 1e-6)
+        share.priority_per_work = (
+            request_class.priority_weight * plan.priority_weight / max(per_unit_ms, 1e-6)
+        )
         share.work += per_unit_ms * max(units, 0.0)
         share.accumulator += share.admit_fraction
         if share.accumulator < 1.0 - ROUNDING:
@@ -124,7 +126,7 @@
         """Assign the admitted work to the shares in order of priority per work; its sum stays the same."""
         total_work = sum(share.work for share in self.shares.values())
         higher_part = 0.0  # part of the work that has a higher priority
-        for share in sorted(self.shares.values(), key=lambda share: -share.value):
+        for share in sorted(self.shares.values(), key=lambda share: -share.priority_per_work):
             part = share.work / total_work if total_work > 0 else 1.0
             if part > 0:
                 fraction = (self.admit_fraction - higher_part) / part
--- a/hillmux/hot_restart/state_codec.py
+++ b/hillmux/hot_restart/state_codec.py
@@ -123,7 +123,7 @@
         "latency": gateway.latency.learned(),
         "asked_at": dict(quotas.registry.last_request_at),
         "cells": [
-            [*key, share.value, share.work, share.admit_fraction, share.accumulator]
+            [*key, share.priority_per_work, share.work, share.admit_fraction, share.accumulator]
             for key, share in gateway.admission.shares.items()
         ],
     }
@@ -251,7 +251,7 @@
     for class_name, plan, (value, work, admit_fraction, accumulator) in cells:
         if class_name in gateway.context.classes and plan in gateway.context.plans:
             share = gateway.admission.shares[class_name, plan] = AdmissionShare()
-            share.value, share.work = value, work
+            share.priority_per_work, share.work = value, work
             share.admit_fraction, share.accumulator = admit_fraction, accumulator
 
 
--- a/tests/compatibility/test_stored_state.py
+++ b/tests/compatibility/test_stored_state.py
@@ -113,7 +113,7 @@
     assert gateway.latency.per_unit_ms == head["latency"]
     assert gateway.quotas.registry.last_request_at == head["asked_at"]
     cells = [
-        [*key, share.value, share.work, share.admit_fraction, share.accumulator]
+        [*key, share.priority_per_work, share.work, share.admit_fraction, share.accumulator]
         for key, share in gateway.admission.shares.items()
     ]
     assert sorted(cells) == sorted(head["cells"])
