--- a/tests/decision/event_stream.py
+++ b/tests/decision/event_stream.py
@@ -1,8 +1,8 @@
 """Seeded streams of simulator messages, played against the simulator's adapter in a closed loop.
 
 The stream draws settings, hosts, clients and faults from its seed and answers each action that the adapter
-writes: an attempt ends, a timer fires, a counter replies, a list of hosts arrives. It knows the simulator's
-lines only, so it plays the same stream against any version of the gateway whose decisions are the same.
+writes: an attempt ends, a timer fires, the counter replies, an endpoint list arrives. It uses only the lines
+of the simulator's protocol, so all versions of the gateway with the same decisions get the same stream.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class SimulatedHost:
-    """A host as the stream plays it: what its list entry says, and how it answers."""
+    """A simulated host: its entry in the endpoint list, and how it answers."""
 
     name: str
     zone: str
@@ -48,7 +48,7 @@
     failure_rate: float = 0.0
 
     def line(self) -> str:
-        """Its entry of a list."""
+        """Return the host's entry in an endpoint list."""
         return (
             f"M {self.name} {self.zone} 0 {self.cell} {self.status} {self.capacity:g} {self.started_at_ms:g}"
         )
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request that the gateway has taken: what it asks for, and its attempts still open."""
+    """A request sent to the gateway: its class, its units and its open attempts."""
 
     class_index: int
     units: float
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class Recording:
-    """What a stream came to: messages and actions by name, and a digest after each thousand events."""
+    """Result of a stream: counts of messages and actions by name, a digest after each thousand events."""
 
     events: Counter[str] = field(default_factory=Counter)
     actions: Counter[str] = field(default_factory=Counter)
@@ -85,7 +85,14 @@
         batch: Callable[[float, list[str]], list[str]],
         inject: Callable[[float, str, random.Random], list[str]],
     ) -> None:
-        """`batch` takes the clock in ms and the lines of a batch; `inject` an event that has no line."""
+        """Create a stream.
+
+        Args:
+            seed: of all random draws.
+            events: number of messages after which the stream ends.
+            batch: plays the lines of a batch at a time in ms, and returns the reply.
+            inject: the same for an event, by name, that has no line in the protocol.
+        """
         self.rng = random.Random(seed)
         self.limit = events
         self.batch = batch
@@ -118,10 +125,10 @@
         self.recording.digest = self.hash.hexdigest()
         return self.recording
 
-    # What the stream does of itself
+    # Messages that the stream sends by itself
 
     def _step(self) -> None:
-        """One batch: every message that is due within a millisecond of the next one."""
+        """Play one batch: all messages that are due within a millisecond of the next one."""
         due_ms = max(self.queue[0][0], self.now_ms)
         self.now_ms = due_ms
         lines: list[str] = []
@@ -132,18 +139,18 @@
             elif message[0] == "NEXT_FAULT":
                 lines += self._next_fault()
             elif message[0] == "INJECT":
-                self._take(self.inject(self.now_ms, message[1], self.rng), f"INJECT-{message[1]}")
-            elif self._still_due(message):
+                self._process_reply(self.inject(self.now_ms, message[1], self.rng), f"INJECT-{message[1]}")
+            elif self._close_attempt(message):
                 lines += message
         for line in lines:
             name = line.split(" ", 1)[0]
             if name not in ("M", "CATALOG"):
                 self.recording.events[name] += 1
         if lines:
-            self._take(self.batch(self.now_ms, lines), "")
+            self._process_reply(self.batch(self.now_ms, lines), "")
 
-    def _take(self, reply: list[str], injected: str) -> None:
-        """Hash the actions of one batch, and answer each."""
+    def _process_reply(self, reply: list[str], injected: str) -> None:
+        """Hash the actions of a reply, and answer each; `injected`: name of the injected event, if any."""
         if injected:
             self.recording.events[injected] += 1
         for line in reply:
@@ -160,8 +167,8 @@
         self.order += 1
         heapq.heappush(self.queue, (self.now_ms + in_ms, self.order, lines))
 
-    def _still_due(self, message: list[str]) -> bool:
-        """Whether the request that an attempt's end belongs to still has that attempt open."""
+    def _close_attempt(self, message: list[str]) -> bool:
+        """Close the attempt that an ENDED message is about; return False if it is not open."""
         parts = message[0].split(" ")
         if parts[0] == "ENDED":
             request = self.requests.get(parts[2])
@@ -175,25 +182,25 @@
     def _next_request(self) -> list[str]:
         self._schedule(self.rng.expovariate(1 / self.rate_ms), ["NEXT_REQUEST"])
         self.request_number += 1
-        name = f"r{self.request_number}"
-        index = self.rng.choices(range(len(CLASSES)), (6, 2, 1, 1, 1))[0]
+        request_id = f"r{self.request_number}"
+        class_index = self.rng.choices(range(len(CLASSES)), (6, 2, 1, 1, 1))[0]
         package = self.rng.choices(PACKAGES, (3, 4, 3, 3))[0]
         customer = f"{package[0]}-{int(self.rng.paretovariate(1.1)) % 40}"
-        left_ms = CLASSES[index][2] * self.rng.choice((1.0, 1.0, 1.0, 0.4, 0.02))
+        time_left_ms = CLASSES[class_index][2] * self.rng.choice((1.0, 1.0, 1.0, 0.4, 0.02))
         units = self.rng.choice((1.0, 1.0, 2.5, 0.25))
         replicas = min(self.rng.choice((1, 2, 8)), self.fleet_size)
-        self.requests[name] = OpenRequest(index, units)
+        self.requests[request_id] = OpenRequest(class_index, units)
         flags = 2 if self.rng.random() < 0.1 else 0
         if self.rng.random() < 0.02:
-            self._schedule(self.rng.uniform(0, left_ms), [f"CLIENT_LEFT {INSTANCE} {name}"])
-        class_name = "unheard" if self.rng.random() < 0.001 else CLASSES[index][0]
+            self._schedule(self.rng.uniform(0, time_left_ms), [f"CLIENT_LEFT {INSTANCE} {request_id}"])
+        class_name = "unheard" if self.rng.random() < 0.001 else CLASSES[class_index][0]
         return [
-            f"REQ {INSTANCE} {name} {class_name} {package[0]} {customer} {left_ms:.3f}"
+            f"REQ {INSTANCE} {request_id} {class_name} {package[0]} {customer} {time_left_ms:.3f}"
             f" {units:g} {replicas} 0 {flags}"
         ]
 
     def _next_fault(self) -> list[str]:
-        """One disturbance of hosts, lists, the counter, the clock or the process."""
+        """Inject a fault of hosts, endpoint lists, the counter, the clock or the process."""
         rng = self.rng
         self._schedule(rng.uniform(5.0, 80.0) * self.rate_ms, ["NEXT_FAULT"])
         match rng.randrange(13):
@@ -235,7 +242,7 @@
         return []
 
     def _change_list(self) -> list[str]:
-        """A host drains, goes, restarts or comes."""
+        """Change one host: it starts or stops draining, is removed, restarts or is added."""
         host = self.rng.choice(self.hosts)
         match self.rng.randrange(4):
             case 0:
@@ -297,7 +304,7 @@
         seed = self.rng.randrange(10**6)
         return [f"OPEN_INSTANCE {INSTANCE} {seed} " + " ".join(f"{k}={v}" for k, v in pairs.items())]
 
-    # How the stream answers an action
+    # Answers to the gateway's actions
 
     def _answer(self, parts: list[str]) -> None:
         match parts[0]:
@@ -318,8 +325,8 @@
             case "OBSERVE":
                 self._schedule(self.rng.uniform(1, 300), self._list_lines("Complete", self.hosts))
 
-    def _run_attempt(self, name: str, timeout_ms: float, host_name: str) -> None:
-        request = self.requests.setdefault(name, OpenRequest(0, 1.0))
+    def _run_attempt(self, request_id: str, timeout_ms: float, host_name: str) -> None:
+        request = self.requests.setdefault(request_id, OpenRequest(0, 1.0))
         attempt = request.next_attempt
         request.next_attempt += 1
         request.open_attempts[attempt] = host_name
@@ -334,11 +341,13 @@
         if elapsed_ms >= timeout_ms or result == "TimedOut":
             result, elapsed_ms = "TimedOut", timeout_ms
         if CLASSES[request.class_index][8] and result == "Ok":
-            self._schedule(elapsed_ms / 2, [f"HEAD_RECEIVED {INSTANCE} {name} {attempt} 0 0"])
-        self._end(name, attempt, result, elapsed_ms, host_name)
+            self._schedule(elapsed_ms / 2, [f"HEAD_RECEIVED {INSTANCE} {request_id} {attempt} 0 0"])
+        self._end(request_id, attempt, result, elapsed_ms, host_name)
 
-    def _end(self, name: str, attempt: int, result: str, elapsed_ms: float, host_name: str = "-") -> None:
-        request = self.requests.get(name)
+    def _end(
+        self, request_id: str, attempt: int, result: str, elapsed_ms: float, host_name: str = "-"
+    ) -> None:
+        request = self.requests.get(request_id)
         if request is None or attempt not in request.open_attempts:
             return
         host_name = request.open_attempts[attempt]
@@ -348,13 +357,13 @@
         self._schedule(
             elapsed_ms,
             [
-                f"ENDED {INSTANCE} {name} {attempt} {host_name} {result} {elapsed_ms:.3f} {final}"
+                f"ENDED {INSTANCE} {request_id} {attempt} {host_name} {result} {elapsed_ms:.3f} {final}"
                 f" {usage} {units:g} load:{self.rng.random():.2f}"
             ],
         )
 
     def _count(self, name: str, amount: float) -> None:
-        """The counter's reply: the total with what others have added meanwhile."""
+        """Schedule the counter's reply: the total, including what other gateways have added."""
         elapsed_ms = self.rng.uniform(1.0, 8.0)
         result = "Ok"
         match self.counter_mode:
--- a/tests/decision/playback.py
+++ b/tests/decision/playback.py
@@ -17,7 +17,7 @@
 
 
 class Playback:
-    """An adapter with one gateway, fed a batch at a time."""
+    """An adapter with one gateway, which plays one batch at a time."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -28,12 +28,12 @@
             yield self.lines.pop(0)
 
     def batch(self, now_ms: float, lines: list[str]) -> list[str]:
-        """Play the lines of one batch, and return the reply."""
+        """Play the lines of one batch and return the reply."""
         self.lines = [line + "\n" for line in (*lines, "END")]
         return self.adapter.answer_batch(now_ms)
 
     def inject(self, now_ms: float, name: str, rng: random.Random) -> list[str]:
-        """Deliver an event that has no line on the simulator's wire."""
+        """Deliver an event that has no line in the simulator's protocol, and return the reply."""
         gateway = self.adapter.gateways[INSTANCE]
         event: api.Event
         match name:
--- a/tests/decision/record.py
+++ b/tests/decision/record.py
@@ -1,4 +1,4 @@
-"""Writes recorded_decisions.json from the gateway in this tree."""
+"""Writes recorded_decisions.json with the decisions of the gateway in this tree."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def main() -> None:
-    """Play every stream and write what it came to."""
+    """Play every stream and write the recordings."""
     recordings = {str(seed): record(seed) for seed in SEEDS}
     rows = {
         seed: {
--- a/tests/decision/test_answers.py
+++ b/tests/decision/test_answers.py
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass
 class SentAttempt:
-    """An attempt as the test saw it."""
+    """An attempt that the gateway has sent."""
 
     host: str
     sent_at: float
@@ -42,64 +42,66 @@
         AttemptResult.CONNECT_FAILED,
         AttemptResult.RESET,
     ]
-    asked: dict[str, str] = {}
+    class_names: dict[str, str] = {}
     attempts: dict[str, list[SentAttempt]] = {}
     status = {f"h{i}": HostStatus.UP for i in range(6)}
 
-    def note(out: list[api.Action]) -> None:
+    def handle_actions(out: list[api.Action]) -> None:
         for action in out:
             if isinstance(action, api.SendAttempt):
-                request_class = asked[action.request_id]
-                past = attempts.setdefault(action.request_id, [])
-                risky = [attempt for attempt in past if attempt.may_have_run]
+                class_name = class_names[action.request_id]
+                earlier = attempts.setdefault(action.request_id, [])
+                possible_runs = [attempt for attempt in earlier if attempt.may_have_run]
                 assert status[action.host] == HostStatus.UP, "sent to a drained host"
                 assert count_answers(d, action.request_id, served) == 0, "sent after the final answer"
                 assert action.timeout_ms > 0
-                assert hedging or not any(attempt.open for attempt in past)
-                assert request_class != "pay" or not risky, "unsafe sent twice"
-                if request_class == "put" and risky:
+                assert hedging or not any(attempt.open for attempt in earlier)
+                assert class_name != "pay" or not possible_runs, "unsafe sent twice"
+                if class_name == "put" and possible_runs:
                     zone = {f"h{i}": "ab"[i % 2] for i in range(6)}
-                    assert all(zone[attempt.host] == zone[action.host] for attempt in risky)
-                    assert d.now - risky[0].sent_at < 3000
-                past.append(SentAttempt(action.host, d.now))
-                open_attempts[(action.request_id, len(past) - 1)] = d.now + action.timeout_ms
+                    assert all(zone[attempt.host] == zone[action.host] for attempt in possible_runs)
+                    assert d.now - possible_runs[0].sent_at < 3000
+                earlier.append(SentAttempt(action.host, d.now))
+                open_attempts[(action.request_id, len(earlier) - 1)] = d.now + action.timeout_ms
             elif isinstance(action, api.Reject):
-                request_class = asked[action.request_id]
-                past = attempts.get(action.request_id, [])
-                assert request_class == "read" or not any(attempt.may_have_run for attempt in past)
+                class_name = class_names[action.request_id]
+                earlier = attempts.get(action.request_id, [])
+                assert class_name == "read" or not any(attempt.may_have_run for attempt in earlier)
 
     for step in range(700):
         d.now += rng.expovariate(1 / 15)
         if rng.random() < 0.5:
-            request_class = rng.choice(["read", "put", "pay"])
-            asked[f"r{d.serial + 1}"] = request_class
-            note(d.ask(request_class, left=rng.choice([5, 400, 4000]))[1])
+            class_name = rng.choice(["read", "put", "pay"])
+            class_names[f"r{d.serial + 1}"] = class_name
+            handle_actions(d.ask(class_name, left=rng.choice([5, 400, 4000]))[1])
         due = sorted(k for k, t in open_attempts.items() if t <= d.now)
-        pick = due or (sorted(open_attempts) if rng.random() < 0.6 else [])
-        if pick:
-            key = pick[0] if due else rng.choice(pick)
+        candidates = due or (sorted(open_attempts) if rng.random() < 0.6 else [])
+        if candidates:
+            key = candidates[0] if due else rng.choice(candidates)
             del open_attempts[key]
             result = AttemptResult.TIMED_OUT if due else rng.choice(results)
             attempt = attempts[key[0]][key[1]]
             attempt.may_have_run, attempt.open = result not in NEVER_EXECUTED, False
-            done = count_answers(d, key[0], served) > 0
-            if result == AttemptResult.OK and not done:
+            answered = count_answers(d, key[0], served) > 0
+            if result == AttemptResult.OK and not answered:
                 served.add(key[0])
-            final = done or result == AttemptResult.OK
-            note(
+            final = answered or result == AttemptResult.OK
+            handle_actions(
                 d.give(api.AttemptEnded(key[0], key[1], attempt.host, result, d.now - attempt.sent_at, final))
             )
         if step % 40 == 0:
             name = rng.choice(sorted(status))
             status[name] = rng.choice([HostStatus.UP, HostStatus.DRAINING])
-            note(d.give(api.EndpointList(ListKind.CHANGES, (server(int(name[1:]), status=status[name]),))))
-        note(d.give(api.TimerFired("sweep")))
+            handle_actions(
+                d.give(api.EndpointList(ListKind.CHANGES, (server(int(name[1:]), status=status[name]),)))
+            )
+        handle_actions(d.give(api.TimerFired("sweep")))
     while open_attempts:
         key = min(open_attempts)
         del open_attempts[key]
         attempt = attempts[key[0]][key[1]]
         attempt.may_have_run, attempt.open = True, False
-        note(
+        handle_actions(
             d.give(
                 api.AttemptEnded(
                     key[0],
@@ -112,7 +114,7 @@
                 1,
             )
         )
-    assert all(count_answers(d, request_id, served) == 1 for request_id in asked)
+    assert all(count_answers(d, request_id, served) == 1 for request_id in class_names)
     assert not gateway.pending
 
 
@@ -139,15 +141,16 @@
 
 def test_error_names_the_event_or_the_setting() -> None:
     d = Driver()
-    with pytest.raises(TypeError, match="not an event|object expected; got str"):  # as source, compiled
+    # The first text is raised by the Python source, the second by the compiled module.
+    with pytest.raises(TypeError, match="not an event|object expected; got str"):
         d.give("hello")
-    for changes, word in [
+    for changes, field in [
         ({"classes": ()}, "classes"),
         ({"gateway_index": 3}, "me"),
         ({"fleet_size": 0}, "fleet_size"),
         ({"plans": (api.Plan("p", rate=-1),)}, "rate"),
     ]:
-        with pytest.raises(ValueError, match=word):
+        with pytest.raises(ValueError, match=field):
             Gateway(settings(**changes), 1)
 
 
@@ -155,12 +158,12 @@
     d = Driver()
     for _ in range(50):
         d.end(d.ask(left=3900, after=10)[0])
-    assert of(d.ask(left=2500)[1], api.Reject)  # 1500 ms are gone, the aim was 1000
-    late_but_in_time = of(d.ask(left=3500)[1], api.SendAttempt)[0]  # 500 ms are gone
-    assert late_but_in_time.timeout_ms <= 500
+    assert of(d.ask(left=2500)[1], api.Reject)  # 1500 ms have passed, the latency objective is 1000 ms
+    in_time = of(d.ask(left=3500)[1], api.SendAttempt)[0]  # 500 ms have passed
+    assert in_time.timeout_ms <= 500
 
 
-def test_clients_with_time_limits_of_their_own_are_not_taken_for_late() -> None:
+def test_clients_that_set_their_own_deadlines_are_not_rejected_as_late() -> None:
     d = Driver()
     rng = random.Random(3)
     for _ in range(200):
--- a/tests/decision/test_arbitrary_events.py
+++ b/tests/decision/test_arbitrary_events.py
@@ -1,4 +1,4 @@
-"""Unusual but legal settings and arbitrary events: nothing raises, no request gets two answers."""
+"""Unusual but valid settings and arbitrary events: nothing raises, no request gets two answers."""
 
 from __future__ import annotations
 
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_arbitrary_events_raise_nothing_and_give_one_answer_at_most(seed: int) -> None:
+def test_arbitrary_events_raise_nothing_and_no_request_gets_two_answers(seed: int) -> None:
     rng = random.Random(seed)
     gateway, now = Gateway(arbitrary_settings(rng), seed), 1e5
     request_ids: list[str] = []
--- a/tests/decision/test_attempts.py
+++ b/tests/decision/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: idempotency, retry budget, early time-outs, and what a result says of its host."""
+"""Attempts: idempotency, retry budget, early time-outs, and host health by their results."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     d.give(api.Request("k", "put", "open", "c", 4000.0))
     pending = d.gateway.pending["k"]
     first = pending.attempts[0].host
-    other = [h for h in d.gateway.hosts.values() if h.zone != first.zone][0]
-    assert d.gateway.attempts.select_host(pending) is None  # the first one is still out
+    host_in_other_zone = [h for h in d.gateway.hosts.values() if h.zone != first.zone][0]
+    assert d.gateway.attempts.select_host(pending) is None  # the first attempt is still open
     pending.attempts[0].open, pending.open_attempts = False, 0
-    for _ in range(5):  # the other zone's hosts are free, this one's are loaded, one was tried
+    for _ in range(5):  # in this zone, one host was tried and is loaded; the other zone is free
         d.gateway.load_balancer.request_started(first, 0.0)
-    picked = {d.gateway.attempts.select_host(pending) for _ in range(30)}
-    assert other not in picked and {h.zone for h in picked} == {first.zone}
+    selected = {d.gateway.attempts.select_host(pending) for _ in range(30)}
+    assert host_in_other_zone not in selected and {h.zone for h in selected} == {first.zone}
     d.gateway.context.now += 3000
     assert d.gateway.attempts.select_host(pending) is None
 
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    ("result", "times", "rests"),
+    ("result", "times", "ejected"),
     [
         (AttemptResult.RESET, 2, False),
         (AttemptResult.RESET, 3, True),
@@ -51,15 +51,17 @@
         (AttemptResult.LOCAL_LIMIT, 9, False),
     ],
 )
-def test_host_is_ejected_by_what_a_result_says_of_it(result: str, times: int, rests: bool) -> None:
-    """A connection's end, a spoilt answer or a bound of our own are not the host's death."""
+def test_host_is_ejected_only_by_results_that_show_its_failure(
+    result: str, times: int, ejected: bool
+) -> None:
+    """Single resets, stale connections, malformed responses and limits of this gateway eject no host."""
     d = Driver(servers=1, max_attempts=1)
     for _ in range(times):
         request_id, out = d.ask()
         assert of(out, api.SendAttempt)
         d.end(request_id, result)
     host = d.gateway.hosts["h0"]
-    assert (host.connection_refused, host.ejections > 0) == (result == AttemptResult.CONNECT_FAILED, rests)
+    assert (host.connection_refused, host.ejections > 0) == (result == AttemptResult.CONNECT_FAILED, ejected)
     assert host.open_requests == 0 and d.gateway.occupancy.smoothed == 0
 
 
@@ -76,8 +78,8 @@
     host = d.gateway.hosts["h0"]
     d.gateway.load_balancer.eject(host)
     d.gateway.load_balancer.reindex(host)
-    seen = {of(d.ask(after=1)[1], api.SendAttempt)[0].host for _ in range(20)}
-    assert "h0" not in seen
+    used_hosts = {of(d.ask(after=1)[1], api.SendAttempt)[0].host for _ in range(20)}
+    assert "h0" not in used_hosts
     assert of(d.ask(after=BASE_EJECTION_MS)[1], api.SendAttempt)[0].host == "h0"
 
 
--- a/tests/decision/test_ceiling.py
+++ b/tests/decision/test_ceiling.py
@@ -1,4 +1,4 @@
-"""A ceiling holds over all gateways of a customer, with lost totals and restarts."""
+"""A ceiling holds over all gateways of a customer, despite lost counter replies and restarts."""
 
 from __future__ import annotations
 
@@ -13,59 +13,65 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_gateways_together_stay_under_the_ceiling(seed: int) -> None:
-    """Any order of late, lost and false totals, with restarts: the customer's store never dips below 0."""
+    """With late, lost and wrong totals and restarts, the ceiling's remaining units never fall below 0."""
     rng = random.Random(seed)
     plan = settings().plans[1]
-    now, store, last, sends = 5e5, plan.ceiling_burst, 5e5, 0
-    units: dict[str, int] = {}
-    fleet = [Driver(now=now, seed=i, gateway_index=i) for i in range(3)]
+    now, remaining, refilled_at, sends = 5e5, plan.ceiling_burst, 5e5, 0
+    units_of: dict[str, int] = {}
+    gateways = [Driver(now=now, seed=i, gateway_index=i) for i in range(3)]
 
-    def note(d: Driver, out: list[api.Action]) -> None:
-        nonlocal store, last, sends
+    def handle_actions(d: Driver, out: list[api.Action]) -> None:
+        nonlocal remaining, refilled_at, sends
         for action in of(out, api.SendAttempt):
-            store = min(plan.ceiling_burst, store + (now - last) * plan.ceiling_rate / 1000)
-            last = now
-            store -= units[action.request_id]
+            remaining = min(plan.ceiling_burst, remaining + (now - refilled_at) * plan.ceiling_rate / 1000)
+            refilled_at = now
+            remaining -= units_of[action.request_id]
             sends += 1
-            assert store >= -1e-6
-            note(d, d.give(api.AttemptEnded(action.request_id, 0, action.host, AttemptResult.OK, 50, True)))
+            assert remaining >= -1e-6
+            handle_actions(
+                d, d.give(api.AttemptEnded(action.request_id, 0, action.host, AttemptResult.OK, 50, True))
+            )
         for action in of(out, api.IncrementCounter):
             result = rng.choice([AttemptResult.OK, AttemptResult.TIMED_OUT, AttemptResult.QUEUE_FULL])
-            note(d, d.give(api.CounterReply(action.name, result, rng.choice([action.amount, 0.0, 50.0]))))
+            handle_actions(
+                d, d.give(api.CounterReply(action.name, result, rng.choice([action.amount, 0.0, 50.0])))
+            )
 
     for step in range(3000):
         now += rng.expovariate(1 / 10)
         if rng.random() < 0.002:
             i = rng.randrange(3)
-            fleet[i] = Driver(now=now, seed=step, gateway_index=i)
-        d = fleet[rng.choice([0, 0, 1, 2]) if step % 1000 < 700 else 2]
+            gateways[i] = Driver(now=now, seed=step, gateway_index=i)
+        d = gateways[rng.choice([0, 0, 1, 2]) if step % 1000 < 700 else 2]
         d.now, d.serial = now, step
-        units[f"r{step + 1}"] = size = rng.choice([1, 1, 2])
-        note(d, d.ask(plan="capped", units=size)[1])
-        note(d, d.give(api.TimerFired("sweep")))
+        units_of[f"r{step + 1}"] = units = rng.choice([1, 1, 2])
+        handle_actions(d, d.ask(plan="capped", units=units)[1])
+        handle_actions(d, d.give(api.TimerFired("sweep")))
     assert sends > 100
 
 
 def test_replicas_in_a_large_fleet_stay_under_the_ceiling_with_restarts() -> None:
     rng = random.Random(4)
     plan = settings().plans[1]
-    now, store, last, sends = 5e5, plan.ceiling_burst, 5e5, 0
-    fleet = [Driver(now=now, seed=i, gateway_index=i, fleet_size=300, servers=2) for i in range(10)]
+    now, remaining, refilled_at, sends = 5e5, plan.ceiling_burst, 5e5, 0
+    gateways = [Driver(now=now, seed=i, gateway_index=i, fleet_size=300, servers=2) for i in range(10)]
     for step in range(4000):
         now += rng.expovariate(1 / 5)
         i = rng.randrange(10)
         if rng.random() < 0.01:
-            fleet[i] = Driver(now=now, seed=step, gateway_index=i, fleet_size=300, servers=2)
-        d = fleet[i]
+            gateways[i] = Driver(now=now, seed=step, gateway_index=i, fleet_size=300, servers=2)
+        d = gateways[i]
         d.now, d.serial = now, step
         request_id, out = d.ask(plan="capped", width=10)
         for action in of(out, api.IncrementCounter):
             result = rng.choice([AttemptResult.OK, AttemptResult.TIMED_OUT])
             out = out + d.give(api.CounterReply(action.name, result, rng.choice([0.0, 90.0])))
         for _ in of(out, api.SendAttempt):
-            store = min(plan.ceiling_burst, store + (now - last) * plan.ceiling_rate / 1000) - 1
-            last, sends = now, sends + 1
-            assert store >= -1e-6
+            remaining = (
+                min(plan.ceiling_burst, remaining + (now - refilled_at) * plan.ceiling_rate / 1000) - 1
+            )
+            refilled_at, sends = now, sends + 1
+            assert remaining >= -1e-6
         if request_id in d.gateway.pending:
             d.end(request_id)
     assert sends > 50
--- a/tests/decision/test_customers.py
+++ b/tests/decision/test_customers.py
@@ -1,4 +1,4 @@
-"""Known customers: bounded in number, forgotten when idle, their ceilings kept."""
+"""Tracked customers: limited in number, dropped when idle, with their ceilings kept."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from hillmux.quotas.registry import EVICTION_CANDIDATES
 
 
-def test_customer_with_one_request_is_forgotten() -> None:
+def test_customer_with_one_request_is_dropped_when_idle() -> None:
     d = Driver()
     for i in range(300):
         request_id, out = d.ask(plan="basic", customer=f"k{i}")
@@ -37,7 +37,7 @@
     _, out = d.ask(plan="basic")
     (call,) = of(out, api.IncrementCounter)
     d.give(api.CounterReply(call.name, AttemptResult.OK, 1.0))
-    d.now += 30_000  # it spends all of its burst elsewhere in the meantime
+    d.now += 30_000  # by now it has used all of its burst at other gateways
     sent, called = 0, False
     while not called:
         request_id, out = d.ask(plan="basic", after=1.0)
@@ -47,24 +47,24 @@
     (call,) = of(out, api.IncrementCounter)
     out = d.give(api.CounterReply(call.name, AttemptResult.OK, 100.0))
     assert not of(d.ask(plan="basic", after=1.0)[1], api.SendAttempt)
-    d.now += 30_000  # who was seen to spend much elsewhere is asked for first
+    d.now += 30_000  # after a total with much use by others, the counter is called first
     out = d.ask(plan="basic")[1]
     assert of(out, api.IncrementCounter) and not of(out, api.SendAttempt)
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_customer_long_unseen_gets_a_share_and_no_more_while_the_counter_is_silent(seed: int) -> None:
-    d = Driver(seed=seed, now=1e6 + 700 * seed)  # at any place in the customer's window
+    d = Driver(seed=seed, now=1e6 + 700 * seed)  # at different positions in the customer's window
     _, out = d.ask(plan="basic")
     (call,) = of(out, api.IncrementCounter)
     d.give(api.CounterReply(call.name, AttemptResult.OK, 1.0))
-    d.now += 30_000  # all three gateways may be in this place at once
+    d.now += 30_000  # all three gateways may be in this situation at once
     sent = sum(len(of(d.ask(plan="basic", after=1.0)[1], api.SendAttempt)) for _ in range(20))
     assert 0 < sent <= PLAN.burst / 3
 
 
 def test_customer_is_kept_while_its_ceiling_refills_or_a_request_is_open() -> None:
-    slow = api.Plan("slow", ceiling_rate=0.1, ceiling_burst=60)  # full after ten minutes
+    slow = api.Plan("slow", ceiling_rate=0.1, ceiling_burst=60)  # refilled after ten minutes
     d = Driver(counter_available=False, plans=(slow, PLAN), fleet_size=1)
     d.now += 700_000
     for _ in range(70):
@@ -76,22 +76,22 @@
     d.end("r71")
     d.sweep(1300)
     assert set(d.gateway.quotas.registry.states) == {("spent", "slow"), ("out", "basic")}
-    again = 0
+    admitted = 0
     for _ in range(30):
         request_id, out = d.ask(plan="slow", customer="spent", width=1)
         if of(out, api.SendAttempt):
-            again += 1
+            admitted += 1
             d.end(request_id)
-    assert 10 <= again <= 14  # what 130 s have filled, not all of it
+    assert 10 <= admitted <= 14  # the refill of 130 s, not the whole burst
     d.sweep(6100)
     assert set(d.gateway.quotas.registry.states) == {("out", "basic")}
 
 
-def test_customer_unseen_for_the_longest_is_forgotten_first() -> None:
+def test_least_recently_seen_customer_is_dropped_first() -> None:
     d = Driver(counter_available=False, max_customers=EVICTION_CANDIDATES)
     for i in range(EVICTION_CANDIDATES):
         d.end(d.ask(customer=f"c{i}", after=1.0)[0])
-    for i in (0, 1, 2, 4, 5, 6, 7):  # all but c3 come again
+    for i in (0, 1, 2, 4, 5, 6, 7):  # all but c3 send another request
         d.end(d.ask(customer=f"c{i}", after=1.0)[0])
     d.ask(customer="new", after=1.0)
     states = d.gateway.quotas.registry.states
@@ -99,18 +99,19 @@
 
 
 def test_customers_that_share_a_sketch_slot_keep_their_own_time() -> None:
-    shadow = LatestTimes()
-    shadow.put(bytes([0, 0, 0, 1, 0, 0, 0, 2]), 50.0)
-    shadow.put(bytes([0, 0, 0, 1, 0, 0, 0, 3]), 40.0)
-    assert shadow.get(bytes([0, 0, 0, 1, 0, 0, 0, 2])) == 50.0
-    assert shadow.get(bytes([0, 0, 0, 1, 0, 0, 0, 3])) == 40.0  # not that of the slot that both have
-    assert shadow.get(bytes([0, 0, 0, 1, 0, 0, 0, 4])) == 0.0
+    latest_times = LatestTimes()
+    latest_times.put(bytes([0, 0, 0, 1, 0, 0, 0, 2]), 50.0)
+    latest_times.put(bytes([0, 0, 0, 1, 0, 0, 0, 3]), 40.0)
+    assert latest_times.get(bytes([0, 0, 0, 1, 0, 0, 0, 2])) == 50.0
+    # Not the time in the slot that the two share.
+    assert latest_times.get(bytes([0, 0, 0, 1, 0, 0, 0, 3])) == 40.0
+    assert latest_times.get(bytes([0, 0, 0, 1, 0, 0, 0, 4])) == 0.0
 
 
 def test_known_customers_are_bounded_and_those_with_open_requests_are_kept() -> None:
-    """A flood of new names in one window must not fill the memory, nor push out what is in use."""
+    """A flood of new customers in one window must neither fill the memory nor evict customers in use."""
     d = Driver(counter_available=False, max_customers=50)
-    d.ask(plan="open", customer="busy")  # its request stays out
+    d.ask(plan="open", customer="busy")  # its request stays open
     for i in range(300):
         request_id, out = d.ask(plan="basic", customer=f"k{i}")
         assert of(out, api.SendAttempt)
@@ -125,13 +126,13 @@
 
 
 def test_flood_of_new_customers_is_served_and_keeps_ceilings() -> None:
-    """Known ones at their ceilings are forgotten between two tries: what they have had is not."""
+    """Customers at their ceilings are dropped between two requests, but their use is remembered."""
     d = Driver(counter_available=False, max_customers=20, servers=50)
     admitted, rejected = collections.Counter[str](), 0
-    full, rate = CAPPED.ceiling_burst / 3, CAPPED.ceiling_rate / 1000 / 3
-    d.now += full / rate
-    start, forgotten = d.now, 0
-    for i in range(6000):  # 2,000 new ones a second for three seconds
+    burst, rate = CAPPED.ceiling_burst / 3, CAPPED.ceiling_rate / 1000 / 3
+    d.now += burst / rate
+    start, dropped = d.now, 0
+    for i in range(6000):  # 2,000 new customers per second for three seconds
         request_id, out = d.ask(plan="capped", customer=f"new{i}", after=0.5, width=3)
         rejected += len(of(out, api.Reject))
         if of(out, api.SendAttempt):
@@ -139,25 +140,25 @@
         if i % 10 == 0:
             d.log.clear()
             known = f"known{i // 10 % 5}"
-            forgotten += (known, "capped") not in d.gateway.quotas.registry.states
+            dropped += (known, "capped") not in d.gateway.quotas.registry.states
             request_id, out = d.ask(plan="capped", customer=known, width=3)
             if of(out, api.SendAttempt):
                 admitted[known] += 1
                 d.end(request_id)
-    assert rejected <= 6000 * 0.01  # two slots shared with others is rare
-    assert forgotten > 100
+    assert rejected <= 6000 * 0.01  # sharing both slots with other customers is rare
+    assert dropped > 100
     for known, count in admitted.items():
-        assert count <= full + rate * (d.now - start) + 1e-6, known
-        assert count >= 0.9 * min(full + rate * (d.now - start), 120) - 1
+        assert count <= burst + rate * (d.now - start) + 1e-6, known
+        assert count >= 0.9 * min(burst + rate * (d.now - start), 120) - 1
 
 
 def test_hundred_thousand_new_customers_in_ten_seconds_keep_ceilings() -> None:
-    """As many as the default lets be known, and a dozen times more; known ones try all the time."""
+    """About twelve times as many as are tracked by default; ten customers send requests all the time."""
     gateway = Gateway(settings(counter_available=False), 1)
     now = 1e6
     gateway.handle(now, api.EndpointList(ListKind.FULL, tuple(server(i) for i in range(20))))
-    full, rate = CAPPED.ceiling_burst / 3, CAPPED.ceiling_rate / 1000 / 3
-    now += full / rate
+    burst, rate = CAPPED.ceiling_burst / 3, CAPPED.ceiling_rate / 1000 / 3
+    now += burst / rate
     start, admitted, rejected = now, collections.Counter[str](), 0
 
     def ask(request_id: str, customer: str) -> bool:
@@ -181,7 +182,7 @@
         and not gateway.pending
     )
     assert rejected <= 100_000 * 0.01
-    allowed = full + rate * (now - start)
+    allowed = burst + rate * (now - start)
     assert len(admitted) == 10
     for known, count in admitted.items():
         assert 0.9 * allowed - 1 <= count <= allowed + 1e-6, known
--- a/tests/decision/test_module_rules.py
+++ b/tests/decision/test_module_rules.py
@@ -1,4 +1,4 @@
-"""What decision modules may import, and that the platform's deploy file names each of them."""
+"""Imports allowed in decision modules, and their list in the platform's deploy file."""
 
 from __future__ import annotations
 
@@ -31,6 +31,6 @@
             assert [alias.name for alias in node.names] == ["interface"]
 
 
-def test_deploy_file_names_every_decision_module() -> None:
-    named = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
-    assert sorted(named) == sorted(MODULES)
+def test_deploy_file_lists_every_decision_module() -> None:
+    listed = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
+    assert sorted(listed) == sorted(MODULES)
--- a/tests/decision/test_quota.py
+++ b/tests/decision/test_quota.py
@@ -1,4 +1,4 @@
-"""A quota as one gateway keeps it: between totals, near the limit, with a silent counter."""
+"""A quota at one gateway: between totals, near the limit, and while the counter is silent."""
 
 from __future__ import annotations
 
@@ -17,14 +17,18 @@
     return [a for _, a in d.log if isinstance(a, api.IncrementCounter)]
 
 
-def drive(d: Driver, n: int, others: float = 0.0, lose_at: int = -1, **how: object) -> int:
-    """Ask n times a ms apart; the counter answers at once, the others add `others` before each request."""
+def drive(d: Driver, n: int, others: float = 0.0, lose_at: int = -1, **request_options: object) -> int:
+    """Send `n` requests 1 ms apart, and return how many were forwarded.
+
+    The counter replies at once. Other gateways add `others` units before each request; before the request of
+    index `lose_at` the counter loses its totals.
+    """
     sent = 0
     for i in range(n):
         if i == lose_at:
             d.totals = dict.fromkeys(d.totals, 0.0)
         d.totals = {name: total + others for name, total in d.totals.items()}
-        request_id, _ = d.ask(after=1, **how)
+        request_id, _ = d.ask(after=1, **request_options)
         while d.answered < len(calls := calls_of(d)):
             action = calls[d.answered]
             d.answered += 1
@@ -43,13 +47,13 @@
 
 def test_quota_counts_the_use_at_other_gateways() -> None:
     d = Driver()
-    assert 3 <= drive(d, 12, others=1.0, plan="basic") <= 4  # the others take about every second unit
+    assert 3 <= drive(d, 12, others=1.0, plan="basic") <= 4  # other gateways use about every second unit
 
 
 def test_request_near_the_limit_waits_for_the_total_and_is_answered() -> None:
     d = Driver()
     drive(d, 5, plan="basic")
-    # The estimate says no; the last total left one unit.
+    # The estimate leaves no units; the last total left one.
     d.gateway.quotas.registry.states["c", "basic"].remaining = 0.0
     request_id, out = d.ask(plan="basic")
     assert not of(out, api.SendAttempt) and not of(out, api.Reject) and of(out, api.IncrementCounter)
@@ -59,10 +63,10 @@
 
 
 def test_rejected_reservation_is_returned_while_the_counter_answers() -> None:
-    for heard, amounts in ((1.0, [1, -1]), (0.0, [1])):
+    for answer_rate, amounts in ((1.0, [1, -1]), (0.0, [1])):
         d = Driver()
         d.ask(plan="basic")
-        d.gateway.quotas.throttle.answer_rate = heard
+        d.gateway.quotas.throttle.answer_rate = answer_rate
         d.gateway.rng.random = lambda: 0.5
         d.give(api.CounterReply(calls_of(d)[0].name, AttemptResult.OK, 100.0))
         assert [c.amount for c in calls_of(d)] == amounts
@@ -76,7 +80,7 @@
     assert request_id not in d.gateway.new_requests.waiting
 
 
-def test_lost_counter_reply_does_not_cost_the_answer() -> None:
+def test_request_is_answered_although_the_counter_reply_is_lost() -> None:
     d = Driver()
     drive(d, 5, plan="basic")
     d.gateway.quotas.registry.states["c", "basic"].remaining = 0.0
@@ -103,13 +107,13 @@
 def test_counter_that_lost_its_totals_does_not_refill_the_quota() -> None:
     d = Driver()
     assert drive(d, 20, lose_at=3, plan="basic") == 6
-    use = d.gateway.quotas.registry.states["c", "basic"]
-    assert use.others_rate >= 0  # a total that falls is no use given back by the others
+    state = d.gateway.quotas.registry.states["c", "basic"]
+    assert state.others_rate >= 0  # a lower total does not mean that other gateways returned units
 
 
-def test_use_beyond_the_quota_is_not_owed() -> None:
+def test_use_beyond_the_quota_is_not_deducted_from_later_refills() -> None:
     d = Driver()
-    drive(d, 8, others=5.0, plan="basic")  # the others sent far beyond the quota, which took nothing from it
+    drive(d, 8, others=5.0, plan="basic")  # other gateways use far more than the quota
     d.now += 1000
     drive(d, 1, plan="basic")
     d.now += 1000
@@ -128,12 +132,12 @@
     assert drive(d, 10, plan="basic", width=1) == 6  # its burst
     d.ask(plan="capped", width=3)
     assert drive(d, 5, plan="basic", width=1) == 0
-    use = d.gateway.quotas.registry.states["c", "basic"]
+    state = d.gateway.quotas.registry.states["c", "basic"]
     d.ask(plan="basic", width=3)
-    assert use.replicas == 3  # the safe side of two opinions, for this window and the next
+    assert state.replicas == 3  # the larger value is the safe one, for this window and the next
     for _ in range(2):
         d.ask(plan="basic", width=1, after=d.gateway.quotas.window_ms["basic"])
-    assert use.replicas == 1
+    assert state.replicas == 1
 
 
 def test_plans_with_equal_windows_have_counters_of_their_own() -> None:
@@ -145,7 +149,7 @@
     ]
     assert len(set(names)) == 3
     alone = of(Driver().ask(plan="basic", customer="c")[1], api.IncrementCounter)[0].name
-    assert names[0] != alone == names[0].replace(".0.", ".")  # where no other window is as long: no tag
+    assert names[0] != alone == names[0].replace(".0.", ".")  # without another window of this length, no tag
 
 
 def test_counter_calls_become_rare_while_unanswered_and_recover() -> None:
@@ -164,11 +168,10 @@
         return made
 
     assert calls(AttemptResult.OK) == 60
-    assert (
-        calls(AttemptResult.CONNECTION_LOST, MAX_LOST_CONNECTIONS) == MAX_LOST_CONNECTIONS
-    )  # one connection's end
+    # So few lost connections say nothing of the counter.
+    assert calls(AttemptResult.CONNECTION_LOST, MAX_LOST_CONNECTIONS) == MAX_LOST_CONNECTIONS
     assert d.gateway.quotas.throttle.answer_rate == 1.0
-    assert calls(AttemptResult.CONNECTION_LOST) < 15  # nothing else comes: it is gone
+    assert calls(AttemptResult.CONNECTION_LOST) < 15  # no other results: the counter is unavailable
     calls(AttemptResult.OK, 300)
     assert calls(AttemptResult.QUEUE_FULL) < 15
     calls(AttemptResult.OK, 300)
@@ -181,14 +184,14 @@
     (call,) = of(out, api.IncrementCounter)
     out = d.give(api.CounterReply(call.name, AttemptResult.MALFORMED_RESPONSE, 0.0))
     assert of(out, api.SendAttempt)  # decided at once
-    use = d.gateway.quotas.registry.states["k", "basic"]
+    state = d.gateway.quotas.registry.states["k", "basic"]
     assert d.gateway.quotas.throttle.answer_rate == 1.0
-    assert use.reported == 2 and not use.call_open
+    assert state.reported == 2 and not state.call_open
 
 
 @pytest.mark.parametrize("age_s", [2, 30])
 def test_shares_under_one_unit_add_up_over_the_gateways(age_s: int) -> None:
-    """300 gateways, no counter, one customer: their second tries come to the split, whatever its size."""
+    """300 gateways without a counter: requests after the first add up to the even split of any size."""
     sent = 0
     for i in range(300):
         d = Driver(seed=i, gateway_index=i, fleet_size=300, counter_available=False)
@@ -197,5 +200,5 @@
         for _ in range(3):
             request_id, out = d.ask(plan="basic", width=300)
             sent += len(of(out, api.SendAttempt))
-    extra = sent - 300  # the first one of each gateway is let in: most customers are far from their quota
+    extra = sent - 300  # each gateway admits the first request: most customers are far from their quota
     assert extra <= 2 * EVEN_SPLIT_FACTOR * min(PLAN.burst, PLAN.rate * age_s) + 3
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Hosts that warm up get no more than their share of requests."""
+"""Hosts that are warming up get no more than their share of requests."""
 
 from __future__ import annotations
 
@@ -18,45 +18,44 @@
         if i % 10 == 9:
             d.give(api.TimerFired("sweep"))
     d.give(api.EndpointList(ListKind.CHANGES, (server(9, started_at_ms=d.now),)))
-    to_cold = to_all = 0
+    sent_to_warming = sent = 0
     for i in range(200):
         request_id, out = d.ask(after=10)
-        to_all += 1
-        to_cold += of(out, api.SendAttempt)[0].host == "h9"
+        sent += 1
+        sent_to_warming += of(out, api.SendAttempt)[0].host == "h9"
         d.end(request_id, took=10 if of(out, api.SendAttempt)[0].host == "h9" else 100)
         if i % 10 == 9:
             d.give(api.TimerFired("sweep"))
-    assert to_cold <= BUDGET_SHARE * 3 * 0.4 * to_all / 4 + 1
+    assert sent_to_warming <= BUDGET_SHARE * 3 * 0.4 * sent / 4 + 1
 
 
 def test_slow_start_budget_has_the_computed_size() -> None:
     d = Driver(servers=1)
     gateway = d.gateway
-    gateway.load_balancer.slow_start.warm_work_rate = 0.1  # work sent to a warm host each ms
+    gateway.load_balancer.slow_start.warm_work_rate = 0.1  # work sent to a warm host per ms
     d.give(api.EndpointList(ListKind.FULL, (server(9, started_at_ms=d.now - 5000),)))
-    cold = gateway.hosts["h9"]
-    saved = 0.2 * 0.1 * 2000 / 2  # at most half a span's worth is saved up
-    assert gateway.load_balancer.slow_start.has_budget(cold, 0.2, saved - 0.1, gateway.load_balancer.now)
-    gateway.latency.per_unit_ms["read"] = saved / 4.5
-    outs = [d.ask()[1] for _ in range(20)]
-    assert (
-        4 <= sum(len(of(out, api.SendAttempt)) for out in outs) <= 5
-    )  # other hosts gone: the budget still holds
+    warming_host = gateway.hosts["h9"]
+    max_credit = 0.2 * 0.1 * 2000 / 2  # the budget of half an `overload_after_ms`
+    assert gateway.load_balancer.slow_start.has_budget(
+        warming_host, 0.2, max_credit - 0.1, gateway.load_balancer.now
+    )
+    gateway.latency.per_unit_ms["read"] = max_credit / 4.5
+    replies = [d.ask()[1] for _ in range(20)]
+    # The budget holds although there is no other host.
+    assert 4 <= sum(len(of(out, api.SendAttempt)) for out in replies) <= 5
 
 
-@pytest.mark.parametrize("part", [0.02, 0.2, 0.7])
-def test_shares_under_one_request_add_up_over_the_gateways(part: float) -> None:
+@pytest.mark.parametrize("share", [0.02, 0.2, 0.7])
+def test_shares_under_one_request_add_up_over_the_gateways(share: float) -> None:
     sent = 0
     for i in range(300):
         d = Driver(servers=1, seed=i, fleet_size=300)
-        d.gateway.load_balancer.slow_start.warm_work_rate, work = (
-            0.1,
-            0.36 * 0.1 * 1000 / part,
-        )  # 2 of 10 s: at least 0.36 warm
+        # 2 s of 10 s after its start, the host has at least 0.36 of its capacity.
+        d.gateway.load_balancer.slow_start.warm_work_rate, work = (0.1, 0.36 * 0.1 * 1000 / share)
         d.give(api.EndpointList(ListKind.FULL, (server(9, started_at_ms=d.now - 2000),)))
         d.gateway.latency.per_unit_ms["read"] = work
         sent += any(of(d.ask()[1], api.SendAttempt) for _ in range(10))
-    assert abs(sent - 300 * part) < 3 * (300 * part * (1 - part)) ** 0.5 + 1
+    assert abs(sent - 300 * share) < 3 * (300 * share * (1 - share)) ** 0.5 + 1
 
 
 def test_gateways_without_a_known_rate_send_single_requests_to_a_warming_host() -> None:
