--- a/hillmux/decision/admission.py
+++ b/hillmux/decision/admission.py
@@ -113,7 +113,7 @@
     def update(self) -> None:
         """Update the occupancy, and the admit fractions that follow from it."""
         self._occupancy.update()
-        self.admit_fraction = admit_fraction_for(self._occupancy.value())
+        self.admit_fraction = admit_fraction_for(self._occupancy.estimate())
         self._quotas.shedding_load = self.admit_fraction < 1
         self._stagger_fractions()
         if self.admit_fraction < LOGGED_ADMIT_FRACTION:
--- a/hillmux/decision/new_requests.py
+++ b/hillmux/decision/new_requests.py
@@ -95,9 +95,9 @@
         """Return the moment after which an answer has no value.
 
         A client's retry is due when its first attempt was: late retries would take quota and capacity from
-        requests that are in time. First attempts of a class have the same time to deadline, and retries have
-        less. Clients that set their own deadlines must not be mistaken for late, so this applies only while a
-        third of the recent requests have the usual time to deadline.
+        requests that are in time. First attempts of a class usually have the same time to deadline, and
+        retries have less. Clients that set their own deadlines must not be mistaken for late, so this applies
+        only while a third of the recent requests have the usual time to deadline.
         """
         if request_class.late_priority_weight > 0:
             return deadline_at
--- a/hillmux/decision/occupancy.py
+++ b/hillmux/decision/occupancy.py
@@ -103,7 +103,7 @@
             max_objective_ms = max(c.latency_objective_ms for c in self._context.settings.classes)
             self.smoothed *= 1 - HOUSEKEEPING_INTERVAL_MS / max_objective_ms
 
-    def value(self) -> float:
+    def estimate(self) -> float:
         """Return the smoothed occupancy; while there are few samples, overdue attempts count as samples of 1.
 
         Results show an overload one latency objective late: until then, new gateways would overload hosts.
--- a/hillmux/decision/retries.py
+++ b/hillmux/decision/retries.py
@@ -42,7 +42,7 @@
 
 
 def retry_cost(event: api.AttemptEnded, expected_ms: float) -> float:
-    """Return the cost of a retry after this result, from 0 to 1 attempt.
+    """Return the cost of a retry after this result, in attempts from 0 to 1.
 
     A connection that failed at once has cost its host almost nothing; an attempt that was stopped before its
     first byte was sent has cost nothing.
--- a/hillmux/decision/timeouts.py
+++ b/hillmux/decision/timeouts.py
@@ -38,7 +38,7 @@
         return self._usual_ms
 
     def _update_usual(self) -> None:
-        """Use the 70th percentile as the usual time if a third of the samples are equal to it."""
+        """Use the 70th percentile as the usual time if at least a third of the samples are equal to it."""
         samples = sorted(self._samples)
         usual_ms = samples[len(samples) * 7 // 10]
         low, high = EQUAL_MIN_FACTOR * usual_ms, EQUAL_MAX_FACTOR * usual_ms
--- a/hillmux/interface/events.py
+++ b/hillmux/interface/events.py
@@ -167,7 +167,7 @@
 class TakenOver:
     """A successor process has taken over the decisions and this gateway's share of the ceilings.
 
-    If `by_successor` is false, the successor process has ended first, and this process decides again.
+    If `by_successor` is false, the successor process has exited, and this process makes the decisions again.
     """
 
     by_successor: bool
