--- a/hillmux/decision/gateway.py
+++ b/hillmux/decision/gateway.py
@@ -103,7 +103,7 @@
         if self.context.started_at is None:
             self._start()
         else:
-            self._record_stall()
+            self._note_stall()
 
     def _start(self) -> None:
         """Set the housekeeping timer, and subscribe to the endpoint list if discovery requires it."""
@@ -118,7 +118,7 @@
         self._overdue_at = self._housekeeping_due_at + STALL_MS
         self.context.actions.append(api.SetTimer(HOUSEKEEPING_TIMER, HOUSEKEEPING_INTERVAL_MS))
 
-    def _record_stall(self) -> None:
+    def _note_stall(self) -> None:
         """Prevent a stall of this process from being mistaken for slow hosts.
 
         Attempts that were open during the stall give no occupancy sample. After a long stall the gateway
