--- a/tests/balancing/test_selection.py
+++ b/tests/balancing/test_selection.py
@@ -200,7 +200,7 @@
     d = Driver(servers=50)
     request_ids = [d.ask()[0] for _ in range(100)]
     d.give(api.EndpointList(ListKind.FULL, tuple(server(i) for i in range(100, 150))))
-    balancer = d.gateway.fleet
+    balancer = d.gateway.load_balancer
     assert balancer.host_set.open_on_healthy == 0 and balancer.host_set.available_count == 50
     for request_id in request_ids:  # their outcomes come from hosts that are no longer listed
         d.end(request_id)
