--- a/hillmux/quotas/__init__.py
+++ b/hillmux/quotas/__init__.py
@@ -1,5 +1,5 @@
-"""Quotas and ceilings: what is known of each customer's use, and when the shared counter is called.
+"""Quotas and ceilings: tracks each customer's use and decides when to call the shared counter.
 
-`quotas.Quotas` is what the decision module calls; the other modules hold one part of its work each.
-Free of I/O; times in milliseconds on the module's clock, amounts in quota units.
+The decision module calls `quotas.Quotas`; each of the other modules implements one part of it.
+Performs no I/O. Times are in milliseconds on the decision module's clock, amounts in quota units.
 """
--- a/hillmux/quotas/batches.py
+++ b/hillmux/quotas/batches.py
@@ -1,27 +1,28 @@
-"""How large the batches are in which use is reported to the counter."""
+"""Sizes of the batches in which use is reported to the counter."""
 
 from __future__ import annotations
 
 from typing import Final
 
-MAX_SHARE: Final = 0.4  # of what remains, reported in one batch at most where many gateways serve
-ROOT_FACTOR: Final = 2.0  # see `divisor`
+MAX_SHARE: Final = 0.4  # largest fraction of what remains in one batch, if three or more gateways serve
+ROOT_FACTOR: Final = 2.0  # factor of the square root in `divisor`
 
 
 def share(replicas: int, near_limit: bool = False) -> float:
-    """The part of what remains that one of so many gateways reports in one batch at most.
+    """Return the largest fraction of what remains that one of so many gateways reports in one batch.
 
-    `near_limit`: the others use about all of the refill. All batches together are then no larger than what
-    remains, since nothing would make up for what goes beyond it.
+    `near_limit`: the others use nearly all of the refill. Then all batches together are no larger than what
+    remains, since no spare refill would make up for an excess.
     """
     return 1 / replicas if near_limit else max(MAX_SHARE, 1 / replicas)
 
 
 def divisor(replicas: int, near_limit: bool = False) -> float:
-    """How many times smaller than what remains a batch is for a customer that so many gateways serve.
+    """Return by what number to divide what remains for the size of a batch, if so many gateways serve.
 
-    What independent gateways have not reported adds up like the root of their number once its mean is part of
-    the estimate. So for many gateways a batch is `ROOT_FACTOR` x root times smaller, not as many times as
-    there are gateways: G. Cormode, "The continuous distributed monitoring model", SIGMOD Record 42(1), 2013.
+    Once the estimate includes the mean of what independent gateways have not reported, the sum of the rest
+    grows with the square root of their number. So the divisor for many gateways is `ROOT_FACTOR` times that
+    root instead of their number: G. Cormode, "The continuous distributed monitoring model", SIGMOD Record
+    42(1), 2013.
     """
     return float(replicas if near_limit else min(replicas, ROOT_FACTOR * replicas**0.5))
--- a/hillmux/quotas/latest_times.py
+++ b/hillmux/quotas/latest_times.py
@@ -1,7 +1,7 @@
-"""A sketch of times by key, in a fixed amount of memory.
+"""A sketch that keeps times by key in a fixed amount of memory.
 
-A count-min sketch (Cormode and Muthukrishnan, 2005) with two rows, which keeps the latest time where the
-original adds. The customer registry keeps in it the times of ceilings that it had to forget.
+A count-min sketch (Cormode and Muthukrishnan, 2005) with two hash functions, which keeps the latest time in
+each slot instead of a sum. The customer registry keeps in it the times of evicted customers' ceilings.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 
 class LatestTimes:
-    """Gives for each key a time that is never earlier than the latest one that was put under it.
+    """Maps each key to a time that is never earlier than the latest one that was put under it.
 
-    A key that shares both its slots with others may be given the later time of theirs.
+    The time is later than that only if both slots of the key are shared with keys of later times.
     """
 
     def __init__(self) -> None:
-        self.slots: array[float] | None = None  # half a megabyte, None until there is anything to keep
+        self.slots: array[float] | None = None  # half a megabyte; None until the first `put`
 
     def put(self, digest: bytes, time: float) -> None:
-        """Keep a time, in any unit, under a key of 8 evenly spread bytes."""
+        """Keep a time, in any unit, under a key: a hash of 8 bytes."""
         slots = self.slots
         if slots is None:
             slots = self.slots = array("d", bytes(FLOAT_BYTES * SLOT_COUNT))
@@ -31,7 +31,7 @@
             slots[index] = max(slots[index], time)
 
     def get(self, digest: bytes) -> float:
-        """The time kept under a key, 0 where there is none."""
+        """Return the time kept under a key, or 0 if there is none."""
         if self.slots is None:
             return 0.0
         return min(self.slots[index] for index in _slot_indices(digest))
--- a/hillmux/quotas/randomized_rounding.py
+++ b/hillmux/quotas/randomized_rounding.py
@@ -1,4 +1,4 @@
-"""Randomized rounding: a share too small to serve a request serves it by chance."""
+"""Randomized rounding: a share too small for a request admits it with a probability, not never."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def round_to_whole(rng: random.Random, share: float, whole: float) -> float:
-    """`whole` with the probability `share / whole`, else 0; both in the same unit.
+    """Return `whole` with probability `share / whole`, else 0; both in the same unit.
 
-    A share of 0 or less, or of `whole` or more, is returned as it is and draws no random number. The mean is
-    kept, so the shares of all gateways still add up to what they divide among themselves.
+    A share of 0 or less, or of `whole` or more, is returned unchanged and draws no random number. The
+    expected value is `share`, so on average the shares of all gateways still add up to the total they divide.
     """
     if share >= whole or share <= 0:
         return share
--- a/tests/quotas/test_lease_costs.py
+++ b/tests/quotas/test_lease_costs.py
@@ -148,7 +148,7 @@
         return left, causes
 
     with_leases = ceiling_decisions()
-    monkeypatch.setattr(lease, "draw_ahead", lambda *args: 0.0)
+    monkeypatch.setattr(lease, "prefetch_units", lambda *args: 0.0)
     monkeypatch.setattr(lease, "surplus", lambda state, now: max(state.reported - state.used, 0.0))
     assert ceiling_decisions() == with_leases
     assert RejectReason.CEILING in with_leases[1]
