--- a/hillmux/decision/new_requests.py
+++ b/hillmux/decision/new_requests.py
@@ -16,7 +16,7 @@
 from hillmux.interface import AttemptResult, RejectReason
 from hillmux.quotas.quotas import Quotas
 from hillmux.quotas.state import QuotaState, WaitingRequest
-from hillmux.quotas.throttle import SILENT_RATE
+from hillmux.quotas.throttle import MIN_ANSWER_RATE
 
 WAIT_MARGIN_MS: Final = 2 * HOUSEKEEPING_INTERVAL_MS  # time that is left when a wait for the counter ends
 
@@ -85,7 +85,7 @@
             return
         # A request with little time left would wait past its end, so it is decided at once.
         longest_wait_ms = context.settings.counter_timeout_ms + WAIT_MARGIN_MS
-        if due_at - context.now > longest_wait_ms and self._quotas.should_ask_counter(quota, request.units):
+        if due_at - context.now > longest_wait_ms and self._quotas.should_call_counter(quota, request.units):
             self._wait_for_counter(request, request_class, quota, due_at, deadline_at)
         else:
             self._decide(request, request_class, quota, due_at, deadline_at, False)
@@ -128,7 +128,7 @@
     def counter_replied(self, reply: api.CounterReply) -> None:
         """Take over the counter's total, and decide on the requests that waited for it."""
         quota = self._quotas.handle_reply(reply)
-        if self._quotas.throttle.answer_rate < SILENT_RATE:
+        if self._quotas.throttle.answer_rate < MIN_ANSWER_RATE:
             self._context.log_rate_limited(
                 LogSubject.COUNTER, "counter silent or crowded: calling less, quotas go by our estimates"
             )
--- a/hillmux/hot_restart/state_codec.py
+++ b/hillmux/hot_restart/state_codec.py
@@ -284,7 +284,7 @@
         setattr(state, USE_ATTRIBUTES[name], value)
     state.set_replicas(state.replicas)
     state.lease_confirmed = False
-    state.uncover(gateway.context.now)
+    state.reset_covered_at(gateway.context.now)
 
 
 # --- Reading ---
--- a/hillmux/quotas/batches.py
+++ b/hillmux/quotas/batches.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 MAX_SHARE: Final = 0.4  # largest fraction of what remains in one batch, if three or more gateways serve
-ROOT_FACTOR: Final = 2.0  # factor of the square root in `divisor`
+ROOT_FACTOR: Final = 2.0  # multiple of the square root of the number of gateways; see `divisor`
 
 
 def share(replicas: int, near_limit: bool = False) -> float:
--- a/hillmux/quotas/estimate.py
+++ b/hillmux/quotas/estimate.py
@@ -22,11 +22,12 @@
 ROUNDING_UNITS: Final = 1e-6  # tolerance for floating-point error in differences of sums of units
 
 
-def advance(state: QuotaState, now: float, shedding_load: bool, counter_silent: bool) -> None:
+def advance(state: QuotaState, now: float, shedding_load: bool, counter_unresponsive: bool) -> None:
     """Advance `state.remaining` and `state.upper_bound` to `now` (ms), which must be after `remaining_at`.
 
-    `shedding_load`: admission control admits only a part of the requests. `counter_silent`: most counter
-    calls go unanswered, so the last total may be outdated; at least the even split of the refill is added.
+    `shedding_load`: admission control admits only a part of the requests. `counter_unresponsive`: most
+    counter calls go unanswered, so the last total may be outdated; at least the even split of the refill is
+    added.
     """
     span = now - state.remaining_at
     burst, rate = state.plan.burst, state.plan.rate / 1000
@@ -35,7 +36,7 @@
     if state.last_total is None:
         share = _even_split(state, shedding_load)
         gain, limit = rate * share, burst * share
-    elif counter_silent:
+    elif counter_unresponsive:
         gain = max(gain, rate * _even_split(state, shedding_load))
     state.remaining = min(limit, state.remaining + gain * span)
     state.remaining_at += span
--- a/hillmux/quotas/quotas.py
+++ b/hillmux/quotas/quotas.py
@@ -18,7 +18,7 @@
 from hillmux.quotas.randomized_rounding import round_to_whole
 from hillmux.quotas.registry import EXPIRY_WINDOWS, Registry
 from hillmux.quotas.state import QuotaState
-from hillmux.quotas.throttle import SILENT_RATE, CallThrottle
+from hillmux.quotas.throttle import MIN_ANSWER_RATE, CallThrottle
 
 GRANT_RATIO_WEIGHT: Final = 0.3  # weight of one wait for a total in the moving average `grant_ratio`
 ROUNDING_UNITS: Final = 1e-9  # tolerance for floating-point error in sums of units
@@ -122,9 +122,9 @@
         return state.remaining
 
     def _advance(self, state: QuotaState, now: float) -> None:
-        estimate.advance(state, now, self.shedding_load, self.throttle.answer_rate < SILENT_RATE)
+        estimate.advance(state, now, self.shedding_load, self.throttle.answer_rate < MIN_ANSWER_RATE)
 
-    def should_ask_counter(self, state: QuotaState, units: float) -> bool:
+    def should_call_counter(self, state: QuotaState, units: float) -> bool:
         """Whether a request of so many units should wait for a total of the counter.
 
         True if no total was read yet, or if the last total alone would admit the request and the estimate
@@ -158,7 +158,7 @@
             self._advance(state, self.now)
         if state.reported > state.used and lease.available(state) >= units:
             return not self.taken_over and lease.covers(state, units, self.now)
-        if state.last_total is None or self.throttle.answer_rate < SILENT_RATE:
+        if state.last_total is None or self.throttle.answer_rate < MIN_ANSWER_RATE:
             # A split smaller than the request admits it at random, which keeps the sum over all gateways.
             state.remaining = round_to_whole(self.rng, state.remaining, units)
         return state.remaining >= units - ROUNDING_UNITS
@@ -263,7 +263,7 @@
             state.lease_confirmed = False  # it may have been added or not; the next total will show
         else:
             state.reported -= state.call_amount  # the call was not added, so it is reported again
-            state.uncover(self.now)
+            state.reset_covered_at(self.now)
         return state
 
     @staticmethod
--- a/hillmux/quotas/registry.py
+++ b/hillmux/quotas/registry.py
@@ -27,7 +27,7 @@
     def __init__(self, settings: api.Settings) -> None:
         self.max_customers = settings.max_customers
         # By plan: ms without a request after which use is outdated and the ceiling is full again.
-        self.rest_ms = {plan.name: _rest_ms(plan) for plan in settings.plans}
+        self.expiry_ms = {plan.name: _expiry_ms(plan) for plan in settings.plans}
         self.last_request_at: dict[str, float] = {}  # by plan, in ms
         self.states: dict[tuple[str, str], QuotaState] = {}  # by names of customer and plan
         self.sweep_queue: deque[QuotaState] = deque()  # all states, in the order in which sweeps check them
@@ -75,7 +75,7 @@
         swept_count = max(MIN_SWEPT, len(self.sweep_queue) // SWEEPS_PER_ROUND)
         for _ in range(min(len(self.sweep_queue), swept_count)):
             state = self.sweep_queue.popleft()
-            retention_ms = max(self.rest_ms[state.plan.name], MIN_RETENTION_MS)
+            retention_ms = max(self.expiry_ms[state.plan.name], MIN_RETENTION_MS)
             if now - state.seen_at >= retention_ms and self._has_no_requests(state):
                 del self.states[state.key]
                 expired.append(state)
@@ -86,13 +86,13 @@
 
     def is_quiescent(self, now: float) -> bool:
         """Whether no customer's past use affects decisions any more at `now` (ms)."""
-        return all(now - at >= self.rest_ms[plan] for plan, at in self.last_request_at.items())
+        return all(now - at >= self.expiry_ms[plan] for plan, at in self.last_request_at.items())
 
     @staticmethod
     def _has_no_requests(state: QuotaState) -> bool:
         return not state.open_requests and not state.waiting
 
 
-def _rest_ms(plan: api.Plan) -> float:
+def _expiry_ms(plan: api.Plan) -> float:
     window_ms = window.length_ms(plan) or NO_QUOTA_WINDOW_MS
     return max(EXPIRY_WINDOWS * window_ms, ceiling.fill_ms(plan))
--- a/hillmux/quotas/state.py
+++ b/hillmux/quotas/state.py
@@ -118,7 +118,7 @@
         self.batch_divisor = batches.divisor(self.replicas, near_limit)
         self.batch_rate = self.share_rate * self.batch_divisor
 
-    def uncover(self, now: float) -> None:
+    def reset_covered_at(self, now: float) -> None:
         """Count none of the use unreported at `now` (ms) as covered by refill, so it is reported sooner."""
         unreported = max(self.used - self.reported, 0.0)
         self.covered_at = max(self.covered_at, now + unreported * self.share_ms)
--- a/hillmux/quotas/throttle.py
+++ b/hillmux/quotas/throttle.py
@@ -17,7 +17,7 @@
 THROTTLE_POWER: Final = 4  # a call is permitted with probability answer rate ** this exponent
 MAX_LOST_CONNECTIONS: Final = 4  # lost connections in a row that do not count as unanswered calls
 PROBE_INTERVAL_MS: Final = 1000.0  # a call is permitted after this time regardless, to detect recovery
-SILENT_RATE: Final = 0.5  # answer rate below which the counter counts as unresponsive
+MIN_ANSWER_RATE: Final = 0.5  # answer rate below which the counter counts as unresponsive
 
 
 class CallThrottle:
--- a/hillmux/recovery/snapshotting_gateway.py
+++ b/hillmux/recovery/snapshotting_gateway.py
@@ -15,7 +15,7 @@
 from hillmux.net.config import GatewayConfig
 from hillmux.net.listener import Listener
 from hillmux.net.managed_gateway import READY_TIMEOUT_S, ManagedGateway
-from hillmux.quotas.throttle import SILENT_RATE
+from hillmux.quotas.throttle import MIN_ANSWER_RATE
 from hillmux.recovery.readiness import GatewayCondition, ReadinessTracker
 from hillmux.recovery.retention import SnapshotContentError, is_worth_storing
 from hillmux.recovery.snapshot_format import Snapshot, SnapshotHeader, digest
@@ -49,7 +49,7 @@
         self._successor_serves = False
 
     def _export_state(self, exact: bool) -> Iterator[dict[str, Any]]:
-        now_ms, expiry_ms = self.clock.now_ms(), self.decision_module.quotas.registry.rest_ms
+        now_ms, expiry_ms = self.clock.now_ms(), self.decision_module.quotas.registry.expiry_ms
         return export(
             self.decision_module,
             lambda use: is_worth_storing(use.seen_at, expiry_ms[use.plan.name], now_ms, exact),
@@ -139,7 +139,7 @@
         return GatewayCondition(
             ready=self.ready(),
             discovery_answered=self.discovery_answered,
-            counter_answers=not counter_used or throttle.answer_rate >= SILENT_RATE,
+            counter_answers=not counter_used or throttle.answer_rate >= MIN_ANSWER_RATE,
             outcomes=self._outcomes,
             admit_fraction=gateway.admission.admit_fraction,
             hosts=fleet.host_set.available_count,
--- a/tests/recovery/test_retention.py
+++ b/tests/recovery/test_retention.py
@@ -150,7 +150,7 @@
     d = busy_gateway()
     quotas = d.gateway.quotas
     (use,) = [u for u in quotas.registry.states.values() if u.plan is CAPPED and u.key[0] == "c1"]
-    rest, full = quotas.registry.rest_ms["capped"], CAPPED.ceiling_burst / use.replicas
+    rest, full = quotas.registry.expiry_ms["capped"], CAPPED.ceiling_burst / use.replicas
     for unseen, kept in ((rest - 1, True), (rest, False)):
         now = use.seen_at + unseen
         documents = export(d.gateway, lambda u, now=now: is_worth_storing(u.seen_at, rest, now, exact=True))
