--- a/tests/quotas/test_lease_records.py
+++ b/tests/quotas/test_lease_records.py
@@ -1,4 +1,4 @@
-"""Leases in hand-overs, snapshots and beside the version before them."""
+"""Leases in hot restarts and snapshots, and next to gateways of the version before leases."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from hillmux.quotas import batches, lease, window
 from hillmux.recovery.retention import retained
 
-# --- Handover and snapshots ---
+# --- Hot restart and snapshots ---
 
 
 def successor_of(fleet: GatewayFleet, number: int, exact: bool | None = None) -> Driver:
-    """A process that goes on from what a gateway's handover, or its snapshot, tells."""
-    old, new = fleet.gateways[number], fleet.fresh(number)
+    """Create a process with the state of a gateway, or with what its snapshot retains if `exact` is given."""
+    old, new = fleet.gateways[number], fleet.new_gateway(number)
     rows = json.loads(json.dumps(list(export(old.gateway))))
     if exact is not None:
         rows = retained(rows, old.now, exact, old.now, old.now)
@@ -28,63 +28,65 @@
     return new
 
 
-def test_a_lease_that_is_handed_over_counts_only_after_a_total_confirms_it() -> None:
+def test_lease_after_a_hot_restart_is_valid_only_after_a_total_confirms_it() -> None:
     fleet = GatewayFleet(3)
-    drawn = fleet.draw(0)
+    units = fleet.prefetch(0)
     before = fleet.state(0)
     fleet.gateways[0] = successor_of(fleet, 0)
     after = fleet.state(0)
     assert (after.used, after.reported) == (before.used, before.reported)
-    assert fleet.lease(0) == 0.0
-    after.remaining, after.last_total_at = -1.0, 0.0  # the next request asks
-    fleet.ask(0, after=20.0)
+    assert fleet.leased_units(0) == 0.0
+    after.remaining, after.last_total_at = -1.0, 0.0  # so that the next request waits for a total
+    fleet.send_request(0, after_ms=20.0)
     assert after.lease_confirmed
-    assert fleet.lease(0) == pytest.approx(drawn - 1) or fleet.lease(0) == pytest.approx(drawn)
+    assert fleet.leased_units(0) == pytest.approx(units - 1) or fleet.leased_units(0) == pytest.approx(units)
 
 
-def test_a_lease_that_is_handed_over_to_a_counter_that_lost_it_is_gone() -> None:
+def test_lease_after_a_hot_restart_is_dropped_if_the_counter_lost_it() -> None:
     fleet = GatewayFleet(3)
-    fleet.draw(0)
+    fleet.prefetch(0)
     fleet.gateways[0] = successor_of(fleet, 0)
     fleet.totals.clear()
     state = fleet.state(0)
     state.remaining, state.last_total_at = -1.0, 0.0
-    fleet.ask(0, after=20.0)
-    assert fleet.lease(0) == 0.0
+    fleet.send_request(0, after_ms=20.0)
+    assert fleet.leased_units(0) == 0.0
 
 
-def test_a_loose_snapshot_carries_no_lease_and_an_exact_one_keeps_what_was_reported() -> None:
+def test_exact_snapshot_keeps_reported_use_and_another_does_not() -> None:
     fleet = GatewayFleet(3)
-    fleet.draw(0)
+    fleet.prefetch(0)
     known = fleet.state(0)
     for exact in (False, True):
         new = successor_of(fleet, 0, exact)
         (restored,) = new.gateway.quotas.registry.states.values()
-        wanted = (known.used, known.reported) if exact else (0.0, 0.0)
-        assert (restored.used, restored.reported) == wanted
+        expected = (known.used, known.reported) if exact else (0.0, 0.0)
+        assert (restored.used, restored.reported) == expected
         assert lease.available(restored) == 0.0
 
 
-def test_use_that_was_handed_over_unreported_is_reported_as_soon_as_by_its_predecessor() -> None:
+def test_unreported_use_is_reported_as_soon_after_a_hot_restart_as_before_it() -> None:
     plan = api.Plan("wide", rate=10.0, burst=100.0)
     fleet = GatewayFleet(16, plan)
-    fleet.ask(0)
+    fleet.send_request(0)
     while fleet.state(0).used - fleet.state(0).reported < 8:
-        fleet.ask(0)
+        fleet.send_request(0)
     old = fleet.state(0)
     new = successor_of(fleet, 0)
     (restored,) = new.gateway.quotas.registry.states.values()
     unreported = old.used - old.reported
     assert restored.covered_at == pytest.approx(new.now + unreported * restored.share_ms)
-    assert restored.covered_at >= old.covered_at - restored.share_ms  # a reserve counts there, though told
+    assert (
+        restored.covered_at >= old.covered_at - restored.share_ms
+    )  # a reserve counts there, though it is reported
 
 
-def test_a_row_restored_over_a_customer_that_was_seen_already_is_taken_whole() -> None:
-    """What is derived follows the number of replicas in the row, and no lease of before is believed."""
+def test_restored_row_replaces_the_state_of_a_customer_seen_already() -> None:
+    """Derived values follow the number of replicas in the row, and an earlier lease is not valid."""
     fleet = GatewayFleet(8)
-    fleet.draw(0)
+    fleet.prefetch(0)
     rows = json.loads(json.dumps(list(export(fleet.gateways[0].gateway))))
-    new = fleet.fresh(0)
+    new = fleet.new_gateway(0)
     _, out = new.ask(plan=PLAN.name, customer=NAME, width=1)
     (call,) = of(out, api.IncrementCounter)
     new.give(api.CounterReply(call.name, AttemptResult.OK, call.amount))
@@ -96,29 +98,29 @@
     assert lease.available(restored) == 0.0
 
 
-def test_counts_have_the_names_of_the_version_before_leases_byte_for_byte() -> None:
-    """Old and new gateways of one fleet add to the same counts (names as version d31f922 gives them)."""
+def test_count_names_equal_those_of_the_version_before_leases() -> None:
+    """Old and new gateways of one fleet must add to the same counts; these names are of version d31f922."""
     fleet = GatewayFleet(3)
-    fleet.ask(0)
-    (call,) = fleet.calls(0)
+    fleet.send_request(0)
+    (call,) = fleet.counter_calls(0)
     assert call.name == f"{window.digest(NAME).hex()}.50000"
     assert window.digest(NAME).hex() == "70957f0910968c8c"
     assert call.retention_ms == 2 * window.length_ms(PLAN) == 48_000.0
 
 
-def test_a_row_of_a_lease_is_given_back_by_the_rules_of_the_version_before() -> None:
-    """Its amount due was own - added + reserve; below 0 it was told whenever no call was open."""
+def test_version_before_leases_gives_back_the_lease_in_a_row() -> None:
+    """That version reports own - added + reserve, and a negative amount whenever no call is in flight."""
     fleet = GatewayFleet(3)
-    drawn = fleet.draw(0)
+    prefetched = fleet.prefetch(0)
     (row,) = next(doc for doc in export(fleet.gateways[0].gateway) if doc["t"] == "customers")["uses"]
-    told = dict(zip(documents.USE, row[2:], strict=True))
-    due = told["own"] - told["added"]
-    assert due == pytest.approx(-drawn)
-    assert sum(fleet.totals.values()) + due == pytest.approx(told["own"])
+    fields = dict(zip(documents.USE, row[2:], strict=True))
+    due = fields["own"] - fields["added"]
+    assert due == pytest.approx(-prefetched)
+    assert sum(fleet.totals.values()) + due == pytest.approx(fields["own"])
 
 
-def test_a_document_without_any_lease_from_the_version_before_restores() -> None:
-    """A row as that version wrote it: 18 values, own and added alike."""
+def test_document_of_the_version_before_leases_is_restored() -> None:
+    """A row as that version wrote it has 18 values, with own equal to added."""
     values = {
         "width": 3, "widest": 3, "window": 50_000, "own": 7.0, "added": 7.0, "base": 9.0, "base_own": 7.0,
         "base_use": 7.0, "base_at": 0.0, "base_left": 15.0, "most": 15.0, "left": 15.0, "left_at": 0.0,
@@ -132,6 +134,6 @@
     rows = [doc for doc in export(fleet.gateways[0].gateway) if doc["t"] != "customers"]
     rows.append({"t": "customers", "uses": [[NAME, PLAN.name, *(values[name] for name in documents.USE)]]})
     restore(fleet.gateways[0].gateway, json.loads(json.dumps(rows)))
-    assert fleet.lease(0) == 0.0
-    assert fleet.ask(0)
+    assert fleet.leased_units(0) == 0.0
+    assert fleet.send_request(0)
     assert 14 <= 1 + fleet.flood(0, times=60) <= 15 + PLAN.rate * 0.1
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of customers that a gateway sees seldom, as in a fleet of hundreds."""
+"""Quotas of customers that a gateway sees rarely, as in a fleet of hundreds of gateways."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def window_start(d: Driver, customer: str) -> float:
-    """The start of the customer's window that begins next."""
+    """Return the start (ms) of the customer's next window."""
     d.ask(plan="basic", customer=customer, width=100)
     use = d.gateway.quotas.registry.states[customer, "basic"]
     length = d.gateway.quotas.window_ms["basic"]
@@ -19,8 +19,11 @@
 
 
 @pytest.mark.parametrize("into_ms", [500.0, 1500.0, 5000.0])
-def test_first_total_counts_since_the_start_of_the_window(into_ms: float) -> None:
-    """The others spent three units since the window's start, not since we came; they may be just spent."""
+def test_first_total_covers_the_time_since_the_start_of_the_window(into_ms: float) -> None:
+    """The others used three units since the window's start, not since this gateway's first request.
+
+    They may have been used just now, so no refill is added for that time.
+    """
     start = window_start(Driver(), "c")
     d = Driver(fleet_size=100, now=start + into_ms)
     rid, out = d.ask(plan="basic", customer="c", width=100)
@@ -41,7 +44,7 @@
 
 
 def test_first_total_gives_the_rate_of_the_others_over_the_window() -> None:
-    """Half of the rate used by the others leaves room for all of ours, also seconds later and untold."""
+    """The others use half of the rate; the rest remains for this gateway seconds later without a call."""
     start = window_start(Driver(), "c")
     d = Driver(fleet_size=100, now=start + 2000.0)
     _, out = d.ask(plan="basic", customer="c", width=100)
@@ -55,7 +58,7 @@
 
 
 @pytest.mark.parametrize("into_ms", [1.0, 1500.0, 5000.0])
-def test_a_lone_gateway_that_starts_anew_finds_what_it_had_spent(into_ms: float) -> None:
+def test_restarted_single_gateway_reads_its_earlier_use_from_the_counter(into_ms: float) -> None:
     d = Driver(now=window_start(Driver(), "c") + into_ms)
     _, out = d.ask(plan="basic", customer="c", width=1)
     (call,) = of(out, api.IncrementCounter)
