--- a/hillmux/counter/__init__.py
+++ b/hillmux/counter/__init__.py
@@ -1,4 +1,4 @@
-"""A counter of our own: the platform's add-and-total protocol, inside the process or for several gateways."""
+"""The built-in counter: the platform's add-and-total protocol, in the gateway's process or as a service."""
 
 from hillmux.counter.embedded import EmbeddedCounter
 from hillmux.counter.store import Store, StoreFullError
--- a/hillmux/counter/embedded.py
+++ b/hillmux/counter/embedded.py
@@ -1,4 +1,4 @@
-"""The counter inside the gateway's process: calls mean what they mean over a socket, and none is lost."""
+"""The counter in the gateway's process: calls have the same effect as over a socket, and none is lost."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class EmbeddedCounter:
-    """Answers each call at once, until it is closed."""
+    """Answers each call immediately until it is closed."""
 
     def __init__(
         self, store: Store, now_ms: Callable[[], float], on_reply: Callable[[api.CounterReply], None]
     ) -> None:
-        """`now_ms` is a clock that is never set back; `on_reply` is called with the reply to each call."""
+        """`now_ms` reads a monotonic clock; `on_reply` is called with the reply to each call."""
         self._store, self._now_ms, self._on_reply = store, now_ms, on_reply
         self._closed = False
 
     def call(self, action: api.IncrementCounter) -> None:
-        """Add to a name and reply with its total; with `QUEUE_FULL` if the store has no room for the name.
+        """Add to a name and reply with its total, or with `QUEUE_FULL` if the store has no room for it.
 
         Raises:
-            ValueError: the name is empty or too long.
+            ValueError: the name is empty or longer than `MAX_NAME_BYTES`.
         """
         if self._closed:
             return
@@ -37,5 +37,5 @@
             self._on_reply(api.CounterReply(action.name, AttemptResult.OK, total))
 
     def close(self) -> None:
-        """Answer no call any more: the caller is gone."""
+        """Ignore all further calls, as their caller has stopped."""
         self._closed = True
--- a/hillmux/counter/service.py
+++ b/hillmux/counter/service.py
@@ -1,4 +1,4 @@
-"""The counter's published protocol on a socket, for several gateways."""
+"""Server of the counter's published protocol, for any number of gateways."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 from hillmux.counter.codec import InvalidCallError, parse_call
 from hillmux.counter.store import Store, StoreFullError, format_total
 
-MAX_CONNECTIONS_PER_ADDRESS: Final = 32  # further ones are reset
+MAX_CONNECTIONS_PER_ADDRESS: Final = 32  # connections beyond it are reset
 MAX_CONNECTIONS: Final = 1024
 IDLE_TIMEOUT_S: Final = 10.0
 SWEEP_INTERVAL_S: Final = 1.0
 MAX_HEAD_BYTES: Final = 8 * 1024
-MAX_UNSENT_BYTES: Final = 64 * 1024  # responses that a caller does not read
+MAX_UNSENT_BYTES: Final = 64 * 1024  # per connection; a caller that reads too slowly is disconnected
 RESET_ON_CLOSE: Final = struct.pack("ii", 1, 0)  # SO_LINGER on, for 0 s
 REASON_PHRASES: Final = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 503: b"Service Unavailable"}
 
 
 class CounterServer:
-    """Serves one store to any number of gateways."""
+    """Serves one store to any number of gateways over TCP."""
 
     def __init__(self, store: Store, loop: asyncio.AbstractEventLoop) -> None:
         self.store, self._loop = store, loop
-        self.calls = 0  # that were added
+        self.calls = 0  # calls that were added since the start
         self.connections: set[CounterConnection] = set()
         self._server: asyncio.Server | None = None
         self._connections_by_address: dict[str, int] = {}
         self._sweep_timer: asyncio.TimerHandle | None = None
 
     async def start(self, host: str, port: int) -> tuple[str, int]:
-        """Listen, and return the address with the port, which the system chooses where 0 is given.
+        """Listen and return the bound address and port; the system chooses the port if 0 is given.
 
         Raises:
-            OSError: the address is in use, or not this machine's.
+            OSError: the address is in use or does not belong to this machine.
         """
         self._server = await self._loop.create_server(lambda: CounterConnection(self), host, port)
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
@@ -55,11 +55,11 @@
             connection.abort()
 
     def now_ms(self) -> float:
-        """The store's clock, which is never set back."""
+        """Return the time of the store's clock, which is monotonic."""
         return time.monotonic() * 1000
 
     def register(self, connection: CounterConnection, address: str) -> bool:
-        """Count one more connection of an address; False if there is no room for it."""
+        """Register a connection of an address; return False if a limit on connections is reached."""
         count = self._connections_by_address.get(address, 0)
         if count >= MAX_CONNECTIONS_PER_ADDRESS or len(self.connections) >= MAX_CONNECTIONS:
             return False
@@ -68,7 +68,7 @@
         return True
 
     def unregister(self, connection: CounterConnection, address: str) -> None:
-        """Free the room of a connection that is closed, if it had any."""
+        """Remove a closed connection from the counts, if it was registered."""
         if connection in self.connections:
             self.connections.discard(connection)
             self._connections_by_address[address] -= 1
@@ -85,16 +85,16 @@
 
 
 class CounterConnection(asyncio.Protocol):
-    """One connection of a gateway: calls are answered in order, as they come."""
+    """One connection of a gateway; its calls are answered in the order in which they arrive."""
 
     def __init__(self, server: CounterServer) -> None:
-        self.received_at = time.monotonic()  # s, when bytes last came
+        self.received_at = time.monotonic()  # s, when bytes were last received
         self._server = server
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport
         self._address = ""
-        self._target = b""  # of the request that is being read
-        self._unparsed_bytes = 0  # received since the last whole request
+        self._target = b""  # of the request that is being parsed
+        self._unparsed_bytes = 0  # received since the last complete request
         self._responses: list[bytes] = []
         self._closing = False
 
@@ -103,21 +103,21 @@
         self._transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the server; reset the connection if there is no room for it."""
+        """Register with the server; reset the connection if a limit on connections is reached."""
         self._transport = cast(asyncio.Transport, transport)
         self._address = str((transport.get_extra_info("peername") or ("",))[0])
         if not self._server.register(self, self._address):
-            # A reset, as the protocol has it: an orderly end would look like an idle connection's.
+            # The protocol requires a reset: an orderly close would look like that of an idle connection.
             peer = transport.get_extra_info("socket")
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Free the connection's room."""
+        """Unregister the connection."""
         self._server.unregister(self, self._address)
 
     def data_received(self, data: bytes) -> None:
-        """Parse and answer what has come; 400 on malformed HTTP, or a head above MAX_HEAD_BYTES."""
+        """Parse and answer the received bytes; 400 for malformed HTTP or a head above `MAX_HEAD_BYTES`."""
         if self._transport.is_closing() or self._closing:
             return
         self.received_at = time.monotonic()
@@ -128,7 +128,7 @@
         if self._is_closing():
             self._transport.close()
         elif self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            self.abort()  # bounds the memory that a caller takes which does not read
+            self.abort()  # bounds the memory of responses that the caller does not read
 
     def _parse(self, data: bytes) -> bool:
         self._unparsed_bytes += len(data)
@@ -136,13 +136,13 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             return False
-        return self._unparsed_bytes <= MAX_HEAD_BYTES  # bounds the memory that a head without an end takes
+        return self._unparsed_bytes <= MAX_HEAD_BYTES  # bounds the memory of an endless head
 
     def _is_closing(self) -> bool:
         return self._closing
 
     def on_url(self, url: bytes) -> None:
-        """Take a piece of the request target."""
+        """Append a piece of the request target."""
         self._target += url
 
     def on_message_complete(self) -> None:
--- a/tests/counter/test_store.py
+++ b/tests/counter/test_store.py
@@ -1,4 +1,4 @@
-"""The counter's store and its protocol, in memory and on a socket."""
+"""The counter's store and its protocol, in memory and over a socket."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from hillmux.interface import AttemptResult
 
 
-def test_name_is_kept_from_its_first_addition_and_new_after() -> None:
+def test_retention_of_a_name_starts_at_its_first_addition_only() -> None:
     store = Store()
     assert store.add("a", 2, 100, now_ms=0) == 2
-    assert store.add("a", -0.5, 9999, now_ms=99) == 1.5  # a later life changes nothing
+    assert store.add("a", -0.5, 9999, now_ms=99) == 1.5  # a later retention has no effect
     assert store.add("a", 1, 100, now_ms=100) == 1
     store.sweep(1e9)
     assert len(store) == 0
 
 
-def test_retention_has_bounds() -> None:
+def test_retention_is_limited_to_60_s() -> None:
     store = Store()
     store.add("long", 1, 1e12, now_ms=0)
     store.add("short", 1, 0, now_ms=0)
@@ -33,28 +33,28 @@
     assert store.add("long", 1, 1, now_ms=60_000) == 1
 
 
-def test_full_store_rejects_new_names_and_serves_known_ones() -> None:
+def test_full_store_rejects_new_names_and_adds_to_known_ones() -> None:
     store = Store(max_names=2)
     store.add("a", 1, 100, 0)
     store.add("b", 1, 200, 0)
     with pytest.raises(StoreFullError):
         store.add("c", 1, 100, 50)
     assert store.add("a", 1, 100, 50) == 2
-    assert store.add("c", 1, 100, 100) == 1  # the life of `a` is over
+    assert store.add("c", 1, 100, 100) == 1  # `a` has expired
 
 
-def test_store_counts_as_a_plain_table_does() -> None:
+def test_store_gives_the_same_totals_as_a_plain_table() -> None:
     rng, store = random.Random(5), Store()
     table: dict[str, tuple[float, float]] = {}
     now = 0.0
     for _ in range(5000):
         now += rng.random() * 20
-        name, amount, life = rng.choice("abcdef"), rng.randint(-3, 9), rng.randint(1, 200)
-        total, end = table.get(name, (0.0, 0.0))
-        if end <= now:
-            total, end = 0.0, now + life
-        table[name] = (total + amount, end)
-        assert store.add(name, amount, life, now) == total + amount
+        name, amount, retention_ms = rng.choice("abcdef"), rng.randint(-3, 9), rng.randint(1, 200)
+        total, expires_at = table.get(name, (0.0, 0.0))
+        if expires_at <= now:
+            total, expires_at = 0.0, now + retention_ms
+        table[name] = (total + amount, expires_at)
+        assert store.add(name, amount, retention_ms, now) == total + amount
         assert len(store) <= 6
 
 
@@ -72,7 +72,7 @@
         (1e15, "1000000000000000"),
     ],
 )
-def test_a_total_is_a_plain_decimal(total: float, text: str) -> None:
+def test_total_is_formatted_as_a_plain_decimal(total: float, text: str) -> None:
     assert format_total(total) == text
 
 
@@ -94,7 +94,7 @@
         (b"POST", b"/v1/count/a?add=1&ttl_ms=5&more=1", 400, "query"),
     ],
 )
-def test_invalid_call_is_rejected_with_its_field(
+def test_invalid_call_is_rejected_with_the_name_of_its_field(
     method: bytes, target: bytes, status: int, field: str
 ) -> None:
     with pytest.raises(InvalidCallError) as caught:
@@ -103,12 +103,12 @@
     assert str(caught.value).startswith(field) and "expected" in str(caught.value)
 
 
-def test_call_is_parsed_whole() -> None:
+def test_call_is_parsed_with_all_its_fields() -> None:
     call = parse_call(b"POST", b"/v1/count/" + b"n" * 64 + b"?ttl_ms=70000&add=-2.5")
     assert (call.name, call.amount, call.retention_ms) == ("n" * 64, -2.5, 70000)
 
 
-def test_the_embedded_counter_replies_once_to_each_call() -> None:
+def test_embedded_counter_replies_once_to_each_call_until_it_is_closed() -> None:
     replies: list[api.CounterReply] = []
     counter = EmbeddedCounter(Store(max_names=1), lambda: 0.0, replies.append)
     counter.call(api.IncrementCounter("a", 2.0, 1000))
@@ -127,12 +127,12 @@
 
 
 async def _answers(reader: asyncio.StreamReader, count: int) -> list[tuple[int, bytes]]:
-    found = []
+    answers = []
     for _ in range(count):
         head = await reader.readuntil(b"\r\n\r\n")
         length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
-        found.append((int(head.split()[1]), await reader.readexactly(length)))
-    return found
+        answers.append((int(head.split()[1]), await reader.readexactly(length)))
+    return answers
 
 
 def test_pipelined_calls_are_answered_in_order() -> None:
@@ -158,14 +158,14 @@
     on_loop(scenario)
 
 
-def test_malformed_http_closes_one_connection_only() -> None:
+def test_malformed_http_closes_only_its_own_connection() -> None:
     async def scenario() -> None:
         server = CounterServer(Store(), asyncio.get_running_loop())
         host, port = await server.start("127.0.0.1", 0)
         good = await asyncio.open_connection(host, port)
-        for noise in (b"\x16\x03\x01 no HTTP\r\n\r\n", b"POST /v1/count/" + b"a" * 9000):
+        for malformed in (b"\x16\x03\x01 no HTTP\r\n\r\n", b"POST /v1/count/" + b"a" * 9000):
             reader, writer = await asyncio.open_connection(host, port)
-            writer.write(noise)
+            writer.write(malformed)
             assert b" 400 " in await reader.read()
         good[1].write(b"POST /v1/count/a?add=1&ttl_ms=5000 HTTP/1.1\r\n\r\n")
         assert await _answers(good[0], 1) == [(200, b"1")]
@@ -174,18 +174,18 @@
     on_loop(scenario)
 
 
-def test_connections_of_one_address_are_limited() -> None:
+def test_connections_per_address_are_limited() -> None:
     async def scenario() -> None:
         server = CounterServer(Store(), asyncio.get_running_loop())
         host, port = await server.start("127.0.0.1", 0)
-        held = [await asyncio.open_connection(host, port) for _ in range(MAX_CONNECTIONS_PER_ADDRESS)]
-        for reader, writer in held:
+        connections = [await asyncio.open_connection(host, port) for _ in range(MAX_CONNECTIONS_PER_ADDRESS)]
+        for reader, writer in connections:
             writer.write(b"POST /v1/count/a?add=1&ttl_ms=5000 HTTP/1.1\r\n\r\n")
             assert (await _answers(reader, 1))[0][0] == 200
-        more, _ = await asyncio.open_connection(host, port)
+        excess, _ = await asyncio.open_connection(host, port)
         with pytest.raises(ConnectionResetError):
-            await more.readexactly(1)
-        held.pop()[1].close()
+            await excess.readexactly(1)
+        connections.pop()[1].close()
         while len(server.connections) >= MAX_CONNECTIONS_PER_ADDRESS:
             await asyncio.sleep(0)
         reader, writer = await asyncio.open_connection(host, port)
