--- a/hillmux/quotas/batches.py
+++ b/hillmux/quotas/batches.py
@@ -18,7 +18,7 @@
 
 
 def divisor(replicas: int, near_limit: bool = False) -> float:
-    """Return by what number to divide what remains for the size of a batch, if so many gateways serve.
+    """Return the divisor of what remains that gives the batch size if so many gateways serve a customer.
 
     Once the estimate includes the mean of what independent gateways have not reported, the sum of the rest
     grows with the square root of their number. So the divisor for many gateways is `ROOT_FACTOR` times that
--- a/hillmux/quotas/quotas.py
+++ b/hillmux/quotas/quotas.py
@@ -102,8 +102,8 @@
     def _start_window(self, state: QuotaState, number: int, start: float, keep_lease: bool) -> None:
         """Start the window with this number, which began at `start` (ms).
 
-        A gateway that sees a customer only every few seconds notices a new window late. The new window's
-        total holds what the others used since its start, so `remaining` is also computed as of that start.
+        A gateway that rarely sees a customer notices a new window late. The new window's total holds what the
+        others used since its start, so `remaining` is also computed as of that start.
         """
         self.open_calls.pop(state.count_name, None)
         self.on_window_end(state)
@@ -153,7 +153,7 @@
         if plan.max_concurrency and state.open_requests >= max(1, plan.max_concurrency // state.replicas):
             return False
         if not state.has_quota or (state.last_total is None and state.used == 0):
-            return True  # one request is nearly free, and the report of it returns a total
+            return True  # one request costs almost nothing, and its report returns a total
         if self.now > state.remaining_at:
             self._advance(state, self.now)
         if state.reported > state.used and lease.available(state) >= units:
@@ -209,7 +209,7 @@
         self._call_counter(state, amount, reserve)
 
     def _report_is_due(self, state: QuotaState, amount: float) -> bool:
-        """Whether so many unreported units fill a batch and the throttle permits a call."""
+        """Whether so many unreported units are a batch, and the throttle permits a call."""
         now = self.now
         if now > state.remaining_at:
             self._advance(state, now)
--- a/tests/quotas/test_lease_records.py
+++ b/tests/quotas/test_lease_records.py
@@ -53,7 +53,7 @@
     assert fleet.leased_units(0) == 0.0
 
 
-def test_exact_snapshot_keeps_reported_use_and_another_does_not() -> None:
+def test_only_an_exact_snapshot_keeps_reported_use_and_none_keeps_a_lease() -> None:
     fleet = GatewayFleet(3)
     fleet.prefetch(0)
     known = fleet.state(0)
@@ -76,9 +76,8 @@
     (restored,) = new.gateway.quotas.registry.states.values()
     unreported = old.used - old.reported
     assert restored.covered_at == pytest.approx(new.now + unreported * restored.share_ms)
-    assert (
-        restored.covered_at >= old.covered_at - restored.share_ms
-    )  # a reserve counts there, though it is reported
+    # The predecessor's `covered_at` includes a reserve of one unit, though that is already reported.
+    assert restored.covered_at >= old.covered_at - restored.share_ms
 
 
 def test_restored_row_replaces_the_state_of_a_customer_seen_already() -> None:
--- a/tests/quotas/test_leases.py
+++ b/tests/quotas/test_leases.py
@@ -95,9 +95,9 @@
     fleet.failing_calls.clear()
     fleet.wait(2000.0)
     fleet.flood(0, 1)
-    after = fleet.now
-    more = fleet.flood(0, 1, 2)
-    assert more <= PLAN.rate * (fleet.now - after) / 1000 + 1 + ROUNDING  # within the rate again
+    recovered_at = fleet.now
+    sent = fleet.flood(0, 1, 2)
+    assert sent <= PLAN.rate * (fleet.now - recovered_at) / 1000 + 1 + ROUNDING  # within the rate again
 
 
 # --- Clocks ---
