--- a/hillmux/hosted/config.py
+++ b/hillmux/hosted/config.py
@@ -164,7 +164,7 @@
                         pool.hosts_file, "hosts", f"found {host}:{port}, which is a host of tenant {other!r}"
                     )
                 )
-                for (host, port), (other, _) in book.others(tenant.id, addresses).items()
+                for (host, port), (other, _) in book.held_by_others(tenant.id, addresses).items()
             ]
             book.claim((tenant.id, pool.hosts_file), addresses)
     return faults
@@ -287,7 +287,7 @@
             self._fault(f"{at}.class", f"found {route.class_!r}, expected one of {_names(classes)}")
         if route.pool not in shaped.pools:
             self._fault(f"{at}.pool", f"found {route.pool!r}, expected one of {_names(shaped.pools)}")
-        allowed = model.methods_of(effect)
+        allowed = model.methods_allowed_for(effect)
         methods = frozenset(method.encode() for method in route.methods) or (
             allowed if effect == "safe" else frozenset((b"POST",))
         )
@@ -298,9 +298,10 @@
                     f"found {method.decode()!r}, expected of {_names(m.decode() for m in allowed)}"
                     f": class {route.class_!r} is {effect}",
                 )
-        prefix = router.segments(route.prefix.encode())
+        prefix = router.without_trailing_slash(route.prefix.encode())
         if not any(
-            (prefix + b"/").startswith(router.segments(p.encode()) + b"/") for p in shaped.path_prefixes
+            (prefix + b"/").startswith(router.without_trailing_slash(p.encode()) + b"/")
+            for p in shaped.path_prefixes
         ):
             self._fault(
                 f"{at}.prefix",
--- a/hillmux/hosted/core.py
+++ b/hillmux/hosted/core.py
@@ -88,7 +88,7 @@
         make_room: Callable[[str], bool],
         wanted: Callable[[Attempt], bool],
     ) -> None:
-        super().__init__(loop, int(resources.hosts.whole), tenant.dial_ms, tenant.idle_ms, ended, wanted)
+        super().__init__(loop, int(resources.hosts.capacity), tenant.dial_ms, tenant.idle_ms, ended, wanted)
         self._tenant, self._resources, self._make_room = tenant.id, resources, make_room
 
     def classify(self, reply: Response) -> AttemptResult:
@@ -104,23 +104,25 @@
     def reserve_dial(self) -> bool:
         """Also reserve the dial and its descriptor in the tenant's shares."""
         # Guards the descriptors and the dials of the others.
-        if not self._resources.dials.take(self._tenant):
+        if not self._resources.dials.acquire(self._tenant):
             return False
-        if self._resources.hosts.take(self._tenant):
+        if self._resources.hosts.acquire(self._tenant):
             return True
         # An idle connection of our own gives way, else one of whoever holds more than its part. Either is
         # gone within this turn of the loop, before the dial is up.
-        if self.drop_idle() or (self._resources.hosts.within(self._tenant) and self._make_room(self._tenant)):
+        if self.drop_idle() or (
+            self._resources.hosts.within_guaranteed_share(self._tenant) and self._make_room(self._tenant)
+        ):
             self._resources.hosts.charge(self._tenant, 1.0)
             return True
-        self._resources.dials.give(self._tenant)
+        self._resources.dials.release(self._tenant)
         return False
 
     def release_dial(self) -> None:
         """Also return the dial and its descriptor to the tenant's shares."""
         super().release_dial()
-        self._resources.dials.give(self._tenant)
-        self._resources.hosts.give(self._tenant)  # it stands for itself now, if it is up
+        self._resources.dials.release(self._tenant)
+        self._resources.hosts.release(self._tenant)  # it stands for itself now, if it is up
 
     def connection_opened(self, connection: UpstreamConnection) -> None:
         """Also charge the connection to the tenant's share."""
@@ -130,7 +132,7 @@
     def connection_closed(self, connection: UpstreamConnection) -> None:
         """Also give the connection back to the tenant's share, if it was up."""
         if connection in self.connections:
-            self._resources.hosts.give(self._tenant)
+            self._resources.hosts.release(self._tenant)
         super().connection_closed(connection)
 
 
@@ -200,18 +202,18 @@
         """Take a request; None: it was refused at once, for the cause in `cause`."""
         tenant, size = self.tenant.id, len(order.head) + len(order.body)
         shares = self._resources.open
-        if not shares.take(tenant) and not (make_room(tenant) and shares.take(tenant)):
+        if not shares.acquire(tenant) and not (make_room(tenant) and shares.acquire(tenant)):
             self.cause = SHARE
             return None
-        if not self._resources.buffer.take(tenant, size):
-            shares.give(tenant)
+        if not self._resources.buffer.acquire(tenant, size):
+            shares.release(tenant)
             self.cause = SHARE
             return None
         self._wake()
         rid = self.request(client, order)
         if rid is None:
-            shares.give(tenant)
-            self._resources.buffer.give(tenant, size)
+            shares.release(tenant)
+            self._resources.buffer.release(tenant, size)
             self.cause = CONFLICT
         return rid
 
@@ -254,8 +256,8 @@
         held = request.id in self.requests
         super().forget_if_finished(request)
         if held and request.id not in self.requests:
-            self._resources.open.give(self.tenant.id)
-            self._resources.buffer.give(
+            self._resources.open.release(self.tenant.id)
+            self._resources.buffer.release(
                 self.tenant.id, len(request.forward_request.head) + len(request.forward_request.body)
             )
             if self._leaving:
--- a/hillmux/hosted/hostfiles.py
+++ b/hillmux/hosted/hostfiles.py
@@ -109,7 +109,7 @@
         try:
             hosts = load_hosts(Path(file.path), file.pool)
             addresses = [address for _, address in hosts[1]]
-            taken = self._book.others(file.tenant, addresses)
+            taken = self._book.held_by_others(file.tenant, addresses)
             if taken:
                 file.read = False  # the other may let them go while this file stays as it is
                 raise ConfigFaultsError(
--- a/hillmux/hosted/resources.py
+++ b/hillmux/hosted/resources.py
@@ -28,25 +28,25 @@
         self.lines = Shares(limits.log_lines)  # by the second
         self.loop = LoopTime(limits.loop_share * TURN_S)  # seconds, by the turn
         self._all = (self.open, self.buffer, self.clients, self.hosts, self.dials, self.lines, self.loop)
-        self.clients.know(UNHEARD, 1.0)
-        self.buffer.know(UNHEARD, 1.0)
+        self.clients.register(UNHEARD, 1.0)
+        self.buffer.register(UNHEARD, 1.0)
         self._second = 0
         self.lines_left_out = 0
 
-    def know(self, tenant: Tenant) -> None:
+    def register(self, tenant: Tenant) -> None:
         """A tenant, and its weight from now on."""
         for shares in self._all:
-            shares.know(tenant.id, tenant.share)
+            shares.register(tenant.id, tenant.share)
 
-    def forget(self, tenant_id: str) -> bool:
+    def unregister(self, tenant_id: str) -> bool:
         """A tenant that is gone; False while it still holds something that lasts."""
         lasting = (self.open, self.buffer, self.clients, self.hosts, self.dials)
-        if any(shares.holds(tenant_id) > 0 for shares in lasting):
+        if any(shares.held_by(tenant_id) > 0 for shares in lasting):
             return False
         for shares in (self.lines, self.loop):
-            shares.give(tenant_id, shares.holds(tenant_id))
+            shares.release(tenant_id, shares.held_by(tenant_id))
         for shares in self._all:
-            shares.forget(tenant_id)
+            shares.unregister(tenant_id)
         return True
 
     def may_log(self, tenant_id: str) -> bool:
@@ -54,8 +54,8 @@
         second = int(time.monotonic())
         if second != self._second:
             self._second = second
-            self.lines.turn()
-        if self.lines.known(tenant_id) and self.lines.take(tenant_id):
+            self.lines.start_period()
+        if self.lines.is_registered(tenant_id) and self.lines.acquire(tenant_id):
             return True
         self.lines_left_out += 1
         return False
--- a/hillmux/hosted/service.py
+++ b/hillmux/hosted/service.py
@@ -201,7 +201,7 @@
             raise ConfigFaultsError(faults)
         for change in changes:  # first all that goes: a place is free then for who takes it over
             if change.old is not None and change.new is not None:
-                self.router.take_out(change.old)
+                self.router.remove_for_update(change.old)
             elif change.old is not None:
                 self.router.remove(change.old)
         for change in changes:
@@ -228,7 +228,7 @@
         files, faults = prepared.files, []
         for tenant in [change.new for change in prepared.changes if change.new is not None]:
             listed = [address for pool in tenant.pools for _, address in pool.addresses]
-            for (host, port), (other, path) in self._book.others(tenant.id, listed).items():
+            for (host, port), (other, path) in self._book.held_by_others(tenant.id, listed).items():
                 if path in files.get(other, ()):
                     faults.append(
                         Fault(
@@ -243,11 +243,11 @@
         if change.new is None:
             self._remove(change.id)
             return
-        self.resources.know(change.new)
+        self.resources.register(change.new)
         slot = self._slots.get(change.id)
         if slot is None:
             slot = self._slots[change.id] = Slot(change.new, self.resources.clock.now_ms())
-        elif change.new_module:
+        elif change.needs_new_module:
             # A module's settings are fixed. The new one starts with empty ceilings, as a gateway does that
             # starts anew, so that the two together send on no more than one might have.
             if slot.core is not None:
@@ -307,7 +307,7 @@
 
     def make_room(self, tenant_id: str) -> bool:
         """Have the tenant furthest beyond its part of open requests answer one early."""
-        victim = self.resources.open.victim(tenant_id)
+        victim = self.resources.open.eviction_victim(tenant_id)
         return victim is not None and self.give_way(victim)
 
     def give_way(self, tenant_id: str) -> bool:
@@ -320,7 +320,7 @@
         return any(core.give_way() for core in cores)
 
     def _room_for_host(self, tenant_id: str) -> bool:
-        victim = self.resources.hosts.victim(tenant_id)
+        victim = self.resources.hosts.eviction_victim(tenant_id)
         core = self._awake.get(victim) if victim is not None else None
         return core is not None and (core.drop_idle() or core.give_way())
 
@@ -392,12 +392,12 @@
         self._unowned -= {
             tenant_id
             for tenant_id in self._unowned
-            if tenant_id in self._slots or self.resources.forget(tenant_id)
+            if tenant_id in self._slots or self.resources.unregister(tenant_id)
         }
 
     def _next_turn(self) -> None:
         self._turn = self._loop.call_later(TURN_S, self._next_turn)
-        self.resources.loop.turn()
+        self.resources.loop.start_period()
 
     def leftovers(self, tenant_id: str) -> list[str]:
         """What is still held of a tenant that was removed; none once all is given back."""
@@ -406,7 +406,7 @@
             for core in self._leaving
             if core.tenant.id == tenant_id
         ]
-        if self.resources.open.known(tenant_id):
+        if self.resources.open.is_registered(tenant_id):
             left.append("an account")
         if tenant_id in self._slots or tenant_id in self._awake:
             left.append("a slot")
--- a/hillmux/hosted/tenant_connection.py
+++ b/hillmux/hosted/tenant_connection.py
@@ -82,7 +82,7 @@
         Reading pauses meanwhile, so that one piece of input waits for each connection and no more.
         """
         if self._deferred_pieces or (
-            self.owner != UNHEARD and self._service.resources.loop.heavy(self.owner)
+            self.owner != UNHEARD and self._service.resources.loop.over_share(self.owner)
         ):
             if not self._deferred_pieces and not self._reading_paused:
                 self.transport.pause_reading()
@@ -118,7 +118,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Also give back what was charged to the owner's share of the buffer."""
         self._charge_unread(0)
-        self._service.resources.buffer.give(self.owner, self.receiving_bytes)
+        self._service.resources.buffer.release(self.owner, self.receiving_bytes)
         self.receiving_bytes = 0
         super().connection_lost(exc)
 
@@ -166,7 +166,7 @@
             super().check_timeouts(now)
 
     def _charge_loop_time(self, seconds: float) -> None:
-        if self.owner != UNHEARD and self._service.resources.loop.known(self.owner):
+        if self.owner != UNHEARD and self._service.resources.loop.is_registered(self.owner):
             self._service.resources.loop.charge(self.owner, seconds)
 
     def _charge_unread(self, unread: int) -> None:
@@ -176,12 +176,12 @@
         buffer, more = self._service.resources.buffer, unread - self.unread_bytes
         self.unread_bytes = unread
         if more < 0:
-            buffer.give(self.owner, -more)
+            buffer.release(self.owner, -more)
             return
-        if buffer.take(self.owner, more):
+        if buffer.acquire(self.owner, more):
             return
         buffer.charge(self.owner, more)
-        if not buffer.within(self.owner, 0.0):
+        if not buffer.within_guaranteed_share(self.owner, 0.0):
             self.transport.abort()  # the client can tell that its answer is incomplete
 
     def _charge_request(self) -> None:
@@ -193,13 +193,13 @@
         buffer, more = self._service.resources.buffer, size - self.receiving_bytes
         if more <= 0 or self.transport.is_closing():
             more = max(more, -self.receiving_bytes)
-            buffer.give(self.owner, -min(more, 0))
+            buffer.release(self.owner, -min(more, 0))
             self.receiving_bytes += min(more, 0)
             return
         self.receiving_bytes = size
-        if not buffer.take(self.owner, more):
+        if not buffer.acquire(self.owner, more):
             buffer.charge(self.owner, more)
-            if not buffer.within(self.owner, 0.0):
+            if not buffer.within_guaranteed_share(self.owner, 0.0):
                 self._reject(503)
                 self._take_requests()
 
@@ -207,7 +207,7 @@
         """The connection carries a request of this tenant now."""
         if owner != self.owner:
             self._charge_unread(0)
-            self._service.resources.buffer.give(self.owner, self.receiving_bytes)
+            self._service.resources.buffer.release(self.owner, self.receiving_bytes)
             self.receiving_bytes = 0
             self._tenant_listener.on_owner_changed(self, owner)
             self.owner = owner
@@ -282,7 +282,7 @@
         slot.stats.requests += 1
         if tenant.state == model.DRAINING:
             self._refuse(slot, DRAINING)
-        elif service.resources.loop.crowded(tenant.id):
+        elif service.resources.loop.must_shed_load(tenant.id):
             self._refuse(slot, CROWDED)
         else:
             self._submit(slot, forward_request)
--- a/hillmux/hosted/tenant_listener.py
+++ b/hillmux/hosted/tenant_listener.py
@@ -65,7 +65,7 @@
     def on_connection_lost(self, connection: TenantConnection) -> None:
         """Also give the connection back to its owner's share."""
         if connection in self.connections:
-            self.service.resources.clients.give(connection.owner)
+            self.service.resources.clients.release(connection.owner)
         super().on_connection_lost(connection)
 
     def disown(self, owner: str) -> None:
@@ -76,7 +76,7 @@
     def on_owner_changed(self, connection: TenantConnection, owner: str) -> None:
         """A connection carries a request of another tenant than before."""
         clients = self.service.resources.clients
-        clients.give(connection.owner)
+        clients.release(connection.owner)
         clients.charge(owner, 1.0)
 
     def mark_idle(self, connection: TenantConnection) -> None:
@@ -108,7 +108,7 @@
             return False
         if self._below_limit():
             return True
-        owner = max(self._idle, key=lambda o: clients.holds(o) / clients.entitled(o), default=None)
+        owner = max(self._idle, key=lambda o: clients.held_by(o) / clients.guaranteed_share(o), default=None)
         if owner is None:
             return False
         self._evict_idle(self._idle[owner])
@@ -120,7 +120,7 @@
             return False
         self._reclaiming = True
         try:
-            victim = self.service.resources.clients.victim(UNHEARD)
+            victim = self.service.resources.clients.eviction_victim(UNHEARD)
             return victim is not None and victim != UNHEARD and self.service.give_way(victim)
         finally:
             self._reclaiming = False
--- a/hillmux/tenants/__init__.py
+++ b/hillmux/tenants/__init__.py
@@ -1,4 +1,4 @@
-"""Tenants: what each is, which requests are whose, what each may hold. No sockets, clocks or files."""
+"""Tenants: configuration, routing of requests to them, and resource shares. No sockets, clocks or files."""
 
 from hillmux.tenants.model import Pool, Route, ServiceConfig, Tenant
 from hillmux.tenants.registry import Change, Registry
--- a/hillmux/tenants/addresses.py
+++ b/hillmux/tenants/addresses.py
@@ -1,4 +1,4 @@
-"""Which tenant's each host is: an address belongs to one tenant, whatever lists it."""
+"""Which tenant each host address belongs to: an address has one tenant, wherever it is listed."""
 
 from __future__ import annotations
 
@@ -6,40 +6,41 @@
 
 from hillmux.tenants.model import Address
 
-Holder = tuple[str, str]  # a tenant, and what lists its hosts: a pool's file, or "" for the configuration
+Holder = tuple[str, str]  # tenant id, and where its hosts are listed: a pool's file, "" for the configuration
 
 
 class AddressBook:
-    """Addresses by tenant.
+    """Host addresses by tenant.
 
-    Guards what two modules would break together, each keeping its own rules: a cold host gets the sum of what
-    both allow it, and a booking's key at one tenant drops the other's booking of the same key.
+    Prevents two tenants' decision modules from using the same host, since each only enforces its own limits:
+    a host in slow start would receive the sum of what both allow it, and a booking under an idempotency key
+    of one tenant would overwrite the other tenant's booking under the same key.
     """
 
     def __init__(self) -> None:
         self._held: dict[Holder, frozenset[Address]] = {}
         self._holders: dict[Address, list[Holder]] = {}
 
-    def others(self, tenant_id: str, addresses: Iterable[Address]) -> dict[Address, Holder]:
-        """Those of the addresses that another tenant has, and where it lists them."""
-        found = {}
+    def held_by_others(self, tenant_id: str, addresses: Iterable[Address]) -> dict[Address, Holder]:
+        """Those of the addresses that belong to another tenant, with the holder that lists them."""
+        conflicts = {}
         for address in addresses:
             for holder in self._holders.get(address, ()):
                 if holder[0] != tenant_id:
-                    found[address] = holder
-        return found
+                    conflicts[address] = holder
+        return conflicts
 
     def claim(self, holder: Holder, addresses: Iterable[Address]) -> None:
-        """These are a holder's addresses from now on, and no others."""
+        """Replace a holder's addresses."""
         self.release(holder)
-        mine = frozenset(addresses)
-        if mine:
-            self._held[holder] = mine
-        for address in mine:
+        claimed = frozenset(addresses)
+        if claimed:
+            self._held[holder] = claimed
+        for address in claimed:
             self._holders.setdefault(address, []).append(holder)
 
     def release(self, holder: Holder) -> None:
-        """A holder has no addresses any more."""
+        """Remove all addresses of a holder."""
         for address in self._held.pop(holder, ()):
             holders = self._holders[address]
             holders.remove(holder)
--- a/hillmux/tenants/looptime.py
+++ b/hillmux/tenants/looptime.py
@@ -1,4 +1,4 @@
-"""The event loop's time as shares: which tenants used up theirs, and whose requests go after the others'."""
+"""Shares of the event loop's time: which tenants have used up theirs, and which are served last."""
 
 from __future__ import annotations
 
@@ -6,42 +6,47 @@
 
 from hillmux.tenants.shares import Shares
 
-CHANCE_SLACK: Final = 0.1  # part of the whole by which chance alone may put a tenant beyond its share
-HEAVY_USE_FACTOR: Final = 1.5  # times its share of the time used, beyond which others' requests go first
+OVER_SHARE_TOLERANCE: Final = 0.1  # fraction of the capacity by which chance alone may exceed a share
+OVER_SHARE_FACTOR: Final = 1.5  # multiple of its share of the time used, beyond which a tenant is served last
 
 
 class LoopTime(Shares):
-    """Seconds of the loop's time in one turn; `turn` begins the next."""
+    """Seconds of the event loop's time in one accounting period; `start_period` begins the next."""
 
-    def __init__(self, whole: float) -> None:
-        super().__init__(whole)
-        self._heavy: frozenset[str] = frozenset()  # tenants of the last turn
-        self._was_shared = False  # the last turn was of more than one tenant
+    def __init__(self, capacity: float) -> None:
+        super().__init__(capacity)
+        self._last_over_share: frozenset[str] = frozenset()  # tenants over their share in the last period
+        self._was_shared = False  # several tenants used time in the last period
 
-    def crowded(self, tenant_id: str) -> bool:
-        """Whether a tenant has had its part of the loop's time in this turn, and there is none left to lend.
+    def must_shed_load(self, tenant_id: str) -> bool:
+        """Whether a tenant has used up its share of the loop's time in this period, with none left to lend.
 
-        A tenant that is alone never is, and by the slack none of many that are equally busy is. Requests
-        refused for it leave the others their time: to refuse costs a fifth of what serving would.
+        Never true of a tenant that is alone, and, due to the tolerance, of none among many equally busy ones.
+        Rejecting its requests leaves time to the others: a rejection costs a fifth of serving the request.
         """
-        if self.held < self.whole or not (self._was_shared or self.holders() > 1):
+        if self.total_held < self.capacity or not (self._was_shared or self.holder_count() > 1):
             return False
-        return self.holds(tenant_id) > self.entitled(tenant_id) + CHANCE_SLACK * self.whole
+        return (
+            self.held_by(tenant_id) > self.guaranteed_share(tenant_id) + OVER_SHARE_TOLERANCE * self.capacity
+        )
 
-    def heavy(self, tenant_id: str) -> bool:
-        """Whether a tenant used much more than its share of the time used, in this turn or the last.
+    def over_share(self, tenant_id: str) -> bool:
+        """Whether a tenant used much more than its share of the time used, in this period or the last.
 
-        Its requests are read one by one, after those that others have ready.
+        Its requests are read one at a time, after those that other tenants have ready.
         """
-        return tenant_id in self._heavy or self._uses_much(tenant_id)
+        return tenant_id in self._last_over_share or self._is_over_share(tenant_id)
 
-    def _uses_much(self, tenant_id: str) -> bool:
-        if self.holders() < 2:
+    def _is_over_share(self, tenant_id: str) -> bool:
+        if self.holder_count() < 2:
             return False
-        return self.holds(tenant_id) > HEAVY_USE_FACTOR * self.entitled(tenant_id) / self.whole * self.held
-
-    def turn(self) -> None:
-        """Begin a new turn."""
-        self._heavy = frozenset(name for name in self.names() if self._uses_much(name))
-        self._was_shared = self.holders() > 1
-        super().turn()
+        return (
+            self.held_by(tenant_id)
+            > OVER_SHARE_FACTOR * self.guaranteed_share(tenant_id) / self.capacity * self.total_held
+        )
+
+    def start_period(self) -> None:
+        """Begin a new accounting period."""
+        self._last_over_share = frozenset(name for name in self.holder_names() if self._is_over_share(name))
+        self._was_shared = self.holder_count() > 1
+        super().start_period()
--- a/hillmux/tenants/registry.py
+++ b/hillmux/tenants/registry.py
@@ -1,4 +1,4 @@
-"""Which tenants there are, in which state, and what has to be done to come from one set to another."""
+"""The tenants being served, and the changes that lead from one set of tenants to another."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """One step: a tenant that was added, changed or removed."""
+    """A tenant that was added, changed or removed."""
 
     kind: str
     old: Tenant | None
@@ -20,14 +20,14 @@
 
     @property
     def id(self) -> str:
-        """The tenant's."""
+        """The tenant's id."""
         tenant = self.new or self.old
         assert tenant is not None
         return tenant.id
 
     @property
-    def new_module(self) -> bool:
-        """Whether the tenant's decision module has to be made anew: its settings are fixed for its life."""
+    def needs_new_module(self) -> bool:
+        """Whether the tenant needs a new decision module, since a module's settings can't change."""
         old, new = self.old, self.new
         return (
             old is not None
@@ -39,27 +39,30 @@
         )
 
 
-def changes_between(before: dict[str, Tenant], wanted: Iterable[Tenant]) -> list[Change]:
-    """From what is to what is wanted: removals first, so that a place is free for who takes it over."""
-    after = {tenant.id: tenant for tenant in wanted}
-    out = [Change(REMOVED, old, None) for key, old in before.items() if key not in after]
+def changes_between(before: dict[str, Tenant], tenants: Iterable[Tenant]) -> list[Change]:
+    """The changes from `before` to `tenants`.
+
+    Removals come first, so that a host name and prefix can pass from one tenant to another.
+    """
+    after = {tenant.id: tenant for tenant in tenants}
+    changes = [Change(REMOVED, old, None) for key, old in before.items() if key not in after]
     for key, new in after.items():
         old = before.get(key)
         if old is None:
-            out.append(Change(ADDED, None, new))
+            changes.append(Change(ADDED, None, new))
         elif old != new:
-            out.append(Change(CHANGED, old, new))
-    return out
+            changes.append(Change(CHANGED, old, new))
+    return changes
 
 
 class Registry:
-    """The tenants that are served."""
+    """The tenants being served."""
 
     def __init__(self) -> None:
         self.tenants: dict[str, Tenant] = {}
 
     def commit(self, change: Change) -> None:
-        """A step that has been carried out."""
+        """Record a change that has been applied."""
         if change.new is None:
             del self.tenants[change.id]
         else:
--- a/hillmux/tenants/router.py
+++ b/hillmux/tenants/router.py
@@ -1,13 +1,13 @@
-"""An index from Host and path to the tenant, and within it to a pool and a class.
+"""Index from Host and path to a tenant, and within the tenant to a route.
 
-The Host chooses among names, the longest path prefix among the tenants of that name; a
-Host that some tenant names never falls to the tenant of `*`, so no path can reach a tenant past the Host.
-Within the tenant the longest prefix whose routes have one for the method and headers wins; among the routes
-of one prefix and method those with more header conditions come first, which is well-defined since routes
-that cross (each matches something that the other does not, and both match something) are refused.
+The Host selects the tenants of that name, and the longest matching path prefix selects one of them. A Host
+that any tenant names never falls back to the tenant of `*`, so no path can reach a tenant under another's
+Host. Within the tenant, the longest prefix that has a route for the method and headers wins. Among the routes
+of one prefix and method, those with more header conditions are tried first. This is well-defined, because
+overlapping routes, where each also matches requests that the other does not, are rejected.
 
-Every look-up is a walk up the path's first segments, as many as the deepest prefix of that name has: it grows
-neither with the tenants nor with a hostile path's length.
+A look-up tries the prefixes of the path's first segments, as many as the longest prefix of that host name
+has. Its cost grows neither with the number of tenants nor with the length of a hostile path.
 """
 
 from __future__ import annotations
@@ -19,73 +19,74 @@
 
 from hillmux.tenants.model import ANY_HOST, Route, Tenant
 
-MAX_TOMBSTONES: Final = 4096  # places of removed tenants that are answered as gone
+MAX_TOMBSTONES: Final = 4096  # host name and prefix pairs of removed tenants that are answered 410
 
 
 class RouteConflictError(ValueError):
-    """Two routes, or two tenants, that claim the same requests; the text names both."""
+    """Two routes or two tenants claim the same requests; the text names both."""
 
 
 @dataclass(slots=True)
 class _RouteTable:
-    """Compiled routes, shared by all tenants whose routes are alike."""
+    """Compiled routes, shared by all tenants that have equal routes."""
 
-    by_method_and_prefix: dict[bytes, tuple[Route, ...]]  # in one key; the most specific first
-    depth: int  # segments of the longest prefix
+    by_method_and_prefix: dict[bytes, tuple[Route, ...]]  # key: method + prefix; most specific route first
+    depth: int  # number of segments of the longest prefix
     tenant_count: int = 0
 
 
 @dataclass(slots=True)
 class Entry:
-    """A tenant with its routes."""
+    """A tenant with its compiled routes."""
 
     tenant: Tenant
     rules: _RouteTable
-    gone: bool = False  # the tenant was removed: 410
+    gone: bool = False  # the tenant was removed: answered 410 Gone
 
 
 @dataclass(slots=True)
 class _HostPrefixes:
-    """Tenants of one host name by prefix."""
+    """The tenants of one host name by path prefix."""
 
     entries: dict[bytes, Entry] = field(default_factory=dict)
-    depth: int = 0  # segments of the longest prefix
-    root: Entry | None = None  # the only entry, if it is for all paths: no walk is needed
+    depth: int = 0  # number of segments of the longest prefix
+    root: Entry | None = None  # the only entry, if it matches all paths: needs no search
 
 
-def segments(prefix: bytes) -> bytes:
-    """A prefix without its trailing slash: `/` is the empty one."""
+def without_trailing_slash(prefix: bytes) -> bytes:
+    """A prefix without its trailing slash; `/` becomes empty."""
     return prefix.rstrip(b"/")
 
 
 def check_routes(tenant: Tenant) -> list[str]:
-    """Errors among a tenant's own routes: names that stand twice, and pairs whose requests are ambiguous."""
+    """Errors among a tenant's own routes: duplicate names, and pairs of routes that match ambiguously."""
     errors = []
     by_prefix: dict[bytes, list[Route]] = {}
     names: dict[str, Route] = {}
     for route in tenant.routes:
-        by_prefix.setdefault(segments(route.prefix), []).append(route)
+        by_prefix.setdefault(without_trailing_slash(route.prefix), []).append(route)
         if names.setdefault(route.name, route) is not route:
             errors.append(f"route {route.name!r}: two routes of one name")
     for routes in by_prefix.values():
-        for one, other in combinations(routes, 2):
-            conflict = _conflict_between(one, other)
+        for first, second in combinations(routes, 2):
+            conflict = _conflict_between(first, second)
             if conflict:
-                errors.append(f"routes {one.name!r} and {other.name!r}: {conflict}")
+                errors.append(f"routes {first.name!r} and {second.name!r}: {conflict}")
     return errors
 
 
-def _conflict_between(one: Route, other: Route) -> str:
-    common = one.methods & other.methods
-    one_headers, other_headers = dict(one.headers), dict(other.headers)
-    if not common or any(other_headers.get(name, value) != value for name, value in one_headers.items()):
-        return ""  # nothing matches both
-    if one_headers == other_headers:
-        return "ambiguous: both match every request with " + _describe_requests(common, one_headers)
-    if one_headers.items() <= other_headers.items() or other_headers.items() <= one_headers.items():
-        return ""  # the one with more conditions is tried first
+def _conflict_between(first: Route, second: Route) -> str:
+    """Why two routes of one prefix are ambiguous; empty if they are not."""
+    common = first.methods & second.methods
+    first_headers, second_headers = dict(first.headers), dict(second.headers)
+    if not common or any(second_headers.get(name, value) != value for name, value in first_headers.items()):
+        return ""  # no request matches both
+    if first_headers == second_headers:
+        return "ambiguous: both match every request with " + _describe_requests(common, first_headers)
+    if first_headers.items() <= second_headers.items() or second_headers.items() <= first_headers.items():
+        return ""  # the route with more conditions is tried first
     return "ambiguous: neither is the more specific for a request with " + _describe_requests(
-        common, one_headers | other_headers
+        common, first_headers | second_headers
     )
 
 
@@ -95,7 +96,7 @@
 
 
 def check_tenants(tenants: Iterable[Tenant]) -> list[str]:
-    """Errors between tenants: two of one id, or two that claim one host name and prefix."""
+    """Errors between tenants: duplicate ids, and tenants that claim the same host name and prefix."""
     errors, ids, claims = [], set(), dict[tuple[str, bytes], str]()
     for tenant in tenants:
         if tenant.id in ids:
@@ -103,55 +104,62 @@
         ids.add(tenant.id)
         for host in tenant.host_names:
             for prefix in tenant.path_prefixes:
-                holder = claims.setdefault((host, segments(prefix)), tenant.id)
+                holder = claims.setdefault((host, without_trailing_slash(prefix)), tenant.id)
                 if holder != tenant.id:
                     errors.append(_claim_conflict(holder, tenant.id, host, prefix))
     return errors
 
 
-def _claim_conflict(one: str, other: str, host: str, prefix: bytes) -> str:
+def _claim_conflict(first: str, second: str, host: str, prefix: bytes) -> str:
     return (
-        f"tenants {one!r} and {other!r}: ambiguous: both claim host {host!r} "
+        f"tenants {first!r} and {second!r}: ambiguous: both claim host {host!r} "
         f"with prefix {prefix.decode() or '/'!r}"
     )
 
 
 class Router:
-    """The index of tenants. To add or remove one costs the same however many there are."""
+    """The index of tenants. Adding or removing one takes constant time in the number of tenants.
+
+    A claim is a host name and a path prefix, without its trailing slash, that belong to a tenant.
+
+    Attributes:
+        headers: the names of the headers that routes match or that name the partner.
+    """
 
     def __init__(self) -> None:
         self._hosts: dict[str, _HostPrefixes] = {}
-        self._tombstones: dict[tuple[str, bytes], Entry] = {}  # the oldest first
-        self._tables: dict[tuple[Route, ...], _RouteTable] = {}  # those in use
-        self._header_uses: dict[bytes, int] = {}
-        self.headers: frozenset[bytes] = frozenset()  # those that some route goes by
+        self._tombstones: dict[tuple[str, bytes], Entry] = {}  # claims of removed tenants, the oldest first
+        self._tables: dict[tuple[Route, ...], _RouteTable] = {}  # tables in use
+        self._header_uses: dict[bytes, int] = {}  # number of tenants that use each header
+        self.headers: frozenset[bytes] = frozenset()
 
     def put(self, tenant: Tenant) -> None:
         """Add a tenant.
 
         Raises:
-            RouteConflictError: its routes are ambiguous, or its place is taken; nothing has changed.
+            RouteConflictError: its routes are ambiguous, or another tenant has one of its claims; the index
+                is unchanged.
         """
         errors = check_routes(tenant)
-        for host, prefix in _places(tenant):
+        for host, prefix in _claims(tenant):
             holder = self._hosts[host].entries.get(prefix) if host in self._hosts else None
             if holder is not None and not holder.gone and holder.tenant.id != tenant.id:
                 errors.append(_claim_conflict(holder.tenant.id, tenant.id, host, prefix))
         if errors:
             raise RouteConflictError("; ".join(errors))
         entry = Entry(tenant, self._acquire_table(tenant))
-        for place in _places(tenant):
-            self._tombstones.pop(place, None)
-            self._insert(place, entry)
+        for claim in _claims(tenant):
+            self._tombstones.pop(claim, None)
+            self._insert(claim, entry)
         self._count_headers(tenant, 1)
 
-    def take_out(self, tenant: Tenant) -> None:
-        """Remove a tenant without tombstones: it is added again changed, perhaps to other places."""
-        for place in _places(tenant):
-            prefixes = self._hosts.get(place[0])
-            entry = prefixes.entries.get(place[1]) if prefixes is not None else None
+    def remove_for_update(self, tenant: Tenant) -> None:
+        """Remove a tenant without leaving tombstones: its changed version is added next."""
+        for claim in _claims(tenant):
+            prefixes = self._hosts.get(claim[0])
+            entry = prefixes.entries.get(claim[1]) if prefixes is not None else None
             if entry is not None and not entry.gone and entry.tenant.id == tenant.id:
-                self._delete(place)
+                self._delete(claim)
         table = self._tables.get(tenant.routes)
         if table is not None:
             table.tenant_count -= 1
@@ -160,24 +168,27 @@
         self._count_headers(tenant, -1)
 
     def remove(self, tenant: Tenant) -> None:
-        """Remove a tenant; its places answer as gone until another takes them, or many others are removed."""
-        self.take_out(tenant)
+        """Remove a tenant and leave tombstones (answered 410) at its claims.
+
+        A tombstone lasts until another tenant takes the claim, or MAX_TOMBSTONES newer ones replace it.
+        """
+        self.remove_for_update(tenant)
         entry = Entry(tenant, NO_ROUTES, gone=True)
-        for place in _places(tenant):
+        for claim in _claims(tenant):
             while len(self._tombstones) >= MAX_TOMBSTONES:
                 oldest = next(iter(self._tombstones))
                 del self._tombstones[oldest]
                 self._delete(oldest)
-            self._tombstones[place] = entry
-            self._insert(place, entry)
+            self._tombstones[claim] = entry
+            self._insert(claim, entry)
 
     def entry_count(self) -> int:
-        """Places of tenants, and keys of method and prefix, that the index holds."""
-        places = sum(len(prefixes.entries) for prefixes in self._hosts.values())
-        return places + sum(len(table.by_method_and_prefix) for table in self._tables.values())
+        """The number of claims, and of keys of method and prefix, in the index."""
+        claim_count = sum(len(prefixes.entries) for prefixes in self._hosts.values())
+        return claim_count + sum(len(table.by_method_and_prefix) for table in self._tables.values())
 
     def find(self, host: str, path: bytes) -> Entry | None:
-        """The tenant that a request is for, None if there is none."""
+        """The tenant that a request is for; None if there is none."""
         prefixes = self._hosts.get(host) or self._hosts.get(ANY_HOST)
         if prefixes is None:
             return None
@@ -187,7 +198,7 @@
     def route(
         entry: Entry, method: bytes, path: bytes, headers: dict[bytes, bytes]
     ) -> Route | frozenset[bytes]:
-        """The tenant's route; else the methods that would have had one there (none: no such path)."""
+        """The tenant's route for a request; if none, the methods for which the path has routes."""
         table = entry.rules
         for prefix in _prefixes_of(path, table.depth):
             for route in table.by_method_and_prefix.get(method + prefix, ()):
@@ -200,18 +211,18 @@
             if key.partition(b"/")[1:] == prefix.partition(b"/")[1:]
         )
 
-    def _insert(self, place: tuple[str, bytes], entry: Entry) -> None:
-        prefixes = self._hosts.setdefault(place[0], _HostPrefixes())
-        prefixes.entries[place[1]] = entry
-        prefixes.depth = max(prefixes.depth, place[1].count(b"/"))
+    def _insert(self, claim: tuple[str, bytes], entry: Entry) -> None:
+        prefixes = self._hosts.setdefault(claim[0], _HostPrefixes())
+        prefixes.entries[claim[1]] = entry
+        prefixes.depth = max(prefixes.depth, claim[1].count(b"/"))
         prefixes.root = prefixes.entries.get(b"") if len(prefixes.entries) == 1 else None
 
-    def _delete(self, place: tuple[str, bytes]) -> None:
-        prefixes = self._hosts[place[0]]
-        del prefixes.entries[place[1]]
+    def _delete(self, claim: tuple[str, bytes]) -> None:
+        prefixes = self._hosts[claim[0]]
+        del prefixes.entries[claim[1]]
         prefixes.root = prefixes.entries.get(b"") if len(prefixes.entries) == 1 else None
         if not prefixes.entries:
-            del self._hosts[place[0]]
+            del self._hosts[claim[0]]
 
     def _acquire_table(self, tenant: Tenant) -> _RouteTable:
         table = self._tables.get(tenant.routes)
@@ -236,18 +247,22 @@
     return names | {tenant.partner_header} if tenant.partner_header else names
 
 
-def _places(tenant: Tenant) -> list[tuple[str, bytes]]:
-    return [(host, segments(prefix)) for host in tenant.host_names for prefix in tenant.path_prefixes]
+def _claims(tenant: Tenant) -> list[tuple[str, bytes]]:
+    return [
+        (host, without_trailing_slash(prefix))
+        for host in tenant.host_names
+        for prefix in tenant.path_prefixes
+    ]
 
 
 def _compile(routes: tuple[Route, ...]) -> _RouteTable:
     by_method_and_prefix: dict[bytes, list[Route]] = {}
     for route in sorted(routes, key=lambda route: -len(route.headers)):
         for method in route.methods:
-            by_method_and_prefix.setdefault(method + segments(route.prefix), []).append(route)
+            by_method_and_prefix.setdefault(method + without_trailing_slash(route.prefix), []).append(route)
     return _RouteTable(
-        {key: tuple(found) for key, found in by_method_and_prefix.items()},
-        max((segments(route.prefix).count(b"/") for route in routes), default=0),
+        {key: tuple(matching) for key, matching in by_method_and_prefix.items()},
+        max((without_trailing_slash(route.prefix).count(b"/") for route in routes), default=0),
     )
 
 
@@ -255,7 +270,7 @@
 
 
 def _prefixes_of(path: bytes, depth: int) -> Iterable[bytes]:
-    """The prefixes of a path by whole segments, the longest of at most `depth` segments first."""
+    """The prefixes of a path in whole segments, longest first, from at most `depth` segments down to none."""
     parts = path.split(b"/", depth + 1)
     if len(parts) > depth + 1:
         parts.pop()
--- a/hillmux/tenants/target.py
+++ b/hillmux/tenants/target.py
@@ -1,4 +1,4 @@
-"""Host and request target of a request: what they name, and whether two readers could differ over it."""
+"""Parses the Host header and the request target, and rejects those that parsers could read differently."""
 
 from __future__ import annotations
 
@@ -12,33 +12,34 @@
 UNRESERVED = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
 ESCAPE = re.compile(rb"%([0-9A-Fa-f]{2})?")
 VISIBLE = re.compile(rb"[!-~]+")
-# Decoded, these change how many segments a path has or where it ends, to some readers and not to others.
+# Escapes of these bytes are rejected: once decoded they change the number of a path's segments or its end for
+# some parsers but not for others.
 FORBIDDEN = frozenset(b"/\\\x00")
 
 
 class TargetError(ValueError):
-    """A Host or target that could be read in two ways, or in none (answered 400)."""
+    """A Host or target that is ambiguous or malformed (answered 400)."""
 
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    """What a request is for."""
+    """The host and path that a request addresses."""
 
-    host: str  # normalised; "" where HTTP/1.0 gave none
-    path: bytes  # as routes see it: escapes of unreserved characters undone
-    origin: bytes  # path and query in origin form, unchanged: what goes on to a host
+    host: str  # normalized; "" for an HTTP/1.0 request without a Host header
+    path: bytes  # normalized for routing: escapes of unreserved characters are decoded
+    origin: bytes  # path and query in origin form, forwarded to the host unchanged
 
 
 def read_target(url: bytes, host: bytes | None, http_1_0: bool) -> Target:
-    """Target and Host header as a `Target` (RFC 9112 sections 3.2 and 3.2.2).
+    """Parse the request target and the Host header (RFC 9112 sections 3.2 and 3.2.2).
 
     Args:
-        url: the request target as it came.
-        host: the Host header's value; that it came once is checked with the other headers.
-        http_1_0: the request's version is 1.0, in which Host may be missing.
+        url: the request target as received.
+        host: the Host header's value; duplicates are rejected with those of the other headers.
+        http_1_0: whether the request's version is 1.0, in which Host is optional.
 
     Raises:
-        TargetError: the text says what was wrong.
+        TargetError: the target or Host is ambiguous or malformed; the text describes the error.
     """
     if host is None and not http_1_0:
         raise TargetError("Host: is missing")
@@ -48,9 +49,9 @@
         scheme, colon, rest = url.partition(b"://")
         if not colon or scheme.lower() != b"http":
             raise TargetError("target: is neither a path nor an absolute http URI")
-        cut = min((i for i in (rest.find(b"/"), rest.find(b"?")) if i >= 0), default=len(rest))
-        name = host_name(rest[:cut])  # goes before the Host header (RFC 9112 section 3.2.2)
-        origin = rest[cut:]
+        authority_end = min((i for i in (rest.find(b"/"), rest.find(b"?")) if i >= 0), default=len(rest))
+        name = host_name(rest[:authority_end])  # overrides the Host header (RFC 9112 section 3.2.2)
+        origin = rest[authority_end:]
         if origin[:1] != b"/":
             origin = b"/" + origin
         if not name:
@@ -58,12 +59,16 @@
     path = origin.partition(b"?")[0]
     if b"#" in origin or not VISIBLE.fullmatch(origin):
         raise TargetError("target: holds a byte that must not stand there")
-    return Target(name, plain_path(path), origin)
+    return Target(name, normalize_path(path), origin)
 
 
 def host_name(value: bytes) -> str:
-    """A Host header's value as the name it stands for: lower-case, without port or trailing dot; an IPv6
-    address in its shortest form, in brackets (RFC 5952). TargetError where it is no host.
+    """Normalize a Host header's value: lower-case, without port or trailing dot.
+
+    An IPv6 address is given in its shortest form, in brackets (RFC 5952).
+
+    Raises:
+        TargetError: the value is not a valid host.
     """
     try:
         text = value.decode("ascii").strip(" \t").lower()
@@ -75,7 +80,7 @@
         literal, bracket, rest = text[1:].partition("]")
         if not bracket or (rest and not rest.startswith(":")) or not PORT.fullmatch(rest[1:]):
             raise TargetError("Host: is not [IPv6] or [IPv6]:PORT")
-        if "%" in literal:  # a zone means something on one machine only (RFC 6874)
+        if "%" in literal:  # a zone identifier is only meaningful on one machine (RFC 6874)
             raise TargetError("Host: holds an IPv6 address with a zone")
         try:
             return f"[{ipaddress.IPv6Address(literal)}]"
@@ -90,12 +95,13 @@
     return name
 
 
-def plain_path(path: bytes) -> bytes:
-    """A path as routes compare it: escapes of unreserved characters undone (RFC 3986 section 6.2.2.2).
+def normalize_path(path: bytes) -> bytes:
+    """Decode escapes of unreserved characters in a path (RFC 3986 section 6.2.2.2).
 
-    Refused, since a host may read them otherwise than the router and so serve what the route was meant to
-    keep apart: dot segments (`..`, `%2e%2e`), empty segments (`//`), escaped slashes, backslashes and zeros,
-    and escapes that are none.
+    Raises:
+        TargetError: the path has a dot segment (`..`, `%2e%2e`), an empty segment (`//`), an escaped slash,
+            backslash or zero, or a malformed escape. A host may interpret these differently from the router
+            and so serve a request that another route was meant to handle.
     """
     if b"%" in path:
         path = ESCAPE.sub(_unescape, path)
--- a/tests/fakes/tenants.py
+++ b/tests/fakes/tenants.py
@@ -8,7 +8,7 @@
 from hillmux import interface as api
 from hillmux.hosted.config import parse
 from hillmux.interface import Idempotency
-from hillmux.tenants.model import Pool, Route, ServiceConfig, Tenant, methods_of
+from hillmux.tenants.model import Pool, Route, ServiceConfig, Tenant, methods_allowed_for
 
 READ = api.RequestClass("read", latency_objective_ms=1500, deadline_ms=3000, priority_weight=3)
 BOOK = api.RequestClass(
@@ -45,7 +45,7 @@
     **headers: str,
 ) -> Route:
     """A route; header names are given with underscores."""
-    chosen = frozenset(m.encode() for m in methods.split()) or methods_of(cls.idempotency)
+    chosen = frozenset(m.encode() for m in methods.split()) or methods_allowed_for(cls.idempotency)
     return Route(
         name,
         prefix.encode(),
--- a/tests/hosted/test_changes.py
+++ b/tests/hosted/test_changes.py
@@ -38,7 +38,7 @@
     """What anybody holds of what lasts."""
     r = service.resources
     ledgers = {"open": r.open, "buffer": r.buffer, "hosts": r.hosts, "dials": r.dials}
-    return {name: ledger.held for name, ledger in ledgers.items() if ledger.held}
+    return {name: ledger.total_held for name, ledger in ledgers.items() if ledger.total_held}
 
 
 async def gone(rig: Hosted, tenant: str = "a") -> None:
@@ -111,7 +111,7 @@
             async with rig:
                 client = await rig.connect()
                 client.writer.write(request("a"))
-                await rig.until(lambda: rig.service.resources.dials.held)
+                await rig.until(lambda: rig.service.resources.dials.total_held)
                 rig.apply("b")
                 assert status(await client.read()) == 503  # it never ran anywhere
                 await gone(rig)
@@ -182,7 +182,7 @@
             release(rig.hosts["a"], 0)
             assert status(await client.read()) == 200
             await rig.until(lambda: old.empty() and old not in rig.service._leaving)
-            assert rig.service.resources.open.held == 0
+            assert rig.service.resources.open.total_held == 0
             assert rig.service.slot("a").stats is not old.stats  # a new tenant, not the old one's counts
 
     on_loop(scenario)
@@ -204,7 +204,7 @@
             await rig.until(lambda: not rig.service.leftovers("a"))
             assert "a" in rig.service._stores
             rig.apply("a", "b")
-            assert rig.service.resources.clients.holds(UNHEARD) == 1  # its idle connection is nobody's now
+            assert rig.service.resources.clients.held_by(UNHEARD) == 1  # its idle connection is nobody's now
             found = [status(await client.ask(request("a"))) for _ in range(6)]
             assert found.count(200) <= 1  # what came back in these milliseconds, not a burst anew
             rig.apply("b")
@@ -444,8 +444,8 @@
                     case "wait":
                         await asyncio.sleep(rng.random() * 0.02)
                 ledgers = rig.service.resources
-                assert ledgers.open.held <= ledgers.open.whole
-                assert ledgers.dials.held <= ledgers.dials.whole
+                assert ledgers.open.total_held <= ledgers.open.capacity
+                assert ledgers.dials.total_held <= ledgers.dials.capacity
             found = Counter(await asyncio.gather(*tasks))
             assert sum(found.values()) == len(tasks)
             assert set(found) <= {200, 404, 410, 429, 502, 503, 504}
@@ -454,7 +454,7 @@
             await rig.until(lambda: not any(rig.service.leftovers(n) for n in names))
             assert held(rig.service) == {}
             assert not rig.service._leaving and not rig.service._awake and not rig.service._slots
-            assert [n for n in names if rig.service.resources.clients.known(n)] == []
+            assert [n for n in names if rig.service.resources.clients.is_registered(n)] == []
 
     on_loop(scenario)
 
--- a/tests/hosted/test_front.py
+++ b/tests/hosted/test_front.py
@@ -205,7 +205,7 @@
             await rig.until(lambda: core.stats.faults > 6)  # its timer comes again
             core.decision_module.handle = handle
             assert status(await client.ask(request("a"))) == 200
-            assert core.open_requests() == 0 and rig.service.resources.open.held == 0
+            assert core.open_requests() == 0 and rig.service.resources.open.total_held == 0
             assert not rig.service.slot("b").stats.faults
 
     on_loop(scenario)
--- a/tests/hosted/test_isolation.py
+++ b/tests/hosted/test_isolation.py
@@ -73,7 +73,7 @@
             assert set(found["c"]) <= {200, 410, 503} and found["c"][410] > 0
             assert kept.answered() == kept.requests
             await rig.until(lambda: not rig.service.leftovers("c"))
-            assert rig.service.resources.open.held == 0
+            assert rig.service.resources.open.total_held == 0
 
     on_loop(scenario)
 
@@ -86,14 +86,14 @@
                 client.writer.write(request("a"))
             stats = rig.service.slot("a").stats
             await rig.until(lambda: stats.requests == 20)
-            assert rig.service.resources.open.holds("a") == 12  # all but the reserve
+            assert rig.service.resources.open.held_by("a") == 12  # all but the reserve
             assert stats.refused == {"gateway_share": 8}
             mine = [await rig.connect() for _ in range(8)]
             for client in mine:
                 client.writer.write(request("b"))
             await rig.until(lambda: rig.service.slot("b").stats.requests == 8)
             assert rig.service.slot("b").stats.refused == {}
-            assert rig.service.resources.open.holds("b") == 8
+            assert rig.service.resources.open.held_by("b") == 8
             await rig.until(lambda: len(rig.hosts["b"].seen) == 8)
             assert stats.refused == {"gateway_share": 12}  # four of those that were out gave way
             for fake in rig.hosts.values():
@@ -124,7 +124,7 @@
         rig.per_tenant = {"a": {"default_plan": "small"}}
         async with rig:
             rig.service.resources.clock._offset += 3600
-            rig.service.resources.loop.whole = 1e9  # a slow one would refuse some first
+            rig.service.resources.loop.capacity = 1e9  # a slow one would refuse some first
             client = await rig.connect()
             found: dict[str, Counter[int]] = {"a": Counter(), "b": Counter()}
             for _ in range(20):
@@ -135,7 +135,9 @@
             assert found["b"] == {200: 80}
             assert sum(found["a"].values()) == 80 and found["a"][429] > 60
             assert rig.service.slot("b").stats.units == 80
-            assert rig.service.resources.clients.holds("a") + rig.service.resources.clients.holds("b") == 1
+            assert (
+                rig.service.resources.clients.held_by("a") + rig.service.resources.clients.held_by("b") == 1
+            )
 
     on_loop(scenario)
 
@@ -146,7 +148,7 @@
             kept = await rig.connect()
             assert status(await kept.ask(request("b"))) == 200
             flood = [await asyncio.open_connection(LOOP, rig.port) for _ in range(200)]
-            await rig.until(lambda: rig.service.resources.clients.holds(UNHEARD) >= 62)
+            await rig.until(lambda: rig.service.resources.clients.held_by(UNHEARD) >= 62)
             for _ in range(5):
                 assert status(await kept.ask(request("b"))) == 200  # the one that it had
                 assert await rig.status(request("b")) == 200  # and new ones
@@ -165,11 +167,11 @@
             flood = [await rig.connect() for _ in range(63)]
             for client in flood:
                 assert status(await client.ask(request("a"))) == 200
-            assert rig.service.resources.clients.holds("a") == 63
+            assert rig.service.resources.clients.held_by("a") == 63
             mine = [await rig.connect() for _ in range(20)]
             for client in (kept, *mine):
                 assert status(await client.ask(request("b"))) == 200
-            assert rig.service.resources.clients.holds("b") == 21
+            assert rig.service.resources.clients.held_by("b") == 21
             assert len(rig.server.connections) <= 64
 
     on_loop(scenario)
@@ -179,7 +181,7 @@
     async def scenario() -> None:
         async with Hosted("a", "b", behave=silent, limits={"sockets": 128, "dials": 256}) as rig:
             rig.hosts["b"].behave = serve
-            rig.service.resources.hosts.whole = 1000.0  # it is the clients' side that runs out here
+            rig.service.resources.hosts.capacity = 1000.0  # it is the clients' side that runs out here
             flood = [await rig.connect() for _ in range(64)]
             for client in flood:
                 client.writer.write(request("a"))
@@ -209,17 +211,17 @@
                 clients.append(one)
                 for _ in range(8):
                     await asyncio.get_running_loop().sock_sendall(one, request("a"))
-                peaks.append(buffer.held)
+                peaks.append(buffer.total_held)
                 client = await rig.connect()
                 assert len((await client.ask(request("b"))).body) == len(body)
                 client.writer.close()
             assert max(peaks) > 128 * 1024  # they do hold something
             # What cannot be refused any more, one answer, may stand beyond the whole.
-            assert max(peaks) <= buffer.whole + len(body) + 1024
+            assert max(peaks) <= buffer.capacity + len(body) + 1024
             assert rig.service.slot("b").stats.refused == {}
             for one in clients:
                 one.close()
-            await rig.until(lambda: buffer.held == 0)
+            await rig.until(lambda: buffer.total_held == 0)
 
     on_loop(scenario)
 
@@ -250,14 +252,14 @@
             for seen in rig.hosts["a"].seen:  # each was let in, and each answer comes
                 seen.writer.write(answer)
                 await asyncio.sleep(0.002)
-                peaks.append(buffer.held)
+                peaks.append(buffer.total_held)
             await rig.until(lambda: rig.service.slot("a").stats.served == 40)
-            assert max(peaks) <= buffer.whole + len(body)
+            assert max(peaks) <= buffer.capacity + len(body)
             await rig.until(lambda: len(rig.server.connections) < 25)
             assert await rig.status(request("b")) == 200
             for one in clients:
                 one.close()
-            await rig.until(lambda: buffer.held == 0)
+            await rig.until(lambda: buffer.total_held == 0)
 
     on_loop(scenario)
 
@@ -275,9 +277,9 @@
             await asyncio.get_running_loop().sock_connect(one, (LOOP, rig.port))
             for _ in range(8):
                 await asyncio.get_running_loop().sock_sendall(one, request("a") * 8)
-            await rig.until(lambda: rig.service.resources.buffer.held > len(body))
+            await rig.until(lambda: rig.service.resources.buffer.total_held > len(body))
             await rig.until(lambda: not rig.server.connections)
-            assert rig.service.resources.buffer.held == 0
+            assert rig.service.resources.buffer.total_held == 0
             one.close()
 
     on_loop(scenario)
@@ -294,14 +296,14 @@
                 client.writer.write(half)
                 clients.append(client)
                 assert await rig.status(request("b", "/api/pay/p", "POST", body="y" * 20_000)) == 200
-                peaks.append(buffer.held)
-            assert max(peaks) > 0.7 * buffer.whole
-            assert max(peaks) <= buffer.whole + 60_000
+                peaks.append(buffer.total_held)
+            assert max(peaks) > 0.7 * buffer.capacity
+            assert max(peaks) <= buffer.capacity + 60_000
             told = await clients[-1].read()
             assert status(told) == 503 and json.loads(told.body)["detail"] == "gateway_share"
             for client in clients:
                 client.writer.close()
-            await rig.until(lambda: buffer.held == 0)
+            await rig.until(lambda: buffer.total_held == 0)
 
     on_loop(scenario)
 
@@ -325,10 +327,10 @@
                 clients = [await rig.connect() for _ in range(20)]
                 for client in clients:
                     client.writer.write(request("a"))
-                await rig.until(lambda: rig.service.resources.dials.holds("a") == 6)
+                await rig.until(lambda: rig.service.resources.dials.held_by("a") == 6)
                 assert await rig.status(request("b")) == 200
                 assert {status(await client.read()) for client in clients} == {503}
-                assert rig.service.resources.dials.held == rig.service.resources.hosts.holds("a") == 0
+                assert rig.service.resources.dials.total_held == rig.service.resources.hosts.held_by("a") == 0
             for one in waiting:
                 one.close()
 
@@ -360,7 +362,7 @@
             assert host.ejections == 0 and not host.connection_refused
             hosts.loop = loop
             assert await rig.status(request("a")) == 200
-            assert rig.service.resources.dials.held == 0
+            assert rig.service.resources.dials.total_held == 0
 
     on_loop(scenario)
 
@@ -390,8 +392,8 @@
         async with Hosted("a", "b") as rig:
             loop = rig.service.resources.loop
             rig.service._turn.cancel()
-            loop.charge("a", loop.whole)  # as by a flood in this turn
-            loop.charge("b", loop.whole / 100)
+            loop.charge("a", loop.capacity)  # as by a flood in this turn
+            loop.charge("b", loop.capacity / 100)
             client = await rig.connect()
             answer = await client.ask(request("a"))
             assert status(answer) == 503 and json.loads(answer.body)["detail"] == CROWDED
@@ -412,7 +414,7 @@
             for _ in range(10):
                 await client.ask(request("a"))
             loop = rig.service.resources.loop
-            assert loop.holds("a") > 0 and loop.holds("b") == 0
+            assert loop.held_by("a") > 0 and loop.held_by("b") == 0
 
     on_loop(scenario)
 
@@ -420,37 +422,37 @@
 def test_a_tenant_is_refused_only_when_it_is_beyond_its_part_and_others_are_there() -> None:
     made = Resources(Limits())
     for name in "ab":
-        made.loop.know(name, 1.0)
-    made.loop.charge("a", made.loop.whole * 1.4)
-    assert not made.loop.crowded("a")  # alone, it has all that is idle
-    made.loop.charge("b", made.loop.whole * 0.01)
-    assert made.loop.crowded("a") and not made.loop.crowded("b")
-    made.loop.turn()
-    assert not made.loop.crowded("a")
-    made.loop.charge("a", made.loop.whole * 0.9)
-    assert not made.loop.crowded("a")  # some is left to lend
-    made.loop.charge("a", made.loop.whole * 0.25)
-    assert made.loop.crowded("a")  # the other was there a moment ago
+        made.loop.register(name, 1.0)
+    made.loop.charge("a", made.loop.capacity * 1.4)
+    assert not made.loop.must_shed_load("a")  # alone, it has all that is idle
+    made.loop.charge("b", made.loop.capacity * 0.01)
+    assert made.loop.must_shed_load("a") and not made.loop.must_shed_load("b")
+    made.loop.start_period()
+    assert not made.loop.must_shed_load("a")
+    made.loop.charge("a", made.loop.capacity * 0.9)
+    assert not made.loop.must_shed_load("a")  # some is left to lend
+    made.loop.charge("a", made.loop.capacity * 0.25)
+    assert made.loop.must_shed_load("a")  # the other was there a moment ago
     for _ in range(2):
-        made.loop.turn()
-    made.loop.charge("a", made.loop.whole * 1.4)
-    assert not made.loop.crowded("a")
+        made.loop.start_period()
+    made.loop.charge("a", made.loop.capacity * 1.4)
+    assert not made.loop.must_shed_load("a")
 
 
 def test_of_many_that_are_busy_alike_none_is_crowded() -> None:
     made = Resources(Limits())
     for i in range(100):
-        made.loop.know(f"t{i}", 1.0)
-        made.loop.charge(f"t{i}", made.loop.whole * (0.015 if i % 2 else 0.012))
-    assert made.loop.held > made.loop.whole
-    assert not any(made.loop.crowded(f"t{i}") for i in range(100))
+        made.loop.register(f"t{i}", 1.0)
+        made.loop.charge(f"t{i}", made.loop.capacity * (0.015 if i % 2 else 0.012))
+    assert made.loop.total_held > made.loop.capacity
+    assert not any(made.loop.must_shed_load(f"t{i}") for i in range(100))
 
 
 def test_on_a_connection_of_two_each_one_s_requests_are_charged_to_itself() -> None:
     async def scenario() -> None:
         async with Hosted("a", "b") as rig:
             rig.service._turn.cancel()
-            rig.service.resources.loop.turn()
+            rig.service.resources.loop.start_period()
             take = rig.service.core("a").take
 
             def slow_take(*words: object) -> object:
@@ -464,7 +466,7 @@
             client.writer.write(request("a") + request("b"))
             assert [status(await client.read()) for _ in range(2)] == [200, 200]
             loop = rig.service.resources.loop
-            assert loop.holds("a") >= 0.02 > loop.holds("b") > 0
+            assert loop.held_by("a") >= 0.02 > loop.held_by("b") > 0
 
     on_loop(scenario)
 
@@ -484,25 +486,25 @@
 def test_who_takes_much_of_the_loops_time_is_known_in_this_turn_and_the_next() -> None:
     made = Resources(Limits())
     for name in "abc":
-        made.loop.know(name, 1.0)
+        made.loop.register(name, 1.0)
     made.loop.charge("a", 0.010)
-    assert not made.loop.heavy("a")  # alone
+    assert not made.loop.over_share("a")  # alone
     made.loop.charge("b", 0.001)
-    assert made.loop.heavy("a") and not made.loop.heavy("b") and not made.loop.heavy("c")
-    made.loop.turn()
-    assert made.loop.heavy("a") and not made.loop.heavy("b")
-    made.loop.turn()
-    assert not made.loop.heavy("a")
+    assert made.loop.over_share("a") and not made.loop.over_share("b") and not made.loop.over_share("c")
+    made.loop.start_period()
+    assert made.loop.over_share("a") and not made.loop.over_share("b")
+    made.loop.start_period()
+    assert not made.loop.over_share("a")
     for name in "abc":
         made.loop.charge(name, 0.010)
-    assert not any(made.loop.heavy(name) for name in "abc")
+    assert not any(made.loop.over_share(name) for name in "abc")
 
 
 def test_one_that_takes_much_waits_for_others_and_each_request_has_its_answer_in_order() -> None:
     async def scenario() -> None:
         async with Hosted("a", "b") as rig:
             rig.service._turn.cancel()
-            rig.service.resources.loop._heavy = frozenset("a")
+            rig.service.resources.loop._last_over_share = frozenset("a")
             clients = [await rig.connect() for _ in range(20)]
             other = await rig.connect()
             for client in (*clients, other):
@@ -544,7 +546,7 @@
         async with Hosted("a") as rig:
             client = await rig.connect()
             assert status(await client.ask(request("a"))) == 200
-            rig.service.resources.loop._heavy = frozenset("a")
+            rig.service.resources.loop._last_over_share = frozenset("a")
             rig.service._turn.cancel()
             (connection,) = rig.server.connections
             connection.data_received(request("a"))
--- a/tests/tenants/test_router.py
+++ b/tests/tenants/test_router.py
@@ -155,7 +155,7 @@
     assert router.headers == {b"x-kind", b"x-a", b"x-b"}
     router.remove(one)
     assert router.headers == {b"x-kind", b"x-b"}
-    router.take_out(other)
+    router.remove_for_update(other)
     assert router.headers == frozenset()
 
 
--- a/tests/tenants/test_target.py
+++ b/tests/tenants/test_target.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hillmux.tenants.target import TargetError, host_name, plain_path, read_target
+from hillmux.tenants.target import TargetError, host_name, normalize_path, read_target
 
 
 @pytest.mark.parametrize(
@@ -71,7 +71,7 @@
     ],
 )
 def test_a_path_is_compared_as_hosts_read_it(path: bytes, plain: bytes) -> None:
-    assert plain_path(path) == plain
+    assert normalize_path(path) == plain
 
 
 @pytest.mark.parametrize(
@@ -100,7 +100,7 @@
 )
 def test_a_path_that_two_readers_read_in_two_ways_is_refused(path: bytes) -> None:
     with pytest.raises(TargetError):
-        plain_path(path)
+        normalize_path(path)
 
 
 def test_an_absolute_target_goes_before_the_host_header_and_on_in_origin_form() -> None:
