--- a/benchmarks/capacity/tenants.py
+++ b/benchmarks/capacity/tenants.py
@@ -65,7 +65,7 @@
 
 def _change(service: Service, path: Path) -> None:
     """What SIGHUP does (`hillmux.hosted.serve.Reloader`), with the reading in this thread."""
-    changes = service.carry_out(Service.prepare(load(path, gently=True), service.tenants()))
+    changes = service.apply_prepared(Service.prepare(load(path, pure_python=True), service.tenants()))
     if len(changes) != 1:
         raise RuntimeError(f"{len(changes)} tenants changed in place of one")
 
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -268,7 +268,7 @@
                 b"",
                 "main",
             )
-            service.core(f"t{i}").take(Nobody(), order, service.make_room)
+            service.core(f"t{i}").submit(Nobody(), order, service.make_room)
     for _ in range(100):
         await asyncio.sleep(0.05)
         if not service.resources.open.total_held:
--- a/hillmux/demo/load.py
+++ b/hillmux/demo/load.py
@@ -7,7 +7,7 @@
 import random
 from collections import Counter
 
-from hillmux.hosted.stats import Times
+from hillmux.hosted.stats import LatencyHistogram
 
 MOST_OUT = 256  # requests out at once; what would be due beyond them is counted as not sent
 TICK_S = 0.005
@@ -30,7 +30,7 @@
         self.sent = self.unsent = self.served = self.failed = self.unanswered = 0
         self.refused: Counter[str] = Counter()  # by cause
         self.gone = 0  # answered 404 or 410
-        self.times = Times()
+        self.times = LatencyHistogram()
         self.units = 0.0
         self._stopped = False
 
--- a/hillmux/hosted/__init__.py
+++ b/hillmux/hosted/__init__.py
@@ -1,1 +1,1 @@
-"""The hosted service: many tenants on one gateway, from a file, with a counter of its own."""
+"""The hosted service: a multi-tenant gateway, configured by a file, with its own counter."""
--- a/hillmux/hosted/config.py
+++ b/hillmux/hosted/config.py
@@ -1,4 +1,4 @@
-"""The configuration file to a `ServiceConfig`: all faults at once, with file, field, found and expected."""
+"""Loads the configuration file as a `ServiceConfig`; reports all errors at once, with file and field."""
 
 from __future__ import annotations
 
@@ -14,70 +14,78 @@
 from pydantic import TypeAdapter, ValidationError
 
 from hillmux import interface as api
-from hillmux.hosted import shape
+from hillmux.hosted import config_schema
 from hillmux.interface import HostStatus, Idempotency, KeyScope
 from hillmux.tenants import model, router
 from hillmux.tenants.addresses import AddressBook
 
-MOST_FAULTS = 100  # told at once
-SHOWN = 60  # characters of what was found
-COUNT_PATIENCE = 3.0  # as the platform's gateway has it: a late total is true, too
+MAX_REPORTED_FAULTS = 100  # errors listed in one exception
+MAX_VALUE_CHARS = 60  # characters of an invalid value that are shown
+COUNTER_TIMEOUT_FACTOR = 3.0  # multiple of `wait_ms`, as on the platform: a late total is still correct
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One thing that is wrong with a file."""
+    """One error in a file."""
 
     file: str
-    path: str  # of the field, as in `tenants[2].pools.main.hosts[0].address`; "" for the whole
-    text: str  # what was found, and what may stand there
+    path: str  # path of the field, as in `tenants[2].pools.main.hosts[0].address`; "" for the whole file
+    text: str  # the value found and the values allowed
 
     def __str__(self) -> str:
         return ": ".join(part for part in (self.file, self.path, self.text) if part)
 
 
 class ConfigFaultsError(ValueError):
-    """A configuration that is not taken, with all that is wrong with it."""
+    """A configuration was rejected; `faults` lists all its errors."""
 
     def __init__(self, faults: list[Fault]) -> None:
         self.faults = faults
-        lines = [str(fault) for fault in faults[:MOST_FAULTS]]
-        if len(faults) > MOST_FAULTS:
-            lines.append(f"and {len(faults) - MOST_FAULTS} more faults")
+        lines = [str(fault) for fault in faults[:MAX_REPORTED_FAULTS]]
+        if len(faults) > MAX_REPORTED_FAULTS:
+            lines.append(f"and {len(faults) - MAX_REPORTED_FAULTS} more faults")
         super().__init__("\n".join(lines))
 
 
 @cache
-def _adapter(kind: type[shape.Shape]) -> TypeAdapter[Any]:
+def _adapter(kind: type[config_schema.Shape]) -> TypeAdapter[Any]:
     return TypeAdapter(kind)
 
 
-def load(path: Path, gently: bool = False) -> model.ServiceConfig:
-    """The configuration in a file; `gently`: slower, and other threads are not held up.
+def load(path: Path, pure_python: bool = False) -> model.ServiceConfig:
+    """Load a configuration file.
+
+    Args:
+        path: the file.
+        pure_python: use the slower TOML parser in pure Python, which lets other threads run.
 
     Raises:
-        ConfigFaultsError: with every fault that was found.
+        ConfigFaultsError: with every error that was found.
     """
-    return parse(read_toml(path, tomllib if gently else tomli), str(path), path.parent)
+    return parse(read_toml(path, tomllib if pure_python else tomli), str(path), path.parent)
 
 
 def read_toml(path: Path, reader: ModuleType = tomli) -> dict[str, Any]:
-    """A file's tables; ConfigFaultsError where it is none."""
+    """The tables of a TOML file; ConfigFaultsError if it is unreadable or not valid TOML."""
     try:
         return dict(reader.loads(path.read_text(encoding="utf-8")))
     except OSError as error:
         raise ConfigFaultsError([Fault(str(path), "", f"cannot be read: {error.strerror}")]) from None
     except (UnicodeDecodeError, tomli.TOMLDecodeError, tomllib.TOMLDecodeError) as error:
-        raise ConfigFaultsError([Fault(str(path), "", f"is no TOML in UTF-8: {error}")]) from None
+        raise ConfigFaultsError([Fault(str(path), "", f"is no valid TOML in UTF-8: {error}")]) from None
 
 
 def parse(raw: dict[str, Any], file: str, folder: Path) -> model.ServiceConfig:
-    """Tables as a `ServiceConfig`; paths in them are relative to `folder`. Raises as `load` does."""
+    """Build a `ServiceConfig` from TOML tables; paths in them are relative to `folder`.
+
+    Raises:
+        ConfigFaultsError: with every error that was found.
+    """
     faults: list[Fault] = []
-    head = _validate(shape.FileShape, raw, file, "", faults)
-    if head is None:  # its tenants are looked at all the same, for their faults
+    head = _validate(config_schema.FileShape, raw, file, "", faults)
+    if head is None:  # validate the tenants too, so that their errors are reported with the others
         for i, entry in enumerate(raw.get("tenants") or []):
-            _validate(shape.TenantShape, entry, file, f"tenants[{i}]", faults)
+            _validate(config_schema.TenantShape, entry, file, f"tenants[{i}]", faults)
         raise ConfigFaultsError(faults)
     if head.gateway.number >= head.gateway.fleet_size:
         faults.append(
@@ -92,11 +100,11 @@
         text = f"is missing, expected HOST:PORT: gateway.fleet_size is {head.gateway.fleet_size}"
         faults.append(Fault(file, "counter.address", text))
     tenants: list[model.Tenant] = []
-    maker = _Maker(head, file, folder, faults)
+    builder = _TenantBuilder(head, file, folder, faults)
     for i, entry in enumerate(head.tenants):
-        shaped = _validate(shape.TenantShape, entry, file, f"tenants[{i}]", faults)
-        if shaped is not None:
-            tenants.append(maker.tenant(shaped, f"tenants[{i}]"))
+        parsed = _validate(config_schema.TenantShape, entry, file, f"tenants[{i}]", faults)
+        if parsed is not None:
+            tenants.append(builder.tenant(parsed, f"tenants[{i}]"))
     faults += [Fault(file, "tenants", text) for text in check_together(tenants)]
     if faults:
         raise ConfigFaultsError(faults)
@@ -110,7 +118,7 @@
         fleet_size=head.gateway.fleet_size,
         drain_s=head.gateway.drain_s,
         counter=head.counter.address,
-        count_wait_ms=COUNT_PATIENCE * head.counter.wait_ms,
+        count_wait_ms=COUNTER_TIMEOUT_FACTOR * head.counter.wait_ms,
         limits=model.Limits(
             limits.sockets,
             limits.open_requests,
@@ -123,7 +131,7 @@
 
 
 def check_together(tenants: Iterable[model.Tenant]) -> list[str]:
-    """What is wrong between tenants that are each sound: claims, scopes, and hosts that two would share."""
+    """Conflicts between tenants that are each valid: equal claims, counter scopes or hosts."""
     tenants = list(tenants)
     faults = router.check_tenants(tenants)
     scopes: dict[str, str] = {}
@@ -138,17 +146,19 @@
                 if other != tenant.id:
                     faults.append(
                         f"tenants {other!r} and {tenant.id!r}: both list the host {name!r} at "
-                        f"{address[0]}:{address[1]}: a host is one tenant's, or neither could keep it "
-                        "from falling over when it is cold, nor tell its keys from the other's"
+                        f"{address[0]}:{address[1]}: a host must belong to one tenant, otherwise neither "
+                        "could limit its load when it is cold, nor tell its idempotency keys from the other's"
                     )
     return faults
 
 
 def check_files(config: model.ServiceConfig) -> list[str]:
-    """What is wrong with the files of hosts that a configuration names, one by one and together."""
-    book, faults = AddressBook(), list[str]()
+    """Errors in the hosts files that a configuration names, and conflicts between them."""
+    address_book, faults = AddressBook(), list[str]()
     for tenant in config.tenants:
-        book.claim((tenant.id, ""), [address for pool in tenant.pools for _, address in pool.addresses])
+        address_book.claim(
+            (tenant.id, ""), [address for pool in tenant.pools for _, address in pool.addresses]
+        )
     for tenant in config.tenants:
         for pool in tenant.pools:
             if not pool.hosts_file:
@@ -164,110 +174,116 @@
                         pool.hosts_file, "hosts", f"found {host}:{port}, which is a host of tenant {other!r}"
                     )
                 )
-                for (host, port), (other, _) in book.held_by_others(tenant.id, addresses).items()
+                for (host, port), (other, _) in address_book.held_by_others(tenant.id, addresses).items()
             ]
-            book.claim((tenant.id, pool.hosts_file), addresses)
+            address_book.claim((tenant.id, pool.hosts_file), addresses)
     return faults
 
 
 def load_hosts(
     path: Path, pool: str
 ) -> tuple[tuple[api.Endpoint, ...], tuple[tuple[str, model.Address], ...]]:
-    """A pool's file of hosts: servers, and addresses by name. ConfigFaultsError where it is none."""
+    """Load a pool's hosts file: its servers, and their names with addresses.
+
+    Raises:
+        ConfigFaultsError: with every error that was found.
+    """
     faults: list[Fault] = []
-    shaped = _validate(shape.HostsFileShape, read_toml(path), str(path), "", faults)
-    if shaped is not None:
-        faults += _twice(shaped.hosts, str(path), "hosts")
-    if shaped is None or faults:
+    parsed = _validate(config_schema.HostsFileShape, read_toml(path), str(path), "", faults)
+    if parsed is not None:
+        faults += _duplicate_ids(parsed.hosts, str(path), "hosts")
+    if parsed is None or faults:
         raise ConfigFaultsError(faults)
-    return _servers(shaped.hosts, pool), tuple((h.id, h.address) for h in shaped.hosts)
+    return _servers(parsed.hosts, pool), tuple((h.id, h.address) for h in parsed.hosts)
 
 
-def _validate(kind: type[shape.Shape], raw: Any, file: str, at: str, faults: list[Fault]) -> Any:
-    """A table as its shape; None, with its faults told, where it is none."""
+def _validate(kind: type[config_schema.Shape], raw: Any, file: str, path: str, faults: list[Fault]) -> Any:
+    """Validate a table; if it is invalid, add its errors to `faults` and return None."""
     try:
         return _adapter(kind).validate_python(raw)
     except ValidationError as error:
         label = raw.get("id") if isinstance(raw, dict) else None
-        named = f"{at} ({label})" if at and isinstance(label, str) else at
+        named = f"{path} ({label})" if path and isinstance(label, str) else path
         for item in error.errors(include_url=False):
             where = "".join(
                 f"[{part}]" if isinstance(part, int) else f".{part}"
                 for part in item["loc"]
                 if part != "[key]"
             )
-            faults.append(Fault(file, (named + where).lstrip("."), _tell(item)))
+            faults.append(Fault(file, (named + where).lstrip("."), _describe(item)))
         return None
 
 
-def _tell(item: Any) -> str:
+def _describe(item: Any) -> str:
     if item["type"] == "missing":
         return "is missing"
     if item["type"] == "extra_forbidden":
-        return f"found {_show(item['input'])}, expected no field of this name"
+        return f"found {_abbreviate(item['input'])}, expected no field of this name"
     what = item["msg"]
     for start, short in (("Input should be ", ""), ("Value error, ", ""), ("Input should have", "what has")):
         what = what.replace(start, short) if what.startswith(start) else what
-    return f"found {_show(item['input'])}, expected {what}"
+    return f"found {_abbreviate(item['input'])}, expected {what}"
 
 
-def _show(found: object) -> str:
+def _abbreviate(found: object) -> str:
     text = repr(found)
-    return text if len(text) <= SHOWN else text[:SHOWN] + "..."
+    return text if len(text) <= MAX_VALUE_CHARS else text[:MAX_VALUE_CHARS] + "..."
 
 
-class _Maker:
-    """Shapes to tenants; settings and routes that are alike are made once, however many tenants have them."""
+class _TenantBuilder:
+    """Builds tenants from validated tables; equal settings and routes are shared between tenants."""
 
-    def __init__(self, head: shape.FileShape, file: str, folder: Path, faults: list[Fault]) -> None:
+    def __init__(self, head: config_schema.FileShape, file: str, folder: Path, faults: list[Fault]) -> None:
         self._head, self._file, self._folder, self._faults = head, file, folder, faults
         self._settings: dict[api.Settings, api.Settings] = {}
         self._routes: dict[tuple[model.Route, ...], tuple[model.Route, ...]] = {}
 
-    def tenant(self, shaped: shape.TenantShape, at: str) -> model.Tenant:
-        """One tenant; what is wrong with it beyond its shape is added to the faults."""
-        at = f"{at} ({shaped.id})"
-        classes = shaped.classes or self._head.classes
-        plans = shaped.plans or self._head.plans
+    def tenant(self, parsed: config_schema.TenantShape, path: str) -> model.Tenant:
+        """Build one tenant; errors that the schema does not cover are added to the faults."""
+        path = f"{path} ({parsed.id})"
+        classes = parsed.classes or self._head.classes
+        plans = parsed.plans or self._head.plans
         if not classes:
             self._fault(
-                f"{at}.classes", "found none, expected one at least, here or in the file's own classes"
+                f"{path}.classes", "found none, expected one at least, here or in the file's own classes"
             )
         if not plans:
-            self._fault(f"{at}.plans", "found none, expected one at least, here or in the file's own plans")
-        if shaped.default_plan and shaped.default_plan not in plans:
+            self._fault(f"{path}.plans", "found none, expected one at least, here or in the file's own plans")
+        if parsed.default_plan and parsed.default_plan not in plans:
             self._fault(
-                f"{at}.default_plan", f"found {shaped.default_plan!r}, expected one of {_names(plans)}"
+                f"{path}.default_plan", f"found {parsed.default_plan!r}, expected one of {_join_names(plans)}"
             )
-        for name, partner in shaped.partners.items():
+        for name, partner in parsed.partners.items():
             if partner.plan not in plans:
                 self._fault(
-                    f"{at}.partners.{name}.plan", f"found {partner.plan!r}, expected one of {_names(plans)}"
+                    f"{path}.partners.{name}.plan",
+                    f"found {partner.plan!r}, expected one of {_join_names(plans)}",
                 )
-        if not shaped.partners and not shaped.default_plan:
+        if not parsed.partners and not parsed.default_plan:
             self._fault(
-                f"{at}.partners", "found none and no default_plan, expected either: nobody could call"
+                f"{path}.partners", "found none and no default_plan, expected either: no request could match"
             )
         routes = tuple(
-            self._route(route, shaped, classes, f"{at}.routes[{i}]") for i, route in enumerate(shaped.routes)
+            self._route(route, parsed, classes, f"{path}.routes[{i}]")
+            for i, route in enumerate(parsed.routes)
         )
         tenant = model.Tenant(
-            id=shaped.id,
-            host_names=shaped.host_names,
-            path_prefixes=tuple(prefix.encode() for prefix in shaped.path_prefixes),
+            id=parsed.id,
+            host_names=parsed.host_names,
+            path_prefixes=tuple(prefix.encode() for prefix in parsed.path_prefixes),
             routes=self._routes.setdefault(routes, routes),
-            pools=self._pools(shaped, at),
-            settings=self._settings_of(shaped, classes, plans),
-            state=shaped.state,
-            share=shaped.share,
-            partners=tuple((name, partner.plan) for name, partner in shaped.partners.items()),
-            default_plan=shaped.default_plan,
-            partner_header=(shaped.partner_header or "").lower().encode(),
-            dial_ms=shaped.module.dial_timeout_ms,
-            idle_ms=shaped.module.conn_idle_ms,
+            pools=self._pools(parsed, path),
+            settings=self._settings_of(parsed, classes, plans),
+            state=parsed.state,
+            share=parsed.share,
+            partners=tuple((name, partner.plan) for name, partner in parsed.partners.items()),
+            default_plan=parsed.default_plan,
+            partner_header=(parsed.partner_header or "").lower().encode(),
+            dial_ms=parsed.module.dial_timeout_ms,
+            idle_ms=parsed.module.conn_idle_ms,
         )
         for text in router.check_routes(tenant):
-            self._fault(f"{at}.routes", text)
+            self._fault(f"{path}.routes", text)
         return tenant
 
     def _fault(self, path: str, text: str) -> None:
@@ -275,18 +291,18 @@
 
     def _route(
         self,
-        route: shape.RouteShape,
-        shaped: shape.TenantShape,
-        classes: dict[str, shape.ClassShape],
-        at: str,
+        route: config_schema.RouteShape,
+        parsed: config_schema.TenantShape,
+        classes: dict[str, config_schema.ClassShape],
+        path: str,
     ) -> model.Route:
         effect = "safe"
         if route.class_ in classes:
             effect = classes[route.class_].effect
         else:
-            self._fault(f"{at}.class", f"found {route.class_!r}, expected one of {_names(classes)}")
-        if route.pool not in shaped.pools:
-            self._fault(f"{at}.pool", f"found {route.pool!r}, expected one of {_names(shaped.pools)}")
+            self._fault(f"{path}.class", f"found {route.class_!r}, expected one of {_join_names(classes)}")
+        if route.pool not in parsed.pools:
+            self._fault(f"{path}.pool", f"found {route.pool!r}, expected one of {_join_names(parsed.pools)}")
         allowed = model.methods_allowed_for(effect)
         methods = frozenset(method.encode() for method in route.methods) or (
             allowed if effect == "safe" else frozenset((b"POST",))
@@ -294,19 +310,19 @@
         for method in sorted(methods - allowed):
             if route.class_ in classes:
                 self._fault(
-                    f"{at}.methods",
-                    f"found {method.decode()!r}, expected of {_names(m.decode() for m in allowed)}"
+                    f"{path}.methods",
+                    f"found {method.decode()!r}, expected of {_join_names(m.decode() for m in allowed)}"
                     f": class {route.class_!r} is {effect}",
                 )
         prefix = router.without_trailing_slash(route.prefix.encode())
         if not any(
             (prefix + b"/").startswith(router.without_trailing_slash(p.encode()) + b"/")
-            for p in shaped.path_prefixes
+            for p in parsed.path_prefixes
         ):
             self._fault(
-                f"{at}.prefix",
+                f"{path}.prefix",
                 f"found {route.prefix!r}, expected a path under one of the tenant's "
-                f"path_prefixes {_names(shaped.path_prefixes)}: nothing would reach it",
+                f"path_prefixes {_join_names(parsed.path_prefixes)}: nothing would match it",
             )
         return model.Route(
             route.name,
@@ -318,36 +334,36 @@
             effect,
         )
 
-    def _pools(self, shaped: shape.TenantShape, at: str) -> tuple[model.Pool, ...]:
+    def _pools(self, parsed: config_schema.TenantShape, path: str) -> tuple[model.Pool, ...]:
         pools, seen = [], dict[str, str]()
-        for name, pool in shaped.pools.items():
-            where = f"{at}.pools.{name}"
+        for name, pool in parsed.pools.items():
+            where = f"{path}.pools.{name}"
             if pool.hosts_file and pool.hosts:
                 self._fault(where, "found hosts and hosts_file, expected one of them")
-            self._faults += _twice(pool.hosts, self._file, f"{where}.hosts")
+            self._faults += _duplicate_ids(pool.hosts, self._file, f"{where}.hosts")
             for host in pool.hosts:
                 other = seen.setdefault(host.id, name)
                 if other != name:
                     self._fault(
                         f"{where}.hosts",
-                        f"found id {host.id!r}, which pool {other!r} has, too; "
-                        "expected an id in one pool of a tenant",
+                        f"found id {host.id!r}, which pool {other!r} also has; "
+                        "expected an id that is in one pool of the tenant only",
                     )
-            path = str(self._folder / pool.hosts_file) if pool.hosts_file else ""
+            hosts_path = str(self._folder / pool.hosts_file) if pool.hosts_file else ""
             pools.append(
                 model.Pool(
-                    name, _servers(pool.hosts, name), tuple((h.id, h.address) for h in pool.hosts), path
+                    name, _servers(pool.hosts, name), tuple((h.id, h.address) for h in pool.hosts), hosts_path
                 )
             )
         return tuple(pools)
 
     def _settings_of(
         self,
-        shaped: shape.TenantShape,
-        classes: dict[str, shape.ClassShape],
-        plans: dict[str, shape.PlanShape],
+        parsed: config_schema.TenantShape,
+        classes: dict[str, config_schema.ClassShape],
+        plans: dict[str, config_schema.PlanShape],
     ) -> api.Settings:
-        module, gateway = shaped.module, self._head.gateway
+        module, gateway = parsed.module, self._head.gateway
         settings = api.Settings(
             classes=tuple(_request_class(name, c) for name, c in classes.items()),
             plans=tuple(_plan(name, p) for name, p in plans.items()),
@@ -359,7 +375,7 @@
             counter_available=True,
             max_request_units=module.most_units,
             max_customers=module.most_customers,
-            counter_timeout_ms=COUNT_PATIENCE * self._head.counter.wait_ms,
+            counter_timeout_ms=COUNTER_TIMEOUT_FACTOR * self._head.counter.wait_ms,
             actual_units_reported=True,
             drain_grace_ms=module.drain_grace_ms,
             slow_start_min_share=module.cold_from,
@@ -370,49 +386,51 @@
         return self._settings.setdefault(settings, settings)
 
 
-def _request_class(name: str, found: shape.ClassShape) -> api.RequestClass:
+def _request_class(name: str, table: config_schema.ClassShape) -> api.RequestClass:
     return api.RequestClass(
         name,
-        latency_objective_ms=found.aim_ms,
-        deadline_ms=found.deadline_ms,
-        priority_weight=found.worth,
-        late_priority_weight=found.late_worth,
-        idempotency=Idempotency(found.effect),
-        key_scope=KeyScope(found.key_scope),
-        idempotency_window_ms=found.window_ms,
+        latency_objective_ms=table.aim_ms,
+        deadline_ms=table.deadline_ms,
+        priority_weight=table.worth,
+        late_priority_weight=table.late_worth,
+        idempotency=Idempotency(table.effect),
+        key_scope=KeyScope(table.key_scope),
+        idempotency_window_ms=table.window_ms,
     )
 
 
-def _plan(name: str, found: shape.PlanShape) -> api.Plan:
+def _plan(name: str, table: config_schema.PlanShape) -> api.Plan:
     return api.Plan(
         name,
-        rate=found.rate,
-        burst=found.burst,
-        priority_weight=found.worth,
-        over_quota_weight=found.over_worth,
-        over_quota_cost=found.over_cost,
-        ceiling_rate=found.ceiling_rate,
-        ceiling_burst=found.ceiling_burst,
-        ceiling_tolerance=found.ceiling_slack,
+        rate=table.rate,
+        burst=table.burst,
+        priority_weight=table.worth,
+        over_quota_weight=table.over_worth,
+        over_quota_cost=table.over_cost,
+        ceiling_rate=table.ceiling_rate,
+        ceiling_burst=table.ceiling_burst,
+        ceiling_tolerance=table.ceiling_slack,
     )
 
 
-def _names(names: Iterable[str]) -> str:
-    known = sorted(names)
-    text = ", ".join(known[:8]) + (", ..." if len(known) > 8 else "")
+def _join_names(names: Iterable[str]) -> str:
+    ordered = sorted(names)
+    text = ", ".join(ordered[:8]) + (", ..." if len(ordered) > 8 else "")
     return text or "(none)"
 
 
-def _twice(hosts: tuple[shape.HostShape, ...], file: str, at: str) -> list[Fault]:
+def _duplicate_ids(hosts: tuple[config_schema.HostShape, ...], file: str, path: str) -> list[Fault]:
     faults, seen = [], set[str]()
     for i, host in enumerate(hosts):
         if host.id in seen:
-            faults.append(Fault(file, f"{at}[{i}].id", f"found {host.id!r} again, expected an id of its own"))
+            faults.append(
+                Fault(file, f"{path}[{i}].id", f"found {host.id!r} again, expected an id of its own")
+            )
         seen.add(host.id)
     return faults
 
 
-def _servers(hosts: tuple[shape.HostShape, ...], pool: str) -> tuple[api.Endpoint, ...]:
+def _servers(hosts: tuple[config_schema.HostShape, ...], pool: str) -> tuple[api.Endpoint, ...]:
     return tuple(
         api.Endpoint(
             h.id,
--- a/hillmux/hosted/shape.py
+++ b/hillmux/hosted/config_schema.py
@@ -1,4 +1,4 @@
-"""The shape of the configuration file: what may stand where. Nothing here opens a file."""
+"""Schema of the configuration file: tables, fields and their bounds. Nothing here opens a file."""
 
 from __future__ import annotations
 
@@ -17,6 +17,7 @@
 
 
 def _expected(what: str) -> PydanticCustomError:
+    """An error whose text is what the field may hold; it is reported after `expected`."""
     return PydanticCustomError("expected", "{what}", {"what": what})
 
 
@@ -69,13 +70,13 @@
 
 
 class Shape(BaseModel):
-    """A table of the file; a field that it does not name is a fault."""
+    """A table of the file; an unknown field is an error."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class ClassShape(Shape):
-    """A class of request."""
+    """A request class."""
 
     aim_ms: Positive
     deadline_ms: Positive
@@ -87,7 +88,7 @@
 
 
 class PlanShape(Shape):
-    """A plan of partners."""
+    """A plan that partners can have."""
 
     rate: NotNegative = 0.0
     burst: NotNegative = 0.0
@@ -100,7 +101,7 @@
 
 
 class HostShape(Shape):
-    """One booking node."""
+    """One host of a pool."""
 
     id: Word
     address: Address
@@ -112,20 +113,20 @@
 
 
 class PoolShape(Shape):
-    """Hosts, listed or in a file of their own."""
+    """A pool's hosts, listed here or in a hosts file."""
 
     hosts: tuple[HostShape, ...] = ()
     hosts_file: str = ""
 
 
 class HostsFileShape(Shape):
-    """A file of hosts."""
+    """A hosts file."""
 
     hosts: tuple[HostShape, ...]
 
 
 class RouteShape(Shape):
-    """Which requests are of which class, and where they go."""
+    """The request class and the pool of the requests that a route matches."""
 
     name: Word
     prefix: Prefix = "/"
@@ -142,7 +143,7 @@
 
 
 class ModuleShape(Shape):
-    """What the tenant's decision module is told beside classes and plans."""
+    """Settings of the tenant's decision module other than classes and plans."""
 
     try_limit: Annotated[int, Field(ge=1, le=16)] = 3
     max_retry_after_ms: NotNegative = 10_000.0
@@ -176,7 +177,7 @@
 
 
 class GatewayShape(Shape):
-    """This process among those that serve the same tenants."""
+    """This process within the fleet that serves the same tenants."""
 
     name: Word = "hillmux"
     number: Annotated[int, Field(ge=0)] = 0
@@ -191,7 +192,7 @@
 
 
 class LimitsShape(Shape):
-    """What the process may hold in all."""
+    """Resource limits of the process."""
 
     sockets: Annotated[int, Field(ge=128)] = 1024
     open_requests: Annotated[int, Field(ge=16)] = 2000
@@ -202,14 +203,14 @@
 
 
 class CounterShape(Shape):
-    """Where counts are kept: no address means inside the process."""
+    """The counter's address; without one, the counter is embedded in the process."""
 
     address: Address | None = None
     wait_ms: Positive = 30.0
 
 
 class FileShape(Shape):
-    """The whole file. Tenants are looked at one by one, so that a fault in one hides none in another."""
+    """The complete file. Tenants are validated one by one, so that an error in one hides none in another."""
 
     state_folder: str = ""
     gateway: GatewayShape = GatewayShape()
--- a/hillmux/hosted/core.py
+++ b/hillmux/hosted/core.py
@@ -1,4 +1,4 @@
-"""One tenant's core: its own module, hosts and counts, within its shares of what the process has."""
+"""One tenant's core: its decision module, hosts and statistics, within its shares of the resources."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from typing import Any, Protocol, cast
 
 from hillmux import interface as api
-from hillmux.hosted.resources import SHARE, Resources
+from hillmux.hosted.resources import SHARE_EXHAUSTED, Resources
 from hillmux.hosted.stats import Stats
 from hillmux.interface import AttemptResult, Idempotency, ListKind, RejectReason
 from hillmux.net.attempt import Attempt
@@ -25,16 +25,17 @@
 
 log = logging.getLogger(__name__)
 
-DOZE_AFTER_S = 2.0  # since the last request
-DOZE_S = 5.0  # between housekeeping timers while there is nothing to keep
-RETIRE_EVERY = 10  # housekeeping timers between looks at idle connections
-RETRY_TIMER_MS = 100.0  # a timer that the module broke on comes again
-LOOKED_AT = 16  # newest requests, of which one gives way
-NO_MODULE_MS = 1000.0  # Retry-After of what the service itself refuses
+IDLE_AFTER_S = 2.0  # time since the last request after which a tenant may become idle
+IDLE_SWEEP_INTERVAL_S = 5.0  # maximum interval of the `sweep` timer while a tenant is idle
+SWEEPS_PER_EXPIRY_CHECK = 10  # `sweep` timers between checks for expired idle connections
+FAILED_TIMER_RETRY_MS = 100.0  # delay after which a timer is repeated on which the module raised
+SHED_CANDIDATES = 16  # number of the newest requests from which the one to shed is chosen
+SERVICE_RETRY_AFTER_MS = 1000.0  # Retry-After of requests that the service itself rejects
 CONFLICT = "conflict"
-LINES_KEPT = b":lines"  # no header can be called so
-# Of an answer, these are for one connection only (RFC 9110 section 7.6.1), or between host and gateway.
-OWN_HEADERS = frozenset(
+HEADER_LINES_KEY = b":lines"  # not a valid header name, so it can't collide with a received header
+# Response headers that are not forwarded: they apply to one connection (RFC 9110 section 7.6.1), or are
+# exchanged between host and gateway only.
+UNFORWARDED_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -53,29 +54,33 @@
 
 
 class TenantCounter(CounterClient, Protocol):
-    """A counter that a tenant can be cut off from."""
+    """A counter client that can be closed."""
 
     def close(self) -> None:
-        """Reply no more."""
+        """Pass on no further replies."""
 
 
 class TenantHostConnection(UpstreamConnection):
-    """One connection to a tenant's host; keeps the header lines that the client gets, too."""
+    """A connection to a tenant's host, which also keeps the header lines to forward to the client."""
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Also keep the line for the client, unless it is hop-by-hop, the gateway's own or a trailer."""
+        """Also keep the line for the client, unless it is in UNFORWARDED_HEADERS or a trailer."""
         super().on_header(name, value)
-        if name.lower() not in OWN_HEADERS and b":done" not in self._headers:
-            self._headers[LINES_KEPT] = b"%b%b: %b\r\n" % (self._headers.get(LINES_KEPT, b""), name, value)
+        if name.lower() not in UNFORWARDED_HEADERS and b":done" not in self._headers:
+            self._headers[HEADER_LINES_KEY] = b"%b%b: %b\r\n" % (
+                self._headers.get(HEADER_LINES_KEY, b""),
+                name,
+                value,
+            )
 
     def on_headers_complete(self) -> None:
-        """Check the framing as the base does; header lines from here on are trailers."""
+        """Also mark the end of the headers."""
         super().on_headers_complete()
-        self._headers[b":done"] = b""  # what still comes are trailers
+        self._headers[b":done"] = b""  # header lines received from here on are trailers
 
 
 class TenantHosts(UpstreamPool):
-    """A tenant's connections, held against its shares."""
+    """The connections to a tenant's hosts, charged to the tenant's shares."""
 
     connection_class = TenantHostConnection
 
@@ -84,32 +89,38 @@
         tenant: Tenant,
         loop: asyncio.AbstractEventLoop,
         resources: Resources,
-        ended: Callable[[Attempt, AttemptResult, Response | None], None],
+        on_attempt_ended: Callable[[Attempt, AttemptResult, Response | None], None],
         make_room: Callable[[str], bool],
-        wanted: Callable[[Attempt], bool],
+        client_is_waiting: Callable[[Attempt], bool],
     ) -> None:
-        super().__init__(loop, int(resources.hosts.capacity), tenant.dial_ms, tenant.idle_ms, ended, wanted)
+        super().__init__(
+            loop,
+            int(resources.hosts.capacity),
+            tenant.dial_ms,
+            tenant.idle_ms,
+            on_attempt_ended,
+            client_is_waiting,
+        )
         self._tenant, self._resources, self._make_room = tenant.id, resources, make_room
 
     def classify(self, reply: Response) -> AttemptResult:
-        """An answer that is the tenant's own business, a 404 as much as a 201, was served."""
+        """Also count 2xx to 4xx as served, except 408 and 429: the tenant may mean a 404 as much as a 201."""
         if 200 <= reply.status < 500 and reply.status not in (408, 429):
             return AttemptResult.OK
         return super().classify(reply)
 
-    def empty(self) -> bool:
-        """Whether no connection is left, nor a dial."""
+    def is_empty(self) -> bool:
+        """Whether no connections and no dials are left."""
         return not self.connections and not self.dials
 
     def reserve_dial(self) -> bool:
-        """Also reserve the dial and its descriptor in the tenant's shares."""
-        # Guards the descriptors and the dials of the others.
+        """Also reserve the dial and its descriptor in the tenant's shares, to protect other tenants."""
         if not self._resources.dials.acquire(self._tenant):
             return False
         if self._resources.hosts.acquire(self._tenant):
             return True
-        # An idle connection of our own gives way, else one of whoever holds more than its part. Either is
-        # gone within this turn of the loop, before the dial is up.
+        # Close an idle connection of this tenant, otherwise one of the tenant that exceeds its share most.
+        # Either is closed within this iteration of the event loop, before the dial completes.
         if self.drop_idle() or (
             self._resources.hosts.within_guaranteed_share(self._tenant) and self._make_room(self._tenant)
         ):
@@ -122,7 +133,7 @@
         """Also return the dial and its descriptor to the tenant's shares."""
         super().release_dial()
         self._resources.dials.release(self._tenant)
-        self._resources.hosts.release(self._tenant)  # it stands for itself now, if it is up
+        self._resources.hosts.release(self._tenant)  # an established connection is charged separately
 
     def connection_opened(self, connection: UpstreamConnection) -> None:
         """Also charge the connection to the tenant's share."""
@@ -130,101 +141,114 @@
         self._resources.hosts.charge(self._tenant, 1.0)
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
-        """Also give the connection back to the tenant's share, if it was up."""
+        """Also release the connection from the tenant's share, if it was established."""
         if connection in self.connections:
             self._resources.hosts.release(self._tenant)
         super().connection_closed(connection)
 
 
 class TenantCore(GatewayCore):
-    """Events of a tenant's requests and hosts in, actions of its module out.
+    """Passes events of a tenant's requests and hosts to its decision module, and executes its actions.
 
-    Awake, the module has its timer as often as it asks. With nothing open and no pressure left it dozes: the
-    timer comes each DOZE_S, and at once when a request comes. When the module says that nothing is left which
-    a fresh one would not know, it is put away whole; `settled` tells the service so.
+    While the tenant is active, the housekeeping timer (`sweep`) fires as often as the module requests. Once
+    there are no open requests and the module is idle, it fires at most every IDLE_SWEEP_INTERVAL_S, and at
+    once when a request arrives. When the module is quiescent, that is, when a new module would decide the
+    same, `on_finished` is called and the service discards the core. `on_finished` is also called once the
+    core is closed.
+
+    Attributes:
+        cause: why the request that is being answered was rejected.
     """
 
     def __init__(
         self,
         tenant: Tenant,
         loop: asyncio.AbstractEventLoop,
-        pulse: LoopLagMonitor,
+        loop_lag: LoopLagMonitor,
         resources: Resources,
         stats: Stats,
         seed: int,
-        settled: Callable[[TenantCore], None],
+        on_finished: Callable[[TenantCore], None],
         make_room: Callable[[str], bool],
     ) -> None:
-        super().__init__(tenant.settings, seed, loop, pulse)
+        super().__init__(tenant.settings, seed, loop, loop_lag)
         self.tenant = tenant
         self.clock = resources.clock
-        self._resources, self.stats, self._settled = resources, stats, settled
+        self._resources, self.stats, self._on_finished = resources, stats, on_finished
         self.upstreams: TenantHosts = TenantHosts(
             tenant, loop, resources, self.attempt_ended, make_room, self.is_wanted
         )
         self._timers: dict[str, asyncio.TimerHandle] = {}
-        self._dozing = False
-        self._busy_at = loop.time()
+        self._idle_mode = False
+        self._last_request_at = loop.time()
         self._sweeps = 0
-        self._leaving = self._closed = False
+        self._closing = self._closed = False
         self._counts: TenantCounter | None = None
-        self.cause = ""  # of the refusal that is being answered
+        self.cause = ""
 
-    def start(self, born_ms: float, listing: DiscoveryResponse, counter: TenantCounter) -> None:
-        """Begin as one that was born then and idle since: its ceilings have earned what they could."""
+    def start(self, created_ms: float, endpoints: DiscoveryResponse, counter: TenantCounter) -> None:
+        """Start as if idle since `created_ms`: the module's ceilings have accrued allowance since then."""
         self.counter = self._counts = counter
-        for act in self.decision_module.handle(born_ms, api.EndpointList(ListKind.CACHED, ())):
+        for act in self.decision_module.handle(created_ms, api.EndpointList(ListKind.CACHED, ())):
             self.execute(act)
-        self.apply_endpoints(listing, ListKind.FULL)
+        self.apply_endpoints(endpoints, ListKind.FULL)
 
-    def update(self, tenant: Tenant, listing: DiscoveryResponse) -> None:
-        """Go on under a changed configuration whose settings are the same."""
+    def update(self, tenant: Tenant, endpoints: DiscoveryResponse) -> None:
+        """Apply a changed configuration whose module settings are unchanged."""
         self.tenant = tenant
-        self.apply_endpoints(listing, ListKind.FULL)
+        self.apply_endpoints(endpoints, ListKind.FULL)
 
-    def leave(self) -> None:
-        """Take nothing new; close once the last request has its answer and its attempts are over."""
-        self._leaving = True
+    def begin_closing(self) -> None:
+        """Close once all requests have been answered and their attempts have ended."""
+        self._closing = True
         self.return_leases()
         self._close_if_done()
 
-    def empty(self) -> bool:
-        """Whether nothing is left: no request, timer or connection."""
-        return self._closed and not self.requests and not self._timers and self.upstreams.empty()
+    def is_empty(self) -> bool:
+        """Whether the core is closed and has no requests, timers or connections left."""
+        return self._closed and not self.requests and not self._timers and self.upstreams.is_empty()
 
-    def open_requests(self) -> int:
-        """Requests that are owed an answer, or whose attempts are out."""
+    def open_request_count(self) -> int:
+        """The number of requests that are not yet answered or have attempts in flight."""
         return len(self.requests)
 
     # Requests
 
-    def take(self, client: Client, order: ForwardRequest, make_room: Callable[[str], bool]) -> str | None:
-        """Take a request; None: it was refused at once, for the cause in `cause`."""
-        tenant, size = self.tenant.id, len(order.head) + len(order.body)
+    def submit(
+        self, client: Client, forward_request: ForwardRequest, make_room: Callable[[str], bool]
+    ) -> str | None:
+        """Accept a request and return its id; None if it was rejected, with the reason in `cause`."""
+        tenant, size = self.tenant.id, len(forward_request.head) + len(forward_request.body)
         shares = self._resources.open
         if not shares.acquire(tenant) and not (make_room(tenant) and shares.acquire(tenant)):
-            self.cause = SHARE
+            self.cause = SHARE_EXHAUSTED
             return None
         if not self._resources.buffer.acquire(tenant, size):
             shares.release(tenant)
-            self.cause = SHARE
+            self.cause = SHARE_EXHAUSTED
             return None
         self._wake()
-        rid = self.request(client, order)
+        rid = self.request(client, forward_request)
         if rid is None:
             shares.release(tenant)
             self._resources.buffer.release(tenant, size)
             self.cause = CONFLICT
         return rid
 
-    def give_way(self) -> bool:
-        """Answer one request early, the newest that was never sent or may be repeated if there is one."""
-        newest = [r for r in islice(reversed(self.requests.values()), LOOKED_AT) if r.client is not None]
+    def shed_request(self) -> bool:
+        """Answer one open request early to shed load; returns whether there was one.
+
+        Chooses among the SHED_CANDIDATES newest: the newest that has no attempts or is idempotent is answered
+        503. If there is none, the newest is answered 502, since it may have been executed.
+        """
+        newest = [
+            r for r in islice(reversed(self.requests.values()), SHED_CANDIDATES) if r.client is not None
+        ]
         for request in newest:
-            harmless = all(a is None for a in request.attempts) or self._safe(request)
-            if harmless:
-                self.cause = SHARE
-                self.answer(request, 503, retry_after_ms=NO_MODULE_MS)
+            may_be_repeated = all(a is None for a in request.attempts) or self._is_idempotent(request)
+            if may_be_repeated:
+                self.cause = SHARE_EXHAUSTED
+                self.answer(request, 503, retry_after_ms=SERVICE_RETRY_AFTER_MS)
                 self.post(api.ClientDisconnected(request.id))
                 return True
         if newest:
@@ -233,19 +257,19 @@
         return bool(newest)
 
     def drop_idle(self) -> bool:
-        """End an idle connection to a host, if there is one."""
+        """Close an idle connection to a host; returns whether there was one."""
         return self.upstreams.drop_idle()
 
-    def _safe(self, request: OpenRequest) -> bool:
+    def _is_idempotent(self, request: OpenRequest) -> bool:
         return any(
             c.name == request.forward_request.class_name and c.idempotency == Idempotency.IDEMPOTENT
             for c in self.settings.classes
         )
 
     def _wake(self) -> None:
-        self._busy_at = self.loop.time()
-        if self._dozing:
-            self._dozing = False
+        self._last_request_at = self.loop.time()
+        if self._idle_mode:
+            self._idle_mode = False
             handle = self._timers.pop("sweep", None)
             if handle is not None:
                 handle.cancel()
@@ -260,14 +284,14 @@
             self._resources.buffer.release(
                 self.tenant.id, len(request.forward_request.head) + len(request.forward_request.body)
             )
-            if self._leaving:
+            if self._closing:
                 self.loop.call_soon(self._close_if_done)
 
     def client_disconnected(self, rid: str) -> None:
-        """Also count a request whose client left before its answer."""
+        """Also count a request whose client disconnected before its answer."""
         request = self.requests.get(rid)
         if request is not None and request.client is not None:
-            self.stats.left += 1
+            self.stats.client_disconnects += 1
         super().client_disconnected(rid)
 
     def answer(
@@ -283,20 +307,20 @@
                 self.stats.served += 1
                 self.stats.times.add((time.monotonic() - request.forward_request.read_at) * 1000)
             elif status in (429, 503):
-                self.stats.refuse(self.cause)
+                self.stats.count_rejection(self.cause)
             else:
                 self.stats.failed += 1
                 self.cause = "failed"
         super().answer(request, status, reply, retry_after_ms)
 
     def pass_on_response(self, client: Client, reply: Response) -> None:
-        """Also hand on the header lines that stay as the host wrote them."""
+        """Also forward the header lines that the host connection kept."""
         cast(Any, client).is_forwarding = True
-        cast(Any, client).extra_header_lines = reply.headers.get(LINES_KEPT, b"")
+        cast(Any, client).extra_header_lines = reply.headers.get(HEADER_LINES_KEY, b"")
         super().pass_on_response(client, reply)
 
     def reject(self, act: api.Reject) -> None:
-        """Answer 429 where a quota or ceiling rejects, else 503."""
+        """Answer 429 if a quota or ceiling rejected the request, otherwise 503."""
         self.cause = act.reason
         status = 429 if act.reason in (RejectReason.QUOTA, RejectReason.CEILING) else 503
         self.answer(self.requests.get(act.request_id), status, retry_after_ms=act.retry_after_ms)
@@ -309,15 +333,15 @@
         if first and request is not None and request.attempts and request.attempts[0] is not None:
             self.stats.units += request.forward_request.units
 
-    # The module
+    # Decision module
 
     def decision_failed(self, event: api.Event) -> None:
-        """Also count the fault, and keep the tenant's timer running."""
+        """Also count the fault, and keep the tenant's timers running."""
         self.stats.faults += 1
         super().decision_failed(event)
         if isinstance(event, api.TimerFired):
-            # Guards the tenant against its own fault: without its timer the module would never see f rise.
-            self.set_timer(api.SetTimer(event.name, RETRY_TIMER_MS))
+            # Without its timer a module that raised once would never raise its admitted fraction again.
+            self.set_timer(api.SetTimer(event.name, FAILED_TIMER_RETRY_MS))
 
     def log_message(self, level: int, text: str, trace: bool = False) -> None:
         """Log with the tenant's name, within its share of log lines."""
@@ -325,15 +349,15 @@
             log.log(level, "tenant %s: %s", self.tenant.id, text, exc_info=trace)
 
     def set_timer(self, act: api.SetTimer) -> None:
-        """Set a timer of the module, less often while the tenant is idle."""
+        """Set a timer of the module; the `sweep` timer is less frequent while the tenant is idle."""
         delay_s = max(act.delay_ms, 0.0) / 1000
         if act.name == "sweep":
             self._sweeps += 1
-            idle = self.loop.time() - self._busy_at > DOZE_AFTER_S and not self.requests
-            self._dozing = idle and self.decision_module.is_idle()
-            if self._dozing:
-                delay_s = min(DOZE_S, self.tenant.idle_ms / 2000)
-            if self._dozing or self._sweeps % RETIRE_EVERY == 0:
+            idle = self.loop.time() - self._last_request_at > IDLE_AFTER_S and not self.requests
+            self._idle_mode = idle and self.decision_module.is_idle()
+            if self._idle_mode:
+                delay_s = min(IDLE_SWEEP_INTERVAL_S, self.tenant.idle_ms / 2000)
+            if self._idle_mode or self._sweeps % SWEEPS_PER_EXPIRY_CHECK == 0:
                 self.upstreams.close_expired()
         if self._closed:
             return
@@ -345,17 +369,17 @@
     def _timer_due(self, name: str) -> None:
         self._timers.pop(name, None)
         self.post(api.TimerFired(name))
-        if self._dozing and name == "sweep" and self.decision_module.is_quiescent() and not self.requests:
-            self._settled(self)
+        if self._idle_mode and name == "sweep" and self.decision_module.is_quiescent() and not self.requests:
+            self._on_finished(self)
 
-    # The end
+    # Closing
 
     def _close_if_done(self) -> None:
-        if self._leaving and not self.requests:
+        if self._closing and not self.requests:
             self.close()
 
     def close(self) -> None:
-        """End all that is left; nothing is open."""
+        """Cancel the timers and close all connections; there are no open requests."""
         if self._closed:
             return
         self._closed = True
@@ -365,4 +389,4 @@
         self.upstreams.stop()
         if self._counts is not None:
             self._counts.close()
-        self._settled(self)
+        self._on_finished(self)
--- a/hillmux/hosted/counts.py
+++ b/hillmux/hosted/counts.py
@@ -1,4 +1,4 @@
-"""Counter calls of many tenants over the few connections that one process has to a counter outside it."""
+"""Counter calls of many tenants over the few connections that a process has to an external counter."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from hillmux import interface as api
 from hillmux.net.counter_client import HttpCounterClient
 
-Replied = Callable[[api.CounterReply], None]
+ReplyCallback = Callable[[api.CounterReply], None]
 
 
 class SharedCounter:
-    """One client for all; each reply goes to who made the call."""
+    """One counter client for all tenants; routes each reply to the caller."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], wait_ms: float) -> None:
-        self._client = HttpCounterClient(loop, address, wait_ms, self._replied)
-        self.waiting: dict[str, deque[Replied]] = {}  # by full name, the call made first first
+        self._client = HttpCounterClient(loop, address, wait_ms, self._on_reply)
+        self.waiting: dict[str, deque[ReplyCallback]] = {}  # open calls by full name, oldest first
 
     def start(self) -> None:
         """Open the connections."""
@@ -27,40 +27,41 @@
         """Close them."""
         self._client.stop()
 
-    def call(self, act: api.IncrementCounter, replied: Replied) -> None:
-        """Make one call under its full name; its reply goes to whoever made it.
+    def call(self, act: api.IncrementCounter, on_reply: ReplyCallback) -> None:
+        """Make one call under its full name; its reply is passed to `on_reply`.
 
-        Guards a tenant's new module against replies to the old one's calls, which have the same names.
+        A tenant's new module and its old one use the same names; replies to the old one must not reach the
+        new.
         """
-        self.waiting.setdefault(act.name, deque()).append(replied)
+        self.waiting.setdefault(act.name, deque()).append(on_reply)
         self._client.call(act)
 
-    def _replied(self, reply: api.CounterReply) -> None:
+    def _on_reply(self, reply: api.CounterReply) -> None:
         waiting = self.waiting[reply.name]
-        replied = waiting.popleft()
+        on_reply = waiting.popleft()
         if not waiting:
             del self.waiting[reply.name]
         name = reply.name.partition(".")[2]
-        replied(api.CounterReply(name, reply.result, reply.total, reply.elapsed_ms))
+        on_reply(api.CounterReply(name, reply.result, reply.total, reply.elapsed_ms))
 
 
 class ScopedCounter:
-    """One tenant's way to the shared counter: names get its scope in front, and lose it on the way back."""
+    """One tenant's view of the shared counter: adds the tenant's scope as a prefix to the names of counts."""
 
-    def __init__(self, shared: SharedCounter, scope: str, replied: Replied) -> None:
-        self._shared, self._scope, self._replied = shared, scope, replied
+    def __init__(self, shared: SharedCounter, scope: str, on_reply: ReplyCallback) -> None:
+        self._shared, self._scope, self._callback = shared, scope, on_reply
         self._closed = False
 
     def call(self, act: api.IncrementCounter) -> None:
-        """Make one call."""
+        """Make one call under the tenant's scope."""
         self._shared.call(
-            api.IncrementCounter(f"{self._scope}.{act.name}", act.amount, act.retention_ms), self._hear
+            api.IncrementCounter(f"{self._scope}.{act.name}", act.amount, act.retention_ms), self._on_reply
         )
 
-    def _hear(self, reply: api.CounterReply) -> None:
+    def _on_reply(self, reply: api.CounterReply) -> None:
         if not self._closed:
-            self._replied(reply)
+            self._callback(reply)
 
     def close(self) -> None:
-        """Hear of no reply any more."""
+        """Ignore further replies."""
         self._closed = True
--- a/hillmux/hosted/resources.py
+++ b/hillmux/hosted/resources.py
@@ -1,4 +1,4 @@
-"""What all tenants of a process share, each as a ledger: who holds how much of it."""
+"""The resources that all tenants of a process share, with an account of each tenant's use."""
 
 from __future__ import annotations
 
@@ -9,37 +9,53 @@
 from hillmux.tenants.model import Limits, Tenant
 from hillmux.tenants.shares import Shares
 
-CLIENT_SHARE, HOST_SHARE = 0.5, 0.36  # of the descriptors, as on the platform
-TURN_S = 0.1  # how often the loop's time is dealt out anew
-UNHEARD = "(unheard)"  # holds the connections that have not asked for anything yet
-CROWDED, SHARE, DRAINING = "gateway_time", "gateway_share", "draining"  # causes of the service's own refusals
+CLIENT_SHARE, HOST_SHARE = 0.5, 0.36  # fractions of the descriptors, as on the platform
+LOOP_TIME_PERIOD_S = 0.1  # accounting period of the loop's time
+UNASSIGNED = "(unheard)"  # owner of connections that have not carried a request yet
+LOOP_TIME_EXHAUSTED, SHARE_EXHAUSTED, DRAINING = (
+    "gateway_time",
+    "gateway_share",
+    "draining",
+)  # causes of the service's own refusals
 
 
 class Resources:
-    """The ledgers."""
+    """The shares of each resource.
+
+    Attributes:
+        clock: one clock for all tenants, so that no tenant's windows move when the system's clock is set.
+        open: open requests.
+        buffer: bytes of requests and of responses that clients have not read.
+        clients: client connections.
+        hosts: descriptors of connections to hosts, dials included.
+        dials: connections to hosts that are being opened.
+        lines: log lines per second.
+        loop: seconds of the loop's time per accounting period.
+        suppressed_log_lines: log lines beyond a tenant's share since they were last reported.
+    """
 
     def __init__(self, limits: Limits) -> None:
-        self.clock = UnixClock()  # one for all: no tenant's windows move if the system's clock is set
+        self.clock = UnixClock()
         self.open = Shares(limits.open_requests)
         self.buffer = Shares(limits.buffer_mb * 1024 * 1024)
         self.clients = Shares(max(int(CLIENT_SHARE * limits.sockets), 1))
         self.hosts = Shares(max(int(HOST_SHARE * limits.sockets), 1))
         self.dials = Shares(limits.dials)
-        self.lines = Shares(limits.log_lines)  # by the second
-        self.loop = LoopTime(limits.loop_share * TURN_S)  # seconds, by the turn
+        self.lines = Shares(limits.log_lines)
+        self.loop = LoopTime(limits.loop_share * LOOP_TIME_PERIOD_S)
         self._all = (self.open, self.buffer, self.clients, self.hosts, self.dials, self.lines, self.loop)
-        self.clients.register(UNHEARD, 1.0)
-        self.buffer.register(UNHEARD, 1.0)
+        self.clients.register(UNASSIGNED, 1.0)
+        self.buffer.register(UNASSIGNED, 1.0)
         self._second = 0
-        self.lines_left_out = 0
+        self.suppressed_log_lines = 0
 
     def register(self, tenant: Tenant) -> None:
-        """A tenant, and its weight from now on."""
+        """Add a tenant, or change its weight."""
         for shares in self._all:
             shares.register(tenant.id, tenant.share)
 
     def unregister(self, tenant_id: str) -> bool:
-        """A tenant that is gone; False while it still holds something that lasts."""
+        """Remove a tenant; False if it still holds open requests, memory, connections or dials."""
         lasting = (self.open, self.buffer, self.clients, self.hosts, self.dials)
         if any(shares.held_by(tenant_id) > 0 for shares in lasting):
             return False
@@ -50,12 +66,12 @@
         return True
 
     def may_log(self, tenant_id: str) -> bool:
-        """Whether a tenant may have one more line in the log in this second."""
+        """Whether a tenant may write one more log line in this second; acquires the line if so."""
         second = int(time.monotonic())
         if second != self._second:
             self._second = second
             self.lines.start_period()
         if self.lines.is_registered(tenant_id) and self.lines.acquire(tenant_id):
             return True
-        self.lines_left_out += 1
+        self.suppressed_log_lines += 1
         return False
--- a/hillmux/hosted/service.py
+++ b/hillmux/hosted/service.py
@@ -1,4 +1,4 @@
-"""The service: tenants by their registry, each with a core while it has something to do."""
+"""The service: all tenants of a process, each with a core while it is active."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from hillmux.hosted.core import TenantCore, TenantCounter
 from hillmux.hosted.counts import ScopedCounter, SharedCounter
 from hillmux.hosted.hostfiles import HostFiles
-from hillmux.hosted.resources import TURN_S, Resources
+from hillmux.hosted.resources import LOOP_TIME_PERIOD_S, Resources
 from hillmux.hosted.stats import Stats
 from hillmux.net.discovery_response import DiscoveryResponse
 from hillmux.net.loop_lag import LoopLagMonitor
@@ -26,28 +26,27 @@
 
 log = logging.getLogger(__name__)
 
-MOST_NAMES = (
-    32_768  # counts of one tenant in the embedded counter: four for each customer the module may know
-)
-TIDY_S = 1.0
+# Limit of the embedded counter per tenant: four counts for each customer that the module may track.
+MAX_COUNTS_PER_TENANT = 32_768
+CLEANUP_INTERVAL_S = 1.0  # between releases of what removed tenants still hold
 
 
 @dataclass(slots=True, frozen=True)
 class Prepared:
-    """A configuration that was looked over, and what it changes."""
+    """A validated configuration, with the changes that it makes."""
 
     config: model.ServiceConfig
-    before: dict[str, model.Tenant]  # the tenants that it was compared with
+    before: dict[str, model.Tenant]  # the tenants that the configuration was compared with
     changes: list[Change]
-    files: dict[str, set[str]]  # the files of hosts of each tenant
+    files: dict[str, set[str]]  # hosts files by tenant
 
 
 @dataclass(slots=True)
-class Slot:
-    """What is kept of a tenant whether it is awake or not."""
+class TenantRecord:
+    """The state of a tenant that is kept whether it has a core or not."""
 
     tenant: model.Tenant
-    born_ms: float  # since when its ceilings have been earning
+    created_ms: float  # time from which the ceilings of its decision module accrue allowance
     core: TenantCore | None = None
     _stats: Stats | None = field(default=None)
     _plans: dict[str, str] | None = field(default=None)
@@ -55,32 +54,32 @@
 
     @property
     def stats(self) -> Stats:
-        """Its counts since it was first asked for."""
+        """The tenant's statistics since its first request."""
         if self._stats is None:
             self._stats = Stats()
         return self._stats
 
     @property
     def plans(self) -> dict[str, str]:
-        """The plan of each partner that is listed."""
+        """The plan of each configured partner."""
         if self._plans is None:
             self._plans = dict(self.tenant.partners)
         return self._plans
 
     @property
     def request_rules(self) -> RequestRules:
-        """What its requests may name."""
+        """The rules for requests under the tenant's settings."""
         if self._request_rules is None:
             self._request_rules = RequestRules(self.tenant.settings)
         return self._request_rules
 
-    def rest(self) -> None:
-        """Keep only what cannot be made anew."""
+    def discard_derived(self) -> None:
+        """Discard what can be derived from the configuration."""
         self._plans = self._request_rules = None
 
 
-def _nobody(tenant_id: str) -> None:
-    """No front has connections."""
+def _ignore_removal(tenant_id: str) -> None:
+    """Used until a listener is attached: no connections refer to the tenant."""
 
 
 class Service:
@@ -93,89 +92,93 @@
         self.resources = Resources(config.limits)
         self.router = router.Router()
         self.draining = False
-        self.disown: Callable[[str], None] = _nobody
+        self.on_tenant_removed: Callable[[str], None] = _ignore_removal
         self._registry = Registry()
-        self._slots: dict[str, Slot] = {}
-        self._awake: dict[str, TenantCore] = {}
-        self._leaving: set[TenantCore] = set()  # of tenants that were removed, or whose settings changed
-        # Counts by tenant, where they are embedded; they outlive removals.
-        self._stores: dict[str, Store] = {}
-        self._unowned: set[str] = set()  # removed, and their accounts not yet closed
-        self._pulse = LoopLagMonitor(loop)
+        self._records: dict[str, TenantRecord] = {}
+        self._cores: dict[str, TenantCore] = {}
+        # Cores that get no new requests: of tenants that were removed, idle, or whose settings changed.
+        self._closing: set[TenantCore] = set()
+        self._stores: dict[str, Store] = {}  # embedded counters by tenant, kept when the tenant is removed
+        self._removed_ids: set[str] = set()  # removed tenants that are still registered in `resources`
+        self._loop_lag = LoopLagMonitor(loop)
         self._random = random.Random(secrets.randbits(64) if seed is None else seed)
-        self._book = AddressBook()
-        self._files = HostFiles(loop, self._book, self._hosts_changed)
-        self._shared = (
+        self._address_book = AddressBook()
+        self._files = HostFiles(loop, self._address_book, self._hosts_changed)
+        self._shared_counter = (
             SharedCounter(loop, config.counter, config.count_wait_ms) if config.counter is not None else None
         )
-        self._turn: asyncio.TimerHandle | None = None
-        self._tidy: asyncio.TimerHandle | None = None
+        self._period_timer: asyncio.TimerHandle | None = None
+        self._cleanup_timer: asyncio.TimerHandle | None = None
 
-    # --- Life ---------------------------------------------------------------------------------------------
+    # --- Lifecycle ----------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Take the configuration in, and begin."""
-        self._pulse.start()
-        if self._shared is not None:
-            self._shared.start()
+        """Apply the configuration and start the timers."""
+        self._loop_lag.start()
+        if self._shared_counter is not None:
+            self._shared_counter.start()
         self.apply(self.config)
         self._files.start()
-        self._next_turn()
-        self._tidy_up()
+        self._start_period()
+        self._clean_up()
 
     def stop(self) -> None:
-        """Close everything towards hosts and counter."""
-        self._pulse.stop()
+        """Stop the timers, and close the connections to hosts and counter."""
+        self._loop_lag.stop()
         self._files.stop()
-        for handle in (self._turn, self._tidy):
+        for handle in (self._period_timer, self._cleanup_timer):
             if handle is not None:
                 handle.cancel()
-        for core in (*self._awake.values(), *self._leaving):
+        for core in (*self._cores.values(), *self._closing):
             core.close()
-        if self._shared is not None:
-            self._shared.stop()
+        if self._shared_counter is not None:
+            self._shared_counter.stop()
 
     def ready(self) -> bool:
-        """Whether requests are taken."""
+        """Whether the service accepts requests."""
         return not self.draining
 
     def drain(self) -> None:
-        """Take no new connections for long, and give back what is reserved: the process ends soon."""
+        """Report that the service is not ready, and return reserved quota, since the process ends soon."""
         self.draining = True
-        for core in (*self._awake.values(), *self._leaving):
+        for core in (*self._cores.values(), *self._closing):
             core.return_leases()
 
     def longest_s(self) -> float:
         """The longest that a request may still take, in seconds."""
-        cores = [*self._awake.values(), *self._leaving]
+        cores = [*self._cores.values(), *self._closing]
         return max((c.deadline_ms for core in cores for c in core.settings.classes), default=0.0) / 1000
 
     def fail_all(self) -> None:
-        """Answer all that is open as failed."""
-        for core in (*self._awake.values(), *self._leaving):
+        """Answer all open requests as failed."""
+        for core in (*self._cores.values(), *self._closing):
             core.fail_all()
 
     # --- Tenants ------------------------------------------------------------------------------------------
 
     def apply(self, config: model.ServiceConfig) -> list[Change]:
-        """Go over to other tenants, plans, pools, routes and shares, all or nothing.
+        """Apply a configuration's tenants, plans, pools, routes and shares, all or nothing.
 
-        Requests in flight keep what they began with and get their one answer. What cannot change while in
-        service (listeners, limits, the counter's place) stays as it is and is told in the log.
+        Requests in flight are completed under the configuration that they began with. Settings that can't
+        change at run time (listeners, limits, the counter's address) are kept, and a warning names them.
 
         Raises:
-            ConfigFaultsError: tenants or routes contradict each other; nothing has changed then.
+            ConfigFaultsError: tenants or routes conflict; nothing has changed.
         """
-        return self.carry_out(self.prepare(config, self.tenants()))
+        return self.apply_prepared(self.prepare(config, self.tenants()))
 
     def tenants(self) -> dict[str, model.Tenant]:
-        """The tenants that are served, as they are now."""
+        """A copy of the tenants that are being served, by id."""
         return dict(self._registry.tenants)
 
     @staticmethod
     def prepare(config: model.ServiceConfig, before: dict[str, model.Tenant]) -> Prepared:
-        """Look a configuration over and find what has to change: all of the work that grows with the tenants,
-        which may be done in another thread. Raises as `apply` does.
+        """Validate a configuration and determine its changes.
+
+        This is all of the work that grows with the number of tenants; it may run in another thread.
+
+        Raises:
+            ConfigFaultsError: tenants or routes conflict.
         """
         faults = [Fault("", "tenants", text) for text in check_together(config.tenants)]
         faults += [
@@ -191,15 +194,19 @@
         }
         return Prepared(config, before, changes_between(before, config.tenants), files)
 
-    def carry_out(self, prepared: Prepared) -> list[Change]:
-        """Go over to what was prepared; raises as `apply` does."""
-        if prepared.before != self._registry.tenants:  # another change came in between
+    def apply_prepared(self, prepared: Prepared) -> list[Change]:
+        """Apply a prepared configuration, all or nothing.
+
+        Raises:
+            ConfigFaultsError: tenants or routes conflict; nothing has changed.
+        """
+        if prepared.before != self._registry.tenants:  # another change was applied in the meantime
             prepared = self.prepare(prepared.config, self.tenants())
         config, changes = prepared.config, prepared.changes
-        faults = self._taken(prepared)
+        faults = self._host_conflicts(prepared)
         if faults:
             raise ConfigFaultsError(faults)
-        for change in changes:  # first all that goes: a place is free then for who takes it over
+        for change in changes:  # removals first, so that a host name and prefix can pass to another tenant
             if change.old is not None and change.new is not None:
                 self.router.remove_for_update(change.old)
             elif change.old is not None:
@@ -207,12 +214,12 @@
         for change in changes:
             if change.new is not None:
                 self.router.put(change.new)
-            self._carry_out(change)
+            self._apply_change(change)
             self._registry.commit(change)
         fixed = ("listeners", "limits", "counter", "count_wait_ms", "state_folder")
-        kept = [name for name in fixed if getattr(config, name) != getattr(self.config, name)]
-        if kept:
-            log.warning("these need a restart, and stay as they are: %s", ", ".join(kept))
+        unchanged = [name for name in fixed if getattr(config, name) != getattr(self.config, name)]
+        if unchanged:
+            log.warning("changed settings ignored until a restart: %s", ", ".join(unchanged))
         if changes:
             log.info(
                 "tenants: %s",
@@ -223,12 +230,12 @@
             )
         return changes
 
-    def _taken(self, prepared: Prepared) -> list[Fault]:
-        """Hosts that a changed tenant lists and another tenant's file holds."""
+    def _host_conflicts(self, prepared: Prepared) -> list[Fault]:
+        """Errors for hosts that a changed tenant lists while another tenant's hosts file does too."""
         files, faults = prepared.files, []
         for tenant in [change.new for change in prepared.changes if change.new is not None]:
             listed = [address for pool in tenant.pools for _, address in pool.addresses]
-            for (host, port), (other, path) in self._book.held_by_others(tenant.id, listed).items():
+            for (host, port), (other, path) in self._address_book.held_by_others(tenant.id, listed).items():
                 if path in files.get(other, ()):
                     faults.append(
                         Fault(
@@ -239,131 +246,132 @@
                     )
         return faults
 
-    def _carry_out(self, change: Change) -> None:
+    def _apply_change(self, change: Change) -> None:
         if change.new is None:
             self._remove(change.id)
             return
         self.resources.register(change.new)
-        slot = self._slots.get(change.id)
-        if slot is None:
-            slot = self._slots[change.id] = Slot(change.new, self.resources.clock.now_ms())
+        record = self._records.get(change.id)
+        if record is None:
+            record = self._records[change.id] = TenantRecord(change.new, self.resources.clock.now_ms())
         elif change.needs_new_module:
-            # A module's settings are fixed. The new one starts with empty ceilings, as a gateway does that
-            # starts anew, so that the two together send on no more than one might have.
-            if slot.core is not None:
-                self._let_go(slot.core)
-                slot.core = None
-            slot.born_ms = self.resources.clock.now_ms()
-        slot.tenant = change.new
-        slot.rest()
-        self._book.claim(
+            # A module's settings can't change. The new module starts with empty ceilings, like that of a
+            # restarted gateway, so that the old and the new one together forward no more than one alone could
+            # have.
+            if record.core is not None:
+                self._close_core(record.core)
+                record.core = None
+            record.created_ms = self.resources.clock.now_ms()
+        record.tenant = change.new
+        record.discard_derived()
+        self._address_book.claim(
             (change.id, ""), [address for pool in change.new.pools for _, address in pool.addresses]
         )
         self._files.watch(change.new)
-        if slot.core is not None:
-            slot.core.update(change.new, self._listing(change.new))
+        if record.core is not None:
+            record.core.update(change.new, self._endpoints(change.new))
 
     def _remove(self, tenant_id: str) -> None:
-        slot = self._slots.pop(tenant_id)
-        self._files.forget(tenant_id)
-        self._book.release((tenant_id, ""))
-        if slot.core is not None:
-            self._let_go(slot.core)
-        elif not any(core.tenant.id == tenant_id for core in self._leaving):
-            self._unowned.add(tenant_id)
-
-    def _let_go(self, core: TenantCore) -> None:
-        """A core that takes nothing new, and closes with its last request."""
-        self._awake.pop(core.tenant.id, None)
-        self._leaving.add(core)
-        core.leave()
-
-    def _listing(self, tenant: model.Tenant) -> DiscoveryResponse:
+        record = self._records.pop(tenant_id)
+        self._files.unwatch(tenant_id)
+        self._address_book.release((tenant_id, ""))
+        if record.core is not None:
+            self._close_core(record.core)
+        elif not any(core.tenant.id == tenant_id for core in self._closing):
+            self._removed_ids.add(tenant_id)
+
+    def _close_core(self, core: TenantCore) -> None:
+        """Give a core no new requests, and close it with its last one."""
+        self._cores.pop(core.tenant.id, None)
+        self._closing.add(core)
+        core.begin_closing()
+
+    def _endpoints(self, tenant: model.Tenant) -> DiscoveryResponse:
         servers: list[api.Endpoint] = []
         addresses: dict[str, model.Address] = {}
         for pool in tenant.pools:
-            found = self._files.hosts(tenant.id, pool.name) if pool.hosts_file else None
-            servers += found[0] if found is not None else pool.servers
-            addresses.update(found[1] if found is not None else pool.addresses)
+            from_file = self._files.hosts(tenant.id, pool.name) if pool.hosts_file else None
+            servers += from_file[0] if from_file is not None else pool.servers
+            addresses.update(from_file[1] if from_file is not None else pool.addresses)
         return DiscoveryResponse(0, True, tuple(servers), addresses)
 
     def _hosts_changed(self, tenant_id: str) -> None:
-        slot = self._slots.get(tenant_id)
-        if slot is not None and slot.core is not None:
-            slot.core.update(slot.tenant, self._listing(slot.tenant))
+        record = self._records.get(tenant_id)
+        if record is not None and record.core is not None:
+            record.core.update(record.tenant, self._endpoints(record.tenant))
 
-    # --- For the front ------------------------------------------------------------------------------------
+    # --- For the listener ---------------------------------------------------------------------------------
 
-    def slot(self, tenant_id: str) -> Slot:
-        """A tenant that the router names."""
-        return self._slots[tenant_id]
+    def record(self, tenant_id: str) -> TenantRecord:
+        """The record of a tenant that is being served."""
+        return self._records[tenant_id]
 
     def core(self, tenant_id: str) -> TenantCore:
-        """A tenant's core, made if it has none."""
-        slot = self._slots[tenant_id]
-        if slot.core is None:
-            slot.core = self._awake[tenant_id] = self._make(slot)
-        return slot.core
+        """A tenant's core, created if it has none."""
+        record = self._records[tenant_id]
+        if record.core is None:
+            record.core = self._cores[tenant_id] = self._make_core(record)
+        return record.core
 
     def make_room(self, tenant_id: str) -> bool:
-        """Have the tenant furthest beyond its part of open requests answer one early."""
+        """Shed a request of the tenant most over its share of open requests; returns whether one was shed."""
         victim = self.resources.open.eviction_victim(tenant_id)
-        return victim is not None and self.give_way(victim)
+        return victim is not None and self.shed_request(victim)
 
-    def give_way(self, tenant_id: str) -> bool:
-        """Have a tenant, which may be gone by now, answer one request early; whether it did."""
+    def shed_request(self, tenant_id: str) -> bool:
+        """Shed a request of a tenant, which may have been removed; returns whether one was shed."""
         cores = [
             core
-            for core in (self._awake.get(tenant_id), *self._leaving)
+            for core in (self._cores.get(tenant_id), *self._closing)
             if core is not None and core.tenant.id == tenant_id
         ]
-        return any(core.give_way() for core in cores)
+        return any(core.shed_request() for core in cores)
 
-    def _room_for_host(self, tenant_id: str) -> bool:
+    def _free_host_connection(self, tenant_id: str) -> bool:
         victim = self.resources.hosts.eviction_victim(tenant_id)
-        core = self._awake.get(victim) if victim is not None else None
-        return core is not None and (core.drop_idle() or core.give_way())
+        core = self._cores.get(victim) if victim is not None else None
+        return core is not None and (core.drop_idle() or core.shed_request())
 
-    def _make(self, slot: Slot) -> TenantCore:
-        tenant = slot.tenant
+    def _make_core(self, record: TenantRecord) -> TenantCore:
+        tenant = record.tenant
         core = TenantCore(
             tenant,
             self._loop,
-            self._pulse,
+            self._loop_lag,
             self.resources,
-            slot.stats,
+            record.stats,
             self._random.getrandbits(64),
-            self._settled,
-            self._room_for_host,
+            self._on_core_finished,
+            self._free_host_connection,
         )
         counter: TenantCounter
-        if self._shared is not None:
-            counter = ScopedCounter(self._shared, model.scope_of(tenant.id), core.post)
+        if self._shared_counter is not None:
+            counter = ScopedCounter(self._shared_counter, model.scope_of(tenant.id), core.post)
         else:
-            store = self._stores.setdefault(tenant.id, Store(MOST_NAMES))
+            store = self._stores.setdefault(tenant.id, Store(MAX_COUNTS_PER_TENANT))
             counter = EmbeddedCounter(store, self.resources.clock.now_ms, core.post)
-        core.start(slot.born_ms, self._listing(tenant), counter)
+        core.start(record.created_ms, self._endpoints(tenant), counter)
         return core
 
-    # --- Rest and end -------------------------------------------------------------------------------------
+    # --- Idle and removed tenants -------------------------------------------------------------------------
 
-    def _settled(self, core: TenantCore) -> None:
-        """A core that has nothing left to remember, or has closed."""
-        if core in self._leaving:
-            return  # looked after by the tidying
-        slot = self._slots.get(core.tenant.id)
-        if slot is None or slot.core is not core or self.draining:
+    def _on_core_finished(self, core: TenantCore) -> None:
+        """Discard a core whose module is quiescent, if its embedded counts have expired too."""
+        if core in self._closing:
+            return  # `_clean_up` handles it
+        record = self._records.get(core.tenant.id)
+        if record is None or record.core is not core or self.draining:
             return
-        if not self._emptied(core.tenant.id):
-            return  # a count's life is not over
-        slot.core = None
-        slot.rest()
-        self._awake.pop(core.tenant.id, None)
-        self._leaving.add(core)
-        core.leave()
-
-    def _emptied(self, tenant_id: str) -> bool:
-        """Whether no count of a tenant is left; what held them is gone then."""
+        if not self._discard_expired_counts(core.tenant.id):
+            return  # counts have not expired yet
+        record.core = None
+        record.discard_derived()
+        self._cores.pop(core.tenant.id, None)
+        self._closing.add(core)
+        core.begin_closing()
+
+    def _discard_expired_counts(self, tenant_id: str) -> bool:
+        """Discard a tenant's expired embedded counts; returns whether none are left."""
         store = self._stores.get(tenant_id)
         if store is not None:
             store.sweep(self.resources.clock.now_ms())
@@ -372,42 +380,42 @@
             del self._stores[tenant_id]
         return True
 
-    def _tidy_up(self) -> None:
-        """Give back all that tenants held which have gone, once their last connection has ended."""
-        self._tidy = self._loop.call_later(TIDY_S, self._tidy_up)
-        if self.resources.lines_left_out:
-            log.warning("%d lines of tenants left out", self.resources.lines_left_out)
-            self.resources.lines_left_out = 0
-        # A tenant that comes back within the life of its counts finds them: removing it gives no allowance.
-        for tenant_id in [tenant_id for tenant_id in self._stores if tenant_id not in self._slots]:
-            self._emptied(tenant_id)
-        for core in [core for core in self._leaving if core.empty()]:
-            self._leaving.discard(core)
+    def _clean_up(self) -> None:
+        """Release the resources of removed tenants whose last connection has closed."""
+        self._cleanup_timer = self._loop.call_later(CLEANUP_INTERVAL_S, self._clean_up)
+        if self.resources.suppressed_log_lines:
+            log.warning("%d log lines of tenants left out", self.resources.suppressed_log_lines)
+            self.resources.suppressed_log_lines = 0
+        # Counts are kept until they expire: removing and re-adding a tenant must not reset its quotas.
+        for tenant_id in [tenant_id for tenant_id in self._stores if tenant_id not in self._records]:
+            self._discard_expired_counts(tenant_id)
+        for core in [core for core in self._closing if core.is_empty()]:
+            self._closing.discard(core)
             tenant_id = core.tenant.id
-            if tenant_id not in self._slots:
-                self._unowned.add(tenant_id)
-        for tenant_id in self._unowned - self._slots.keys():
-            if not any(core.tenant.id == tenant_id for core in self._leaving):
-                self.disown(tenant_id)
-        self._unowned -= {
+            if tenant_id not in self._records:
+                self._removed_ids.add(tenant_id)
+        for tenant_id in self._removed_ids - self._records.keys():
+            if not any(core.tenant.id == tenant_id for core in self._closing):
+                self.on_tenant_removed(tenant_id)
+        self._removed_ids -= {
             tenant_id
-            for tenant_id in self._unowned
-            if tenant_id in self._slots or self.resources.unregister(tenant_id)
+            for tenant_id in self._removed_ids
+            if tenant_id in self._records or self.resources.unregister(tenant_id)
         }
 
-    def _next_turn(self) -> None:
-        self._turn = self._loop.call_later(TURN_S, self._next_turn)
+    def _start_period(self) -> None:
+        self._period_timer = self._loop.call_later(LOOP_TIME_PERIOD_S, self._start_period)
         self.resources.loop.start_period()
 
-    def leftovers(self, tenant_id: str) -> list[str]:
-        """What is still held of a tenant that was removed; none once all is given back."""
+    def remaining_state(self, tenant_id: str) -> list[str]:
+        """Descriptions of the state still held for a removed tenant; empty once all is released."""
         left = [
-            f"core with {core.open_requests()} requests"
-            for core in self._leaving
+            f"core with {core.open_request_count()} requests"
+            for core in self._closing
             if core.tenant.id == tenant_id
         ]
         if self.resources.open.is_registered(tenant_id):
             left.append("an account")
-        if tenant_id in self._slots or tenant_id in self._awake:
-            left.append("a slot")
+        if tenant_id in self._records or tenant_id in self._cores:
+            left.append("a record")
         return left
--- a/hillmux/hosted/stats.py
+++ b/hillmux/hosted/stats.py
@@ -1,16 +1,16 @@
-"""What became of a tenant's requests: counts, and times in buckets. Bounded, and free of I/O."""
+"""Statistics of a tenant's requests: counts by outcome, and a latency histogram. Bounded, and free of I/O."""
 
 from __future__ import annotations
 
 import math
 
-STEP = 1.1  # each bucket is a tenth wider than the one before: what is read from it is exact to 5%
-BUCKETS = 160  # from 0.02 ms to over a minute
+STEP = 1.1  # ratio of the widths of adjacent buckets: quantiles are accurate to 5%
+BUCKETS = 160  # cover 0.02 ms to over a minute
 FIRST_MS = 0.02
 
 
-class Times:
-    """A histogram of milliseconds."""
+class LatencyHistogram:
+    """A histogram of latencies in milliseconds."""
 
     __slots__ = ("counts", "total")
 
@@ -19,40 +19,50 @@
         self.total = 0
 
     def add(self, ms: float) -> None:
-        """Note one."""
+        """Add one latency."""
         bucket = int(math.log(max(ms, FIRST_MS) / FIRST_MS, STEP))
         self.counts[min(bucket, BUCKETS - 1)] += 1
         self.total += 1
 
     def quantile(self, part: float) -> float:
-        """The time that a part (0 to 1) took at most, in ms; 0 if there was none."""
-        wanted, seen = part * self.total, 0
+        """The latency in ms that a part (0 to 1) of all did not exceed; 0 if there are none."""
+        target, seen = part * self.total, 0
         for i, count in enumerate(self.counts):
             seen += count
-            if count and seen >= wanted:
+            if count and seen >= target:
                 return float(FIRST_MS * STEP ** (i + 0.5))
         return 0.0
 
 
 class Stats:
-    """One tenant's counts since it was first asked for."""
+    """One tenant's statistics since its first request."""
 
-    __slots__ = ("requests", "served", "failed", "rejected", "refused", "units", "times", "faults", "left")
+    __slots__ = (
+        "requests",
+        "served",
+        "failed",
+        "rejected",
+        "refused",
+        "units",
+        "times",
+        "faults",
+        "client_disconnects",
+    )
 
     def __init__(self) -> None:
-        self.requests = 0  # that reached the tenant
+        self.requests = 0  # valid requests received
         self.served = self.failed = 0
-        self.rejected = 0  # no request: bad, or for what is not there
-        self.refused: dict[str, int] = {}  # by cause, of which there is a fixed set
-        self.units = 0.0  # of first attempts that were sent on
-        self.times = Times()  # of what was served, from its last byte to its answer
-        self.left = 0  # whose client went away before its answer
+        self.rejected = 0  # invalid requests, among them those without a matching route
+        self.refused: dict[str, int] = {}  # valid requests rejected, by cause (a fixed set)
+        self.units = 0.0  # units of first attempts that were sent to a host
+        self.times = LatencyHistogram()  # of what was served, from its last byte to its answer
+        self.client_disconnects = 0  # whose client went away before its answer
         self.faults = 0  # events that the tenant's module broke on
 
-    def refuse(self, cause: str) -> None:
-        """Note a refusal."""
+    def count_rejection(self, cause: str) -> None:
+        """Count a valid request that was rejected."""
         self.refused[cause] = self.refused.get(cause, 0) + 1
 
     def answered(self) -> int:
-        """Requests that had their final answer."""
+        """The number of requests that have been answered."""
         return self.served + self.failed + sum(self.refused.values())
--- a/hillmux/hosted/tenant_connection.py
+++ b/hillmux/hosted/tenant_connection.py
@@ -1,4 +1,4 @@
-"""One client connection of the hosted service: each request goes to its tenant, or is refused."""
+"""One client connection of the hosted service: passes each request to its tenant, or rejects it."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 import time
 from typing import TYPE_CHECKING, Any, cast
 
-from hillmux.hosted.core import CONFLICT, NO_MODULE_MS, TenantCore
-from hillmux.hosted.resources import CROWDED, DRAINING, SHARE, UNHEARD
+from hillmux.hosted.core import CONFLICT, SERVICE_RETRY_AFTER_MS, TenantCore
+from hillmux.hosted.resources import DRAINING, LOOP_TIME_EXHAUSTED, SHARE_EXHAUSTED, UNASSIGNED
 from hillmux.hosted.tenant_requests import (
     REPLACED_HEADERS,
     MethodNotAllowedError,
     TenantMessage,
     parse_tenant_request,
 )
-from hillmux.hosted.tenant_service import TenantSlot
+from hillmux.hosted.tenant_service import TenantInfo
 from hillmux.net.client_connection import ClientConnection
 from hillmux.net.client_timeouts import KEEP_ALIVE_TIMEOUT_S
 from hillmux.net.forward_request import ForwardRequest
@@ -32,7 +32,7 @@
 
 READY_PATH = b"/ready"
 PARSE_ERRORS = {408: "the request took too long to come", 413: "the body is longer than may be passed on"}
-SEND_BUFFER_BYTES = 64 * 1024  # of answers that the system holds for a client
+SEND_BUFFER_BYTES = 64 * 1024  # responses that the system buffers per client
 KEEP_ALIVE_ERRORS = frozenset((404, 405, 409, 410))  # complete and well framed: the connection stays usable
 TITLES = {
     404: "not found",
@@ -50,7 +50,7 @@
 
 
 class TenantConnection(ClientConnection):
-    """A connection that may carry requests of several tenants; the last one's tenant is its owner."""
+    """A connection that may carry requests to several tenants; the last request's tenant is its owner."""
 
     message_type = TenantMessage
 
@@ -58,19 +58,19 @@
         super().__init__(listener)
         self._tenant_listener = listener
         self._service = listener.service
-        self.owner = UNHEARD
-        self.unread_bytes = 0  # of answers that the client has not read, charged to the owner's share
-        self.receiving_bytes = 0  # of requests that are not yet taken, charged likewise
+        self.owner = UNASSIGNED
+        self.unread_bytes = 0  # responses that the client has not read, charged to the owner's buffer share
+        self.receiving_bytes = 0  # received requests that are not submitted yet, charged likewise
         self._detail = self._parse_error = ""
         self._peer = b""
-        self._deferred_pieces = 0  # of input that waits while other tenants' requests are handled
-        self._charged_s = 0.0  # of the input being handled, charged request by request
-        self.is_forwarding = False  # the next answer is a host's
+        self._deferred_pieces = 0  # pieces of input that wait until other tenants' requests are handled
+        self._charged_s = 0.0  # loop time of the current input that its requests have been charged for
+        self.is_forwarding = False  # the next answer is a host's response
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Also note the client's address, and limit the system's send buffer to SEND_BUFFER_BYTES.
+        """Also store the client's address, and limit the system's send buffer to SEND_BUFFER_BYTES.
 
-        It would take megabytes of the system's memory for a client that does not read.
+        Otherwise it could grow to megabytes for a client that does not read.
         """
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         self._peer = str((transport.get_extra_info("peername") or ("",))[0]).encode()
@@ -79,21 +79,21 @@
     def data_received(self, data: bytes) -> None:
         """Handle input, or defer it while the owner uses much more than its share of the loop's time.
 
-        Reading pauses meanwhile, so that one piece of input waits for each connection and no more.
+        Reading is paused while input is deferred, so that each connection defers at most one piece.
         """
         if self._deferred_pieces or (
-            self.owner != UNHEARD and self._service.resources.loop.over_share(self.owner)
+            self.owner != UNASSIGNED and self._service.resources.loop.over_share(self.owner)
         ):
             if not self._deferred_pieces and not self._reading_paused:
                 self.transport.pause_reading()
             self._deferred_pieces += 1
-            self._listener.mark_busy(self)  # it must not be closed as idle
+            self._listener.mark_busy(self)  # prevents it from being closed as idle
             self._tenant_listener.defer(self, data)
         else:
             self._handle(data)
 
     def handle_deferred(self, data: bytes) -> None:
-        """Handle deferred input, in its order."""
+        """Handle one piece of deferred input."""
         self._deferred_pieces -= 1
         if self.transport.is_closing():
             return
@@ -116,7 +116,7 @@
         self._charge_loop_time(time.perf_counter() - began - self._charged_s)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Also give back what was charged to the owner's share of the buffer."""
+        """Also release the buffer that was charged to the owner's share."""
         self._charge_unread(0)
         self._service.resources.buffer.release(self.owner, self.receiving_bytes)
         self.receiving_bytes = 0
@@ -128,12 +128,12 @@
         self._charge_unread(self.transport.get_write_buffer_size())
 
     def resume_writing(self) -> None:
-        """Also adjust what is charged to the owner's share to the bytes still unread."""
+        """Also reduce the charge to the owner's share to the bytes still unread."""
         self._charge_unread(self.transport.get_write_buffer_size())
         super().resume_writing()
 
     def on_message_begin(self) -> None:
-        """Also refresh the set of headers to keep, which the tenants' routes change."""
+        """Also update the set of headers to keep, which depends on the tenants' routes."""
         super().on_message_begin()
         self.kept_headers = self._tenant_listener.headers_to_keep()
 
@@ -146,7 +146,7 @@
             self._message.other_headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Also keep the reason of a BadRequestError for the answer, and note whether it is HTTP/1.0."""
+        """Also keep the text of a BadRequestError for the answer, and store whether it is HTTP/1.0."""
         try:
             super().on_headers_complete()
         except BadRequestError as error:
@@ -156,7 +156,7 @@
         self._message.is_http_1_0 = self._parser.get_http_version() == "1.0"
 
     def check_timeouts(self, now: float) -> None:
-        """Close on a time-out; abort after KEEP_ALIVE_TIMEOUT_S with answers that the client does not read.
+        """Close on a time-out; abort after KEEP_ALIVE_TIMEOUT_S if the client does not read its responses.
 
         A graceful close would hold their memory until the client reads.
         """
@@ -166,11 +166,11 @@
             super().check_timeouts(now)
 
     def _charge_loop_time(self, seconds: float) -> None:
-        if self.owner != UNHEARD and self._service.resources.loop.is_registered(self.owner):
+        if self.owner != UNASSIGNED and self._service.resources.loop.is_registered(self.owner):
             self._service.resources.loop.charge(self.owner, seconds)
 
     def _charge_unread(self, unread: int) -> None:
-        """Charge what the client has not read to the owner's share; beyond it the connection is aborted."""
+        """Charge unread bytes to the owner's buffer share; if they exceed it, the connection is aborted."""
         if unread == self.unread_bytes:
             return
         buffer, more = self._service.resources.buffer, unread - self.unread_bytes
@@ -182,10 +182,10 @@
             return
         buffer.charge(self.owner, more)
         if not buffer.within_guaranteed_share(self.owner, 0.0):
-            self.transport.abort()  # the client can tell that its answer is incomplete
+            self.transport.abort()  # the client can detect that its response is incomplete
 
     def _charge_request(self) -> None:
-        """Charge the requests that are not yet taken to the owner's share; beyond it they are rejected."""
+        """Charge received requests to the owner's buffer share; if they exceed it, they are rejected."""
         size = 0 if self._message is None else self._message.head_bytes + self._message.body_bytes
         size += self._unparsed.size
         for item in self._queue:
@@ -204,7 +204,7 @@
                 self._take_requests()
 
     def _set_owner(self, owner: str) -> None:
-        """The connection carries a request of this tenant now."""
+        """Make a tenant the connection's owner, and charge the connection to its shares."""
         if owner != self.owner:
             self._charge_unread(0)
             self._service.resources.buffer.release(self.owner, self.receiving_bytes)
@@ -212,23 +212,23 @@
             self._tenant_listener.on_owner_changed(self, owner)
             self.owner = owner
 
-    def disown(self) -> None:
-        """Its tenant was removed: the idle connection has no owner any more."""
+    def clear_owner(self) -> None:
+        """Make the idle connection unassigned, since its tenant was removed."""
         self._listener.mark_busy(self)
         unread = self.unread_bytes
-        self._set_owner(UNHEARD)
+        self._set_owner(UNASSIGNED)
         self._charge_unread(unread)
         self._charge_request()
         self._listener.mark_idle(self)
 
     def _take_request(self, item: RequestMessage | RejectedRequest) -> None:
         began = time.perf_counter()
-        self._take_and_answer(item)
+        self._process_request(item)
         took = time.perf_counter() - began
         self._charge_loop_time(took)
         self._charged_s += took
 
-    def _take_and_answer(self, item: RequestMessage | RejectedRequest) -> None:
+    def _process_request(self, item: RequestMessage | RejectedRequest) -> None:
         self._answer_due = True
         self._listener.mark_busy(self)
         self._handler = self._tenant_listener.handler
@@ -242,13 +242,13 @@
         except BadRequestError as error:
             self._detail = str(error)
             if error.status == 503:
-                self._detail = SHARE
+                self._detail = SHARE_EXHAUSTED
             if error.status not in KEEP_ALIVE_ERRORS:
-                self._keep_alive = False  # so that a flood of bad requests has to connect again
+                self._keep_alive = False  # a client that floods bad requests has to reconnect each time
             self.answer(error.status)
         except Exception:
-            # The client still gets its one answer, and the connection its other requests.
-            log.exception("a request could not be taken")
+            # The request is still answered, and the connection's other requests are handled.
+            log.exception("request could not be submitted; answered 500")
             if self._answer_due:
                 self._detail = "gateway fault"
                 self.answer(500)
@@ -270,50 +270,50 @@
             raise BadRequestError("this tenant was removed", 410)
         tenant = entry.tenant
         self._set_owner(tenant.id)
-        slot = service.slot(tenant.id)
+        record = service.record(tenant.id)
         try:
             assert isinstance(message, TenantMessage)
-            forward_request = parse_tenant_request(message, target, entry, slot, self._peer)
+            forward_request = parse_tenant_request(message, target, entry, record, self._peer)
         except BadRequestError as error:
-            slot.stats.rejected += 1
+            record.stats.rejected += 1
             if isinstance(error, MethodNotAllowedError):
                 self.extra_header_lines = b"Allow: %b\r\n" % error.allowed.encode()
             raise
-        slot.stats.requests += 1
+        record.stats.requests += 1
         if tenant.state == model.DRAINING:
-            self._refuse(slot, DRAINING)
+            self._reject_with_cause(record, DRAINING)
         elif service.resources.loop.must_shed_load(tenant.id):
-            self._refuse(slot, CROWDED)
+            self._reject_with_cause(record, LOOP_TIME_EXHAUSTED)
         else:
-            self._submit(slot, forward_request)
+            self._submit(record, forward_request)
 
-    def _submit(self, slot: TenantSlot, forward_request: ForwardRequest) -> None:
-        core = self._service.core(slot.tenant.id)
+    def _submit(self, record: TenantInfo, forward_request: ForwardRequest) -> None:
+        core = self._service.core(record.tenant.id)
         self._handler = cast(Any, core)
-        request_id = core.take(self, forward_request, self._service.make_room)
+        request_id = core.submit(self, forward_request, self._service.make_room)
         if request_id is not None:
-            if self._answer_due:  # otherwise it has been answered already
+            if self._answer_due:  # otherwise the core has already answered it
                 self._request_id = request_id
         elif core.cause == CONFLICT:
-            slot.stats.requests -= 1
-            slot.stats.rejected += 1
+            record.stats.requests -= 1
+            record.stats.rejected += 1
             raise BadRequestError("X-Request-Id: is in use", 409)
         else:
-            self._refuse(slot, core.cause)
+            self._reject_with_cause(record, core.cause)
 
-    def _refuse(self, slot: TenantSlot, cause: str) -> None:
-        slot.stats.refuse(cause)
+    def _reject_with_cause(self, record: TenantInfo, cause: str) -> None:
+        record.stats.count_rejection(cause)
         self._detail = cause
-        self.answer(503, retry_after_ms=NO_MODULE_MS)
+        self.answer(503, retry_after_ms=SERVICE_RETRY_AFTER_MS)
 
     def _retry_after_line(self, wait_ms: float) -> bytes:
-        """The header's line in whole seconds (RFC 9110 section 10.2.3)."""
+        """The Retry-After line in whole seconds (RFC 9110 section 10.2.3)."""
         return b"Retry-After: %d\r\n" % max(-(-wait_ms // 1000), 1)
 
     def answer(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
-        """Send the one answer; an error of the gateway's own has a problem document (RFC 9457)."""
+        """Send the answer; an error of the gateway itself has a problem document as its body (RFC 9457)."""
         is_forwarded, self.is_forwarding = self.is_forwarding, False
         if status != 200 and not is_forwarded:
             detail = self._detail or (self._handler.cause if isinstance(self._handler, TenantCore) else "")
--- a/hillmux/hosted/tenant_listener.py
+++ b/hillmux/hosted/tenant_listener.py
@@ -1,4 +1,4 @@
-"""Accepts the clients of all tenants, and shares the connections among the tenants."""
+"""Accepts the clients of all tenants, and divides the client connections between the tenants."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections import deque
 from typing import Any, cast
 
-from hillmux.hosted.resources import UNHEARD
+from hillmux.hosted.resources import UNASSIGNED
 from hillmux.hosted.tenant_connection import TenantConnection
 from hillmux.hosted.tenant_requests import TENANT_HEADERS
 from hillmux.hosted.tenant_service import TenantService
@@ -14,7 +14,7 @@
 
 
 class TenantListener(Listener[TenantConnection]):
-    """Accepts clients for all tenants; short of descriptors, the tenant furthest over its share gives one."""
+    """Accepts clients for all tenants; at its limit, evicts from the tenant most over its share."""
 
     connection_type = TenantConnection
 
@@ -25,24 +25,24 @@
         self._routed_headers: frozenset[bytes] = frozenset()
         self._deferred: deque[tuple[TenantConnection, bytes]] = deque()
         self._reclaiming = False
-        service.disown = self.disown
+        service.on_tenant_removed = self.on_tenant_removed
         super().__init__(cast(Any, service), loop, sockets)
 
     def _make_request_rules(self) -> None:
-        """Each tenant has its own."""
+        """Create none, since each tenant has its own."""
 
     def headers_to_keep(self) -> frozenset[bytes]:
-        """The headers of a request that are kept, those that tenants' routes go by among them."""
+        """The request headers to keep, including those that tenants' routes match."""
         routed = self.service.router.headers
         if routed is not self._routed_headers:
             self._routed_headers, self._kept_headers = routed, TENANT_HEADERS | routed
         return self._kept_headers
 
     def defer(self, connection: TenantConnection, data: bytes) -> None:
-        """Handle input piece by piece, each after what others have ready in this turn of the loop.
+        """Queue input; one piece is handled per iteration of the event loop, after others' ready input.
 
         Otherwise other tenants' requests would wait for a whole burst of a tenant that uses much more than
-        its share; this tenant's own requests wait for a turn of the loop each.
+        its share.
         """
         self._deferred.append((connection, data))
         if len(self._deferred) == 1:
@@ -58,34 +58,34 @@
                 self.loop.call_soon(self._handle_next_deferred)
 
     def on_connection_made(self, connection: TenantConnection) -> None:
-        """Also charge the connection to UNHEARD, until a request names its tenant."""
-        self.service.resources.clients.charge(UNHEARD, 1.0)
+        """Also charge the connection to UNASSIGNED, until its first request determines the tenant."""
+        self.service.resources.clients.charge(UNASSIGNED, 1.0)
         super().on_connection_made(connection)
 
     def on_connection_lost(self, connection: TenantConnection) -> None:
-        """Also give the connection back to its owner's share."""
+        """Also release the connection from its owner's share."""
         if connection in self.connections:
             self.service.resources.clients.release(connection.owner)
         super().on_connection_lost(connection)
 
-    def disown(self, owner: str) -> None:
-        """A tenant was removed: its idle connections have no owner any more."""
+    def on_tenant_removed(self, owner: str) -> None:
+        """Make the idle connections of a removed tenant unassigned."""
         for connection in list(self._idle.get(owner, ())):
-            connection.disown()
+            connection.clear_owner()
 
     def on_owner_changed(self, connection: TenantConnection, owner: str) -> None:
-        """A connection carries a request of another tenant than before."""
+        """Move a connection from its owner's share to another tenant's."""
         clients = self.service.resources.clients
         clients.release(connection.owner)
         clients.charge(owner, 1.0)
 
     def mark_idle(self, connection: TenantConnection) -> None:
-        """Also list the connection among its owner's idle ones."""
+        """Also add the connection to its owner's idle ones."""
         super().mark_idle(connection)
         self._idle.setdefault(connection.owner, {})[connection] = None
 
     def mark_busy(self, connection: TenantConnection) -> None:
-        """Also take the connection off the list of its owner's idle ones."""
+        """Also remove the connection from its owner's idle ones."""
         super().mark_busy(connection)
         idle = self._idle.get(connection.owner)
         if idle is not None:
@@ -94,15 +94,16 @@
                 del self._idle[connection.owner]
 
     def ensure_capacity(self) -> bool:
-        """Whether a client can be accepted now; if not, an idle connection is evicted for one that waits.
+        """Whether a client can be accepted now; if not, an idle connection is evicted for a waiting one.
 
-        So a tenant's connections survive another's flood: the tenant that holds most for its weight loses the
-        one idle for longest. Connections without any request yet count as one more tenant.
+        The tenant that holds most connections relative to its guaranteed share loses the one that was idle
+        for longest, so a flood of one tenant's connections does not evict those of another. Connections that
+        have not carried a request yet count as a tenant of their own.
         """
         if self._below_limit() or not self._client_waiting():
             return True
         if self._evicted:
-            return False  # there is capacity once it is closed
+            return False  # there is capacity once the evicted connection is closed
         clients = self.service.resources.clients
         if not self._idle and not self._reclaim_busy():
             return False
@@ -115,12 +116,12 @@
         return False
 
     def _reclaim_busy(self) -> bool:
-        """Have a request answered early whose tenant holds more connections than its share, all busy."""
-        if self._reclaiming:  # the answer makes its connection idle, which calls `ensure_capacity`
+        """Shed a request of the tenant most over its share, when all connections are busy."""
+        if self._reclaiming:  # shedding makes a connection idle, which calls `ensure_capacity` again
             return False
         self._reclaiming = True
         try:
-            victim = self.service.resources.clients.eviction_victim(UNHEARD)
-            return victim is not None and victim != UNHEARD and self.service.give_way(victim)
+            victim = self.service.resources.clients.eviction_victim(UNASSIGNED)
+            return victim is not None and victim != UNASSIGNED and self.service.shed_request(victim)
         finally:
             self._reclaiming = False
--- a/hillmux/hosted/tenant_requests.py
+++ b/hillmux/hosted/tenant_requests.py
@@ -1,4 +1,4 @@
-"""Checks a request to a tenant, and makes a `ForwardRequest` of it; no I/O."""
+"""Validates a request to a tenant and converts it to a `ForwardRequest`; no I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import secrets
 
 from hillmux import interface as api
-from hillmux.hosted.tenant_service import TenantSlot
+from hillmux.hosted.tenant_service import TenantInfo
 from hillmux.interface import Idempotency
 from hillmux.net.forward_request import ForwardRequest
 from hillmux.net.requests import (
@@ -21,8 +21,8 @@
 from hillmux.tenants.router import Entry, Router
 from hillmux.tenants.target import Target
 
-# Not forwarded as they are: for one connection only (RFC 9110 section 7.6.1), or written anew for the host.
-# `connection` is kept until the headers that it names are known.
+# Headers that are not forwarded unchanged: they apply to one connection (RFC 9110 section 7.6.1), or the
+# gateway writes its own for the host. `connection` is kept until the headers that it names are known.
 REPLACED_HEADERS = frozenset(
     (
         b"keep-alive",
@@ -51,7 +51,7 @@
 
 
 class MethodNotAllowedError(BadRequestError):
-    """The route of a request has other methods, `allowed`."""
+    """The request's path has routes, but none for its method; `allowed` lists their methods."""
 
     def __init__(self, methods: frozenset[bytes]) -> None:
         self.allowed = ", ".join(sorted(method.decode() for method in methods))
@@ -59,7 +59,7 @@
 
 
 class TenantMessage(RequestMessage):
-    """One request, with the header lines that go on to the host unchanged."""
+    """One request, with the headers that are forwarded to the host unchanged."""
 
     __slots__ = ("other_headers",)
 
@@ -69,13 +69,20 @@
 
 
 def parse_tenant_request(
-    message: TenantMessage, target: Target, entry: Entry, slot: TenantSlot, peer: bytes
+    message: TenantMessage, target: Target, entry: Entry, record: TenantInfo, peer: bytes
 ) -> ForwardRequest:
-    """A request as its tenant's decision module and hosts are given it; `peer` is the client's address.
+    """Convert a request to the form that its tenant's decision module and hosts receive.
+
+    Args:
+        message: the request.
+        target: its parsed target.
+        entry: its tenant with the compiled routes.
+        record: the tenant's record.
+        peer: the client's address.
 
     Raises:
-        MethodNotAllowedError: its route has other methods.
-        BadRequestError: it breaks the protocol, or is not one of this tenant's.
+        MethodNotAllowedError: the path has routes, but none for this method.
+        BadRequestError: the request violates the protocol, or has no route or partner of this tenant.
     """
     headers, tenant = message.headers, entry.tenant
     route = Router.route(entry, message.method, target.path, headers)
@@ -84,14 +91,14 @@
             raise BadRequestError("no route of this tenant has this path", 404)
         raise MethodNotAllowedError(route)
     partner = _partner(message, target, tenant)
-    plan = slot.plans.get(partner) or tenant.default_plan
+    plan = record.plans.get(partner) or tenant.default_plan
     if not plan:
         raise BadRequestError("partner: is not one of this tenant's", 404)
-    request_class = slot.request_rules.classes[route.class_name.encode()]
+    request_class = record.request_rules.classes[route.class_name.encode()]
     time_left_ms = _time_left_ms(message, request_class)
     quota_info = QuotaInfo(1.0, tenant.settings.fleet_size, 0)
     if b"quota-info" in headers:
-        quota_info = slot.request_rules.quota_info(headers[b"quota-info"])
+        quota_info = record.request_rules.quota_info(headers[b"quota-info"])
     request_id = headers.get(b"x-request-id") or secrets.token_hex(16).encode()
     return ForwardRequest(
         request_id,
@@ -111,7 +118,7 @@
 
 
 def _partner(message: TenantMessage, target: Target, tenant: model.Tenant) -> str:
-    """The partner that a request names, in a header or at the end of its path."""
+    """The partner that a request names, in the tenant's partner header or as the last path segment."""
     name = (
         message.headers.get(tenant.partner_header, b"")
         if tenant.partner_header
@@ -123,7 +130,7 @@
 
 
 def _time_left_ms(message: TenantMessage, request_class: api.RequestClass) -> float:
-    """The client's deadline, at most its class's."""
+    """The client's deadline in ms, limited to that of the request class."""
     if b"x-deadline" not in message.headers:
         return request_class.deadline_ms
     deadline = DEADLINE_VALUE.fullmatch(message.headers[b"x-deadline"])
@@ -141,7 +148,7 @@
     partner: str,
     peer: bytes,
 ) -> bytes:
-    """The head for the host: method, target in origin form, id, key, class and partner."""
+    """Encode the request line and headers for the host."""
     headers, key = message.headers, message.headers.get(b"idempotency-key")
     if not VISIBLE_TOKEN.fullmatch(request_id) or (key is not None and not VISIBLE_TOKEN.fullmatch(key)):
         raise BadRequestError("X-Request-Id or Idempotency-Key: expected 1 to 128 visible ASCII characters")
@@ -172,7 +179,7 @@
 
 
 def _end_to_end_lines(message: TenantMessage) -> list[bytes]:
-    """The client's header lines without those that it says are for this connection only."""
+    """The client's header lines, without those that its Connection header names (RFC 9110 section 7.6.1)."""
     named = frozenset(
         token.strip().lower()
         for name, value in message.other_headers
--- a/hillmux/hosted/tenant_service.py
+++ b/hillmux/hosted/tenant_service.py
@@ -1,4 +1,4 @@
-"""What the listener of many tenants needs of the service behind it."""
+"""The interface of the service that the listener for all tenants uses."""
 
 from __future__ import annotations
 
@@ -13,43 +13,43 @@
 from hillmux.tenants.router import Router
 
 
-class TenantSlot(Protocol):
-    """What the listener needs of a tenant."""
+class TenantInfo(Protocol):
+    """What the listener uses of a tenant."""
 
     tenant: model.Tenant
 
     @property
     def stats(self) -> Stats:
-        """Its counts."""
+        """The tenant's statistics."""
 
     @property
     def plans(self) -> dict[str, str]:
-        """The plan of each partner that is listed."""
+        """The plan of each configured partner."""
 
     @property
     def request_rules(self) -> RequestRules:
-        """What its requests may name."""
+        """The rules for requests under the tenant's settings."""
 
 
 class TenantService(Protocol):
-    """What the listener needs of the service."""
+    """What the listener uses of the service."""
 
     draining: bool
     router: Router
     resources: Resources
-    disown: Callable[[str], None]  # called with each tenant that is gone
+    on_tenant_removed: Callable[[str], None]  # called with the id of each removed tenant
 
-    def slot(self, tenant_id: str) -> TenantSlot:
-        """A tenant that the router names."""
+    def record(self, tenant_id: str) -> TenantInfo:
+        """The record of a tenant that is being served."""
 
     def core(self, tenant_id: str) -> TenantCore:
-        """Its core, awake."""
+        """A tenant's core, created if it has none."""
 
     def make_room(self, tenant_id: str) -> bool:
-        """Have whoever holds more than its part answer one request early; whether anyone did."""
+        """Shed a request of the tenant most over its share of open requests; returns whether one was shed."""
 
-    def give_way(self, tenant_id: str) -> bool:
-        """Have a tenant, which may be gone by now, answer one request early; whether it did."""
+    def shed_request(self, tenant_id: str) -> bool:
+        """Shed a request of a tenant, which may have been removed; returns whether one was shed."""
 
     def ready(self) -> bool:
-        """Whether requests are taken."""
+        """Whether the service accepts requests."""
--- a/tests/compatibility/test_configurations.py
+++ b/tests/compatibility/test_configurations.py
@@ -12,7 +12,7 @@
 
 from benchmarks.capacity.measurement import Measurements
 from hillmux.hosted import config as hosted_config
-from hillmux.hosted import shape
+from hillmux.hosted import config_schema
 from hillmux.lab import scenario
 from hillmux.net import config as platform_config
 
@@ -37,9 +37,9 @@
 @pytest.mark.parametrize(
     ("name", "model"),
     (
-        ("file", shape.FileShape),
-        ("tenant", shape.TenantShape),
-        ("hosts", shape.HostsFileShape),
+        ("file", config_schema.FileShape),
+        ("tenant", config_schema.TenantShape),
+        ("hosts", config_schema.HostsFileShape),
         ("scenario", scenario.Scenario),
     ),
 )
--- a/tests/hosted/test_changes.py
+++ b/tests/hosted/test_changes.py
@@ -23,15 +23,15 @@
 from hillmux.hosted import hostfiles
 from hillmux.hosted import service as service_module
 from hillmux.hosted.config import ConfigFaultsError
-from hillmux.hosted.resources import UNHEARD
+from hillmux.hosted.resources import UNASSIGNED
 from hillmux.hosted.service import Service
 from hillmux.net.idle_connections import REUSE_DELAY_S
 
 
 @pytest.fixture(autouse=True)
 def _quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(service_module, "TIDY_S", 0.02)
-    monkeypatch.setattr(hostfiles, "LOOK_S", 0.02)
+    monkeypatch.setattr(service_module, "CLEANUP_INTERVAL_S", 0.02)
+    monkeypatch.setattr(hostfiles, "CHECK_INTERVAL_S", 0.02)
 
 
 def held(service: Service) -> dict[str, float]:
@@ -43,10 +43,10 @@
 
 async def gone(rig: Hosted, tenant: str = "a") -> None:
     """Wait until nothing is left of a tenant."""
-    core = rig.service._slots.get(tenant)
+    core = rig.service._records.get(tenant)
     assert core is None
-    await rig.until(lambda: not rig.service.leftovers(tenant))
-    assert not [c for c in rig.service._leaving if c.tenant.id == tenant]
+    await rig.until(lambda: not rig.service.remaining_state(tenant))
+    assert not [c for c in rig.service._closing if c.tenant.id == tenant]
 
 
 def silent(seen: Seen) -> None:
@@ -65,7 +65,7 @@
             rig.apply("b")
             late = await rig.ask(request("a"))
             assert status(late) == 410 and "removed" in json.loads(late.body)["detail"]
-            assert rig.service.leftovers("a")
+            assert rig.service.remaining_state("a")
             release(rig.hosts["a"])
             answer = await client.read()
             assert (status(answer), answer.body) == (200, b"ok")
@@ -89,7 +89,7 @@
             rig.apply("b")
             assert status(await client.read()) == 200  # decided by the estimate, once the call is given up
             await gone(rig)
-            assert rig.service._shared is not None and rig.service._shared.waiting == {}
+            assert rig.service._shared_counter is not None and rig.service._shared_counter.waiting == {}
         counter.stop()
 
     on_loop(scenario)
@@ -181,9 +181,9 @@
             assert rig.service.core("a").settings.plans[0].rate == 9
             release(rig.hosts["a"], 0)
             assert status(await client.read()) == 200
-            await rig.until(lambda: old.empty() and old not in rig.service._leaving)
+            await rig.until(lambda: old.is_empty() and old not in rig.service._closing)
             assert rig.service.resources.open.total_held == 0
-            assert rig.service.slot("a").stats is not old.stats  # a new tenant, not the old one's counts
+            assert rig.service.record("a").stats is not old.stats  # a new tenant, not the old one's counts
 
     on_loop(scenario)
 
@@ -198,13 +198,15 @@
             client = await rig.connect()
             while status(await client.ask(request("a"))) == 200:
                 pass
-            served = rig.service.slot("a").stats.served
+            served = rig.service.record("a").stats.served
             assert served >= 4
             rig.apply("b")
-            await rig.until(lambda: not rig.service.leftovers("a"))
+            await rig.until(lambda: not rig.service.remaining_state("a"))
             assert "a" in rig.service._stores
             rig.apply("a", "b")
-            assert rig.service.resources.clients.held_by(UNHEARD) == 1  # its idle connection is nobody's now
+            assert (
+                rig.service.resources.clients.held_by(UNASSIGNED) == 1
+            )  # its idle connection is nobody's now
             found = [status(await client.ask(request("a"))) for _ in range(6)]
             assert found.count(200) <= 1  # what came back in these milliseconds, not a burst anew
             rig.apply("b")
@@ -223,7 +225,7 @@
             assert rig.service.core("a") is not old and rig.service.core("a").stats is old.stats
             release(rig.hosts["a"])
             assert status(await client.read()) == 200
-            await rig.until(lambda: old not in rig.service._leaving)
+            await rig.until(lambda: old not in rig.service._closing)
             other = rig.service.core("b")
             rig.apply("a", "b", b={"share": 3})  # no new module for that
             assert rig.service.core("b") is other
@@ -284,7 +286,7 @@
 def test_a_change_that_contradicts_itself_changes_nothing() -> None:
     async def scenario() -> None:
         async with Hosted("a", "b") as rig:
-            before = (dict(rig.service._slots), rig.service.router.find("a.example", b"/"))
+            before = (dict(rig.service._records), rig.service.router.find("a.example", b"/"))
             tables = [table("a", rig.hosts["a"].port), table("c", rig.hosts["a"].port)]
             with pytest.raises(ConfigFaultsError, match="'a' and 'c': both list the host"):
                 config(*tables)
@@ -294,7 +296,7 @@
             )
             with pytest.raises(ConfigFaultsError, match="two tenants of one id"):
                 rig.service.apply(twice)
-            assert before == (rig.service._slots, rig.service.router.find("a.example", b"/"))
+            assert before == (rig.service._records, rig.service.router.find("a.example", b"/"))
             assert await rig.status(request("b")) == 200
 
     on_loop(scenario)
@@ -357,7 +359,7 @@
                 rig.apply("a", "b", b={"pools": {"main": {"hosts": [{"id": "x", "address": f"{LOOP}:9"}]}}})
             rig.names = ["b"]
             rig.apply("b")  # a is gone, its file with it
-            assert [a for _, a in rig.service.slot("b").tenant.pools[0].addresses] == [(LOOP, 9)]
+            assert [a for _, a in rig.service.record("b").tenant.pools[0].addresses] == [(LOOP, 9)]
 
     on_loop(scenario)
 
@@ -451,9 +453,9 @@
             assert set(found) <= {200, 404, 410, 429, 502, 503, 504}
             assert found[200]
             rig.apply()
-            await rig.until(lambda: not any(rig.service.leftovers(n) for n in names))
+            await rig.until(lambda: not any(rig.service.remaining_state(n) for n in names))
             assert held(rig.service) == {}
-            assert not rig.service._leaving and not rig.service._awake and not rig.service._slots
+            assert not rig.service._closing and not rig.service._cores and not rig.service._records
             assert [n for n in names if rig.service.resources.clients.is_registered(n)] == []
 
     on_loop(scenario)
@@ -676,10 +678,10 @@
         async with Hosted("a", behave=silent) as rig:
             client = await rig.hold(request("a"))
             client.writer.close()
-            stats = rig.service.slot("a").stats
-            await rig.until(lambda: stats.left == 1)
-            await rig.until(lambda: rig.service.core("a").open_requests() == 0)
-            assert stats.requests == stats.answered() + stats.left
+            stats = rig.service.record("a").stats
+            await rig.until(lambda: stats.client_disconnects == 1)
+            await rig.until(lambda: rig.service.core("a").open_request_count() == 0)
+            assert stats.requests == stats.answered() + stats.client_disconnects
             assert held(rig.service) == {}
 
     on_loop(scenario)
--- a/tests/hosted/test_counts.py
+++ b/tests/hosted/test_counts.py
@@ -22,10 +22,10 @@
         for counter in (old, new, old):
             counter.call(api.IncrementCounter("n.1", 1.0, 1000))
         assert {act.name for act in made} == {"s.n.1"}
-        shared._replied(api.CounterReply("s.n.1", AttemptResult.OK, 1.0))
-        shared._replied(api.CounterReply("s.n.1", AttemptResult.OK, 2.0))
+        shared._on_reply(api.CounterReply("s.n.1", AttemptResult.OK, 1.0))
+        shared._on_reply(api.CounterReply("s.n.1", AttemptResult.OK, 2.0))
         old.close()
-        shared._replied(api.CounterReply("s.n.1", AttemptResult.OK, 3.0))
+        shared._on_reply(api.CounterReply("s.n.1", AttemptResult.OK, 3.0))
         assert heard == {"old": [1.0], "new": [2.0]}
         assert shared.waiting == {}
 
--- a/tests/hosted/test_front.py
+++ b/tests/hosted/test_front.py
@@ -25,7 +25,7 @@
                 "read",
             )
             assert len(rig.hosts["b"].seen) == 1
-            assert [rig.service.slot(n).stats.units for n in "ab"] == [1, 1]
+            assert [rig.service.record(n).stats.units for n in "ab"] == [1, 1]
 
     on_loop(scenario)
 
@@ -149,7 +149,7 @@
                 found["b"].append(status(await client.ask(request("b"))))
             assert set(found["a"]) == {200, 429}
             assert found["b"] == [200, 200, 200]
-            assert rig.service.slot("a").stats.refused == {"quota": found["a"].count(429)}
+            assert rig.service.record("a").stats.refused == {"quota": found["a"].count(429)}
             answer = await client.ask(request("a"))
             assert float(answer.headers["retry-after"]) > 0
             assert json.loads(answer.body)["detail"] == "quota"
@@ -181,7 +181,7 @@
                     assert await rig.status(request("a", path)) == wanted
             assert {s.line.split()[1] for s in rig.hosts["a"].seen} == {"/api/p"}
             assert {s.line.split()[1] for s in rig.hosts["b"].seen} == {"/spare/p"}
-            assert rig.service.slot("a").stats.refused == {"no_host": 5}
+            assert rig.service.record("a").stats.refused == {"no_host": 5}
 
     on_loop(scenario)
 
@@ -205,8 +205,8 @@
             await rig.until(lambda: core.stats.faults > 6)  # its timer comes again
             core.decision_module.handle = handle
             assert status(await client.ask(request("a"))) == 200
-            assert core.open_requests() == 0 and rig.service.resources.open.total_held == 0
-            assert not rig.service.slot("b").stats.faults
+            assert core.open_request_count() == 0 and rig.service.resources.open.total_held == 0
+            assert not rig.service.record("b").stats.faults
 
     on_loop(scenario)
 
@@ -227,7 +227,7 @@
 
             core.decision_module.handle = broken
             assert await rig.status(request("a")) == 502
-            assert core.open_requests() == 0
+            assert core.open_request_count() == 0
 
     on_loop(scenario)
 
@@ -300,7 +300,7 @@
                 assert (status(answer), answer.body) == (code, body)
                 assert ("content-length" in answer.headers) == (code != 204)
             assert len(rig.hosts["a"].seen) == 3
-            assert rig.service.slot("a").stats.served == 3
+            assert rig.service.record("a").stats.served == 3
 
     on_loop(scenario)
 
@@ -345,8 +345,8 @@
 def test_a_fault_of_ours_in_taking_a_request_is_answered_and_harms_no_other() -> None:
     async def scenario() -> None:
         async with Hosted("a", "b") as rig:
-            slot = rig.service.slot
-            rig.service.slot = lambda name: 1 / 0 if name == "a" else slot(name)
+            record = rig.service.record
+            rig.service.record = lambda name: 1 / 0 if name == "a" else record(name)
             client = await rig.connect()
             client.writer.write(request("a") + request("b"))
             assert [status(await client.read()) for _ in range(2)] == [500, 200]
--- a/tests/hosted/test_isolation.py
+++ b/tests/hosted/test_isolation.py
@@ -16,7 +16,7 @@
 
 from hillmux.hosted import resources, tenant_connection
 from hillmux.hosted import service as service_module
-from hillmux.hosted.resources import CROWDED, UNHEARD, Resources
+from hillmux.hosted.resources import LOOP_TIME_EXHAUSTED, UNASSIGNED, Resources
 from hillmux.tenants.model import Limits
 
 
@@ -48,7 +48,7 @@
 def test_one_of_three_is_flooded_and_another_removed_and_the_third_loses_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(service_module, "TIDY_S", 0.02)
+    monkeypatch.setattr(service_module, "CLEANUP_INTERVAL_S", 0.02)
 
     async def scenario() -> None:
         # The whole is 30 requests at once, so each one's share is 10, and 200 at once are 20 times that.
@@ -56,8 +56,8 @@
             flood = asyncio.create_task(ask_all(rig, "a", 2000, 200))
             calm = asyncio.create_task(ask_all(rig, "b", 150, 5))
             going = asyncio.create_task(ask_all(rig, "c", 150, 5))
-            await rig.until(lambda: rig.service.slot("c").stats.served > 40)
-            kept = rig.service.slot("c").stats
+            await rig.until(lambda: rig.service.record("c").stats.served > 40)
+            kept = rig.service.record("c").stats
             rig.apply("a", "b")
             found = {"a": await flood, "b": await calm, "c": await going}
             assert {name: sum(counts.values()) for name, counts in found.items()} == {
@@ -65,14 +65,14 @@
                 "b": 150,
                 "c": 150,
             }
-            stats = rig.service.slot("b").stats
+            stats = rig.service.record("b").stats
             assert found["b"] == {200: 150} and stats.refused == {} and stats.failed == 0
             assert stats.units == stats.requests == 150  # what it spent is what it asked for
             assert set(found["a"]) == {200, 503}
             assert min(found["a"].values()) > 0  # how many of each goes by the pace of the machine
             assert set(found["c"]) <= {200, 410, 503} and found["c"][410] > 0
             assert kept.answered() == kept.requests
-            await rig.until(lambda: not rig.service.leftovers("c"))
+            await rig.until(lambda: not rig.service.remaining_state("c"))
             assert rig.service.resources.open.total_held == 0
 
     on_loop(scenario)
@@ -84,15 +84,15 @@
             clients = [await rig.connect() for _ in range(20)]
             for client in clients:
                 client.writer.write(request("a"))
-            stats = rig.service.slot("a").stats
+            stats = rig.service.record("a").stats
             await rig.until(lambda: stats.requests == 20)
             assert rig.service.resources.open.held_by("a") == 12  # all but the reserve
             assert stats.refused == {"gateway_share": 8}
             mine = [await rig.connect() for _ in range(8)]
             for client in mine:
                 client.writer.write(request("b"))
-            await rig.until(lambda: rig.service.slot("b").stats.requests == 8)
-            assert rig.service.slot("b").stats.refused == {}
+            await rig.until(lambda: rig.service.record("b").stats.requests == 8)
+            assert rig.service.record("b").stats.refused == {}
             assert rig.service.resources.open.held_by("b") == 8
             await rig.until(lambda: len(rig.hosts["b"].seen) == 8)
             assert stats.refused == {"gateway_share": 12}  # four of those that were out gave way
@@ -111,9 +111,9 @@
     async def scenario() -> None:
         async with Hosted("a", "b", behave=silent, limits={"open_requests": 16}) as rig:
             client = await rig.hold(request("a", "/api/pay/p", "POST"))
-            assert rig.service.core("a").give_way()
+            assert rig.service.core("a").shed_request()
             assert status(await client.read()) == 502
-            assert not rig.service.core("a").give_way()
+            assert not rig.service.core("a").shed_request()
 
     on_loop(scenario)
 
@@ -134,7 +134,7 @@
                         found[name][status(await client.read())] += 1
             assert found["b"] == {200: 80}
             assert sum(found["a"].values()) == 80 and found["a"][429] > 60
-            assert rig.service.slot("b").stats.units == 80
+            assert rig.service.record("b").stats.units == 80
             assert (
                 rig.service.resources.clients.held_by("a") + rig.service.resources.clients.held_by("b") == 1
             )
@@ -148,7 +148,7 @@
             kept = await rig.connect()
             assert status(await kept.ask(request("b"))) == 200
             flood = [await asyncio.open_connection(LOOP, rig.port) for _ in range(200)]
-            await rig.until(lambda: rig.service.resources.clients.held_by(UNHEARD) >= 62)
+            await rig.until(lambda: rig.service.resources.clients.held_by(UNASSIGNED) >= 62)
             for _ in range(5):
                 assert status(await kept.ask(request("b"))) == 200  # the one that it had
                 assert await rig.status(request("b")) == 200  # and new ones
@@ -185,7 +185,7 @@
             flood = [await rig.connect() for _ in range(64)]
             for client in flood:
                 client.writer.write(request("a"))
-            stats = rig.service.slot("a").stats
+            stats = rig.service.record("a").stats
             await rig.until(lambda: stats.requests == 64)
             assert await rig.status(request("b")) == 200
             assert stats.refused == {"gateway_share": 1}
@@ -218,7 +218,7 @@
             assert max(peaks) > 128 * 1024  # they do hold something
             # What cannot be refused any more, one answer, may stand beyond the whole.
             assert max(peaks) <= buffer.capacity + len(body) + 1024
-            assert rig.service.slot("b").stats.refused == {}
+            assert rig.service.record("b").stats.refused == {}
             for one in clients:
                 one.close()
             await rig.until(lambda: buffer.total_held == 0)
@@ -253,7 +253,7 @@
                 seen.writer.write(answer)
                 await asyncio.sleep(0.002)
                 peaks.append(buffer.total_held)
-            await rig.until(lambda: rig.service.slot("a").stats.served == 40)
+            await rig.until(lambda: rig.service.record("a").stats.served == 40)
             assert max(peaks) <= buffer.capacity + len(body)
             await rig.until(lambda: len(rig.server.connections) < 25)
             assert await rig.status(request("b")) == 200
@@ -382,7 +382,7 @@
                 rig.service.core("b").log_message(logging.INFO, "news")
             told = Counter(record.getMessage() for record in caplog.records)
             assert told == {"tenant a: noise": 6, "tenant b: news": 2}
-            assert rig.service.resources.lines_left_out == 44
+            assert rig.service.resources.suppressed_log_lines == 44
 
     on_loop(scenario)
 
@@ -391,16 +391,16 @@
     async def scenario() -> None:
         async with Hosted("a", "b") as rig:
             loop = rig.service.resources.loop
-            rig.service._turn.cancel()
+            rig.service._period_timer.cancel()
             loop.charge("a", loop.capacity)  # as by a flood in this turn
             loop.charge("b", loop.capacity / 100)
             client = await rig.connect()
             answer = await client.ask(request("a"))
-            assert status(answer) == 503 and json.loads(answer.body)["detail"] == CROWDED
+            assert status(answer) == 503 and json.loads(answer.body)["detail"] == LOOP_TIME_EXHAUSTED
             assert float(answer.headers["retry-after"]) > 0
             assert status(await client.ask(request("b"))) == 200
             assert not rig.hosts["a"].seen
-            rig.service._next_turn()
+            rig.service._start_period()
             assert status(await client.ask(request("a"))) == 200
 
     on_loop(scenario)
@@ -409,7 +409,7 @@
 def test_what_a_request_costs_the_loop_is_its_tenants() -> None:
     async def scenario() -> None:
         async with Hosted("a", "b") as rig:
-            rig.service._turn.cancel()
+            rig.service._period_timer.cancel()
             client = await rig.connect()
             for _ in range(10):
                 await client.ask(request("a"))
@@ -451,9 +451,9 @@
 def test_on_a_connection_of_two_each_one_s_requests_are_charged_to_itself() -> None:
     async def scenario() -> None:
         async with Hosted("a", "b") as rig:
-            rig.service._turn.cancel()
+            rig.service._period_timer.cancel()
             rig.service.resources.loop.start_period()
-            take = rig.service.core("a").take
+            take = rig.service.core("a").submit
 
             def slow_take(*words: object) -> object:
                 end = time.perf_counter() + 0.02
@@ -461,7 +461,7 @@
                     pass
                 return take(*words)
 
-            rig.service.core("a").take = slow_take
+            rig.service.core("a").submit = slow_take
             client = await rig.connect()
             client.writer.write(request("a") + request("b"))
             assert [status(await client.read()) for _ in range(2)] == [200, 200]
@@ -476,9 +476,9 @@
         async with Hosted("a", "b", behave=silent) as rig:
             client = await rig.hold(request("a"))
             rig.apply("b")
-            assert rig.service.give_way("a")  # its last request is out still
+            assert rig.service.shed_request("a")  # its last request is out still
             assert status(await client.read()) == 503
-            assert not rig.service.give_way("a") and not rig.service.give_way("never")
+            assert not rig.service.shed_request("a") and not rig.service.shed_request("never")
 
     on_loop(scenario)
 
@@ -503,7 +503,7 @@
 def test_one_that_takes_much_waits_for_others_and_each_request_has_its_answer_in_order() -> None:
     async def scenario() -> None:
         async with Hosted("a", "b") as rig:
-            rig.service._turn.cancel()
+            rig.service._period_timer.cancel()
             rig.service.resources.loop._last_over_share = frozenset("a")
             clients = [await rig.connect() for _ in range(20)]
             other = await rig.connect()
@@ -547,7 +547,7 @@
             client = await rig.connect()
             assert status(await client.ask(request("a"))) == 200
             rig.service.resources.loop._last_over_share = frozenset("a")
-            rig.service._turn.cancel()
+            rig.service._period_timer.cancel()
             (connection,) = rig.server.connections
             connection.data_received(request("a"))
             connection.close_if_idle()
--- a/tests/hosted/test_rest.py
+++ b/tests/hosted/test_rest.py
@@ -17,9 +17,9 @@
 
 @pytest.fixture(autouse=True)
 def _quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(core_module, "DOZE_AFTER_S", 0.05)
-    monkeypatch.setattr(core_module, "DOZE_S", 0.05)
-    monkeypatch.setattr(service_module, "TIDY_S", 0.02)
+    monkeypatch.setattr(core_module, "IDLE_AFTER_S", 0.05)
+    monkeypatch.setattr(core_module, "IDLE_SWEEP_INTERVAL_S", 0.05)
+    monkeypatch.setattr(service_module, "CLEANUP_INTERVAL_S", 0.02)
 
 
 def later(rig: Hosted, seconds: float) -> None:
@@ -31,8 +31,8 @@
     async def scenario() -> None:
         async with Hosted("a", "b") as rig:
             assert await rig.status(request("a")) == 200
-            assert list(rig.service._awake) == ["a"]
-            assert rig.service.slot("b")._stats is None
+            assert list(rig.service._cores) == ["a"]
+            assert rig.service.record("b")._stats is None
 
     on_loop(scenario)
 
@@ -48,19 +48,19 @@
             found = [status(await client.ask(request("a"))) for _ in range(8)]
             assert found == [200] * 5 + [429] * 3
             core = rig.service.core("a")
-            born = rig.service.slot("a").born_ms
-            await rig.until(lambda: core._dozing)
-            assert not core.empty()  # the counts' lives are not over, and the partner is remembered
+            born = rig.service.record("a").created_ms
+            await rig.until(lambda: core._idle_mode)
+            assert not core.is_empty()  # the counts' lives are not over, and the partner is remembered
             for _ in range(40):
                 later(rig, 5)
-                await rig.until(lambda: core._dozing or core.empty())
-            await rig.until(lambda: core.empty())
-            assert rig.service._awake == {} and rig.service._stores == {}
-            assert rig.service.slot("a").born_ms == born
+                await rig.until(lambda: core._idle_mode or core.is_empty())
+            await rig.until(lambda: core.is_empty())
+            assert rig.service._cores == {} and rig.service._stores == {}
+            assert rig.service.record("a").created_ms == born
             client = await rig.connect()
             found = [status(await client.ask(request("a"))) for _ in range(8)]
             assert found == [200] * 5 + [429] * 3  # full again, and no more than full
-            assert rig.service.slot("a").stats.served == 10  # the counts went on
+            assert rig.service.record("a").stats.served == 10  # the counts went on
 
     on_loop(scenario)
 
@@ -77,7 +77,7 @@
             core = rig.service.core("a")
             for _ in range(20):
                 later(rig, 10)
-                await rig.until(lambda: core._dozing)
+                await rig.until(lambda: core._idle_mode)
             assert rig.service.core("a") is core
             client = await rig.connect()
             assert status(await client.ask(request("a"))) == 429
@@ -134,7 +134,7 @@
             core = rig.service.core("a")
             sweeps = core._sweeps
             await rig.until(lambda: core._sweeps > sweeps + 3)
-            assert not core._dozing and core.open_requests() == 1
+            assert not core._idle_mode and core.open_request_count() == 1
             client.writer.close()
 
     on_loop(scenario)
@@ -145,7 +145,7 @@
         async with Hosted("a") as rig:
             assert await rig.status(request("a")) == 200
             core = rig.service.core("a")
-            await rig.until(lambda: core._dozing)
+            await rig.until(lambda: core._idle_mode)
             seen: list[str] = []
             handle = core.decision_module.handle
 
@@ -156,7 +156,7 @@
             core.decision_module.handle = watched
             assert await rig.status(request("a")) == 200
             assert seen[:2] == ["TimerFired", "Request"]
-            assert not core._dozing and set(core._timers) == {"sweep"}
+            assert not core._idle_mode and set(core._timers) == {"sweep"}
 
     on_loop(scenario)
 
