--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -271,7 +271,7 @@
             service.core(f"t{i}").submit(Nobody(), order, service.make_room)
     for _ in range(100):
         await asyncio.sleep(0.05)
-        if not service.resources.open.total_held:
+        if not service.resources.open_requests.total_held:
             break
     sizes.append(tracemalloc.get_traced_memory()[0])
     tracemalloc.stop()
--- a/hillmux/hosted/config.py
+++ b/hillmux/hosted/config.py
@@ -82,43 +82,43 @@
         ConfigFaultsError: with every error that was found.
     """
     faults: list[Fault] = []
-    head = _validate(config_schema.FileShape, raw, file, "", faults)
-    if head is None:  # validate the tenants too, so that their errors are reported with the others
+    file_table = _validate(config_schema.FileShape, raw, file, "", faults)
+    if file_table is None:  # validate the tenants too, so that their errors are reported with the others
         for i, entry in enumerate(raw.get("tenants") or []):
             _validate(config_schema.TenantShape, entry, file, f"tenants[{i}]", faults)
         raise ConfigFaultsError(faults)
-    if head.gateway.number >= head.gateway.fleet_size:
+    if file_table.gateway.number >= file_table.gateway.fleet_size:
         faults.append(
             Fault(
                 file,
                 "gateway.number",
-                f"found {head.gateway.number}, expected 0 to "
-                f"{head.gateway.fleet_size - 1} (below fleet_size)",
+                f"found {file_table.gateway.number}, expected 0 to "
+                f"{file_table.gateway.fleet_size - 1} (below fleet_size)",
             )
         )
-    if head.gateway.fleet_size > 1 and head.counter.address is None:
-        text = f"is missing, expected HOST:PORT: gateway.fleet_size is {head.gateway.fleet_size}"
+    if file_table.gateway.fleet_size > 1 and file_table.counter.address is None:
+        text = f"is missing, expected HOST:PORT: gateway.fleet_size is {file_table.gateway.fleet_size}"
         faults.append(Fault(file, "counter.address", text))
     tenants: list[model.Tenant] = []
-    builder = _TenantBuilder(head, file, folder, faults)
-    for i, entry in enumerate(head.tenants):
+    builder = _TenantBuilder(file_table, file, folder, faults)
+    for i, entry in enumerate(file_table.tenants):
         parsed = _validate(config_schema.TenantShape, entry, file, f"tenants[{i}]", faults)
         if parsed is not None:
             tenants.append(builder.tenant(parsed, f"tenants[{i}]"))
     faults += [Fault(file, "tenants", text) for text in check_together(tenants)]
     if faults:
         raise ConfigFaultsError(faults)
-    limits = head.limits
+    limits = file_table.limits
     return model.ServiceConfig(
-        name=head.gateway.name,
-        listeners=tuple(item.address for item in head.listeners),
+        name=file_table.gateway.name,
+        listeners=tuple(item.address for item in file_table.listeners),
         tenants=tuple(tenants),
-        state_folder=str(folder / head.state_folder) if head.state_folder else "",
-        number=head.gateway.number,
-        fleet_size=head.gateway.fleet_size,
-        drain_s=head.gateway.drain_s,
-        counter=head.counter.address,
-        count_wait_ms=COUNTER_TIMEOUT_FACTOR * head.counter.wait_ms,
+        state_folder=str(folder / file_table.state_folder) if file_table.state_folder else "",
+        number=file_table.gateway.number,
+        fleet_size=file_table.gateway.fleet_size,
+        drain_s=file_table.gateway.drain_s,
+        counter=file_table.counter.address,
+        count_wait_ms=COUNTER_TIMEOUT_FACTOR * file_table.counter.wait_ms,
         limits=model.Limits(
             limits.sockets,
             limits.open_requests,
@@ -203,14 +203,14 @@
         return _adapter(kind).validate_python(raw)
     except ValidationError as error:
         label = raw.get("id") if isinstance(raw, dict) else None
-        named = f"{path} ({label})" if path and isinstance(label, str) else path
+        table_path = f"{path} ({label})" if path and isinstance(label, str) else path
         for item in error.errors(include_url=False):
             where = "".join(
                 f"[{part}]" if isinstance(part, int) else f".{part}"
                 for part in item["loc"]
                 if part != "[key]"
             )
-            faults.append(Fault(file, (named + where).lstrip("."), _describe(item)))
+            faults.append(Fault(file, (table_path + where).lstrip("."), _describe(item)))
         return None
 
 
@@ -233,16 +233,18 @@
 class _TenantBuilder:
     """Builds tenants from validated tables; equal settings and routes are shared between tenants."""
 
-    def __init__(self, head: config_schema.FileShape, file: str, folder: Path, faults: list[Fault]) -> None:
-        self._head, self._file, self._folder, self._faults = head, file, folder, faults
+    def __init__(
+        self, file_table: config_schema.FileShape, file: str, folder: Path, faults: list[Fault]
+    ) -> None:
+        self._file_table, self._file, self._folder, self._faults = file_table, file, folder, faults
         self._settings: dict[api.Settings, api.Settings] = {}
         self._routes: dict[tuple[model.Route, ...], tuple[model.Route, ...]] = {}
 
     def tenant(self, parsed: config_schema.TenantShape, path: str) -> model.Tenant:
         """Build one tenant; errors that the schema does not cover are added to the faults."""
         path = f"{path} ({parsed.id})"
-        classes = parsed.classes or self._head.classes
-        plans = parsed.plans or self._head.plans
+        classes = parsed.classes or self._file_table.classes
+        plans = parsed.plans or self._file_table.plans
         if not classes:
             self._fault(
                 f"{path}.classes", "found none, expected one at least, here or in the file's own classes"
@@ -363,7 +365,7 @@
         classes: dict[str, config_schema.ClassShape],
         plans: dict[str, config_schema.PlanShape],
     ) -> api.Settings:
-        module, gateway = parsed.module, self._head.gateway
+        module, gateway = parsed.module, self._file_table.gateway
         settings = api.Settings(
             classes=tuple(_request_class(name, c) for name, c in classes.items()),
             plans=tuple(_plan(name, p) for name, p in plans.items()),
@@ -375,7 +377,7 @@
             counter_available=True,
             max_request_units=module.most_units,
             max_customers=module.most_customers,
-            counter_timeout_ms=COUNTER_TIMEOUT_FACTOR * self._head.counter.wait_ms,
+            counter_timeout_ms=COUNTER_TIMEOUT_FACTOR * self._file_table.counter.wait_ms,
             actual_units_reported=True,
             drain_grace_ms=module.drain_grace_ms,
             slow_start_min_share=module.cold_from,
--- a/hillmux/hosted/core.py
+++ b/hillmux/hosted/core.py
@@ -103,11 +103,11 @@
         )
         self._tenant, self._resources, self._make_room = tenant.id, resources, make_room
 
-    def classify(self, reply: Response) -> AttemptResult:
+    def classify(self, response: Response) -> AttemptResult:
         """Also count 2xx to 4xx as served, except 408 and 429: the tenant may mean a 404 as much as a 201."""
-        if 200 <= reply.status < 500 and reply.status not in (408, 429):
+        if 200 <= response.status < 500 and response.status not in (408, 429):
             return AttemptResult.OK
-        return super().classify(reply)
+        return super().classify(response)
 
     def is_empty(self) -> bool:
         """Whether no connections and no dials are left."""
@@ -189,8 +189,8 @@
     def start(self, created_ms: float, endpoints: DiscoveryResponse, counter: TenantCounter) -> None:
         """Start as if idle since `created_ms`: the module's ceilings have accrued allowance since then."""
         self.counter = self._counts = counter
-        for act in self.decision_module.handle(created_ms, api.EndpointList(ListKind.CACHED, ())):
-            self.execute(act)
+        for action in self.decision_module.handle(created_ms, api.EndpointList(ListKind.CACHED, ())):
+            self.execute(action)
         self.apply_endpoints(endpoints, ListKind.FULL)
 
     def update(self, tenant: Tenant, endpoints: DiscoveryResponse) -> None:
@@ -219,7 +219,7 @@
     ) -> str | None:
         """Accept a request and return its id; None if it was rejected, with the reason in `cause`."""
         tenant, size = self.tenant.id, len(forward_request.head) + len(forward_request.body)
-        shares = self._resources.open
+        shares = self._resources.open_requests
         if not shares.acquire(tenant) and not (make_room(tenant) and shares.acquire(tenant)):
             self.cause = SHARE_EXHAUSTED
             return None
@@ -228,12 +228,12 @@
             self.cause = SHARE_EXHAUSTED
             return None
         self._wake()
-        rid = self.request(client, forward_request)
-        if rid is None:
+        request_id = self.request(client, forward_request)
+        if request_id is None:
             shares.release(tenant)
             self._resources.buffer.release(tenant, size)
             self.cause = CONFLICT
-        return rid
+        return request_id
 
     def shed_request(self) -> bool:
         """Answer one open request early to shed load; returns whether there was one.
@@ -241,20 +241,20 @@
         Chooses among the SHED_CANDIDATES newest: the newest that has no attempts or is idempotent is answered
         503. If there is none, the newest is answered 502, since it may have been executed.
         """
-        newest = [
+        candidates = [
             r for r in islice(reversed(self.requests.values()), SHED_CANDIDATES) if r.client is not None
         ]
-        for request in newest:
+        for request in candidates:
             may_be_repeated = all(a is None for a in request.attempts) or self._is_idempotent(request)
             if may_be_repeated:
                 self.cause = SHARE_EXHAUSTED
                 self.answer(request, 503, retry_after_ms=SERVICE_RETRY_AFTER_MS)
                 self.post(api.ClientDisconnected(request.id))
                 return True
-        if newest:
-            self.answer(newest[0], 502)
-            self.post(api.ClientDisconnected(newest[0].id))
-        return bool(newest)
+        if candidates:
+            self.answer(candidates[0], 502)
+            self.post(api.ClientDisconnected(candidates[0].id))
+        return bool(candidates)
 
     def drop_idle(self) -> bool:
         """Close an idle connection to a host; returns whether there was one."""
@@ -280,30 +280,30 @@
         held = request.id in self.requests
         super().forget_if_finished(request)
         if held and request.id not in self.requests:
-            self._resources.open.release(self.tenant.id)
+            self._resources.open_requests.release(self.tenant.id)
             self._resources.buffer.release(
                 self.tenant.id, len(request.forward_request.head) + len(request.forward_request.body)
             )
             if self._closing:
                 self.loop.call_soon(self._close_if_done)
 
-    def client_disconnected(self, rid: str) -> None:
+    def client_disconnected(self, request_id: str) -> None:
         """Also count a request whose client disconnected before its answer."""
-        request = self.requests.get(rid)
+        request = self.requests.get(request_id)
         if request is not None and request.client is not None:
             self.stats.client_disconnects += 1
-        super().client_disconnected(rid)
+        super().client_disconnected(request_id)
 
     def answer(
         self,
         request: OpenRequest | None,
         status: int,
-        reply: Response | None = None,
+        response: Response | None = None,
         retry_after_ms: float = 0.0,
     ) -> None:
         """Also count the answer and its cause."""
         if request is not None and request.client is not None:
-            if reply is not None:
+            if response is not None:
                 self.stats.served += 1
                 self.stats.times.add((time.monotonic() - request.forward_request.read_at) * 1000)
             elif status in (429, 503):
@@ -311,25 +311,25 @@
             else:
                 self.stats.failed += 1
                 self.cause = "failed"
-        super().answer(request, status, reply, retry_after_ms)
+        super().answer(request, status, response, retry_after_ms)
 
-    def pass_on_response(self, client: Client, reply: Response) -> None:
+    def pass_on_response(self, client: Client, response: Response) -> None:
         """Also forward the header lines that the host connection kept."""
         cast(Any, client).is_forwarding = True
-        cast(Any, client).extra_header_lines = reply.headers.get(HEADER_LINES_KEY, b"")
-        super().pass_on_response(client, reply)
+        cast(Any, client).extra_header_lines = response.headers.get(HEADER_LINES_KEY, b"")
+        super().pass_on_response(client, response)
 
-    def reject(self, act: api.Reject) -> None:
+    def reject(self, action: api.Reject) -> None:
         """Answer 429 if a quota or ceiling rejected the request, otherwise 503."""
-        self.cause = act.reason
-        status = 429 if act.reason in (RejectReason.QUOTA, RejectReason.CEILING) else 503
-        self.answer(self.requests.get(act.request_id), status, retry_after_ms=act.retry_after_ms)
+        self.cause = action.reason
+        status = 429 if action.reason in (RejectReason.QUOTA, RejectReason.CEILING) else 503
+        self.answer(self.requests.get(action.request_id), status, retry_after_ms=action.retry_after_ms)
 
-    def send_attempt(self, act: api.SendAttempt) -> None:
+    def send_attempt(self, action: api.SendAttempt) -> None:
         """Also count the units of a first attempt."""
-        request = self.requests.get(act.request_id)
+        request = self.requests.get(action.request_id)
         first = request is not None and not request.attempts
-        super().send_attempt(act)
+        super().send_attempt(action)
         if first and request is not None and request.attempts and request.attempts[0] is not None:
             self.stats.units += request.forward_request.units
 
@@ -348,10 +348,10 @@
         if self._resources.may_log(self.tenant.id):
             log.log(level, "tenant %s: %s", self.tenant.id, text, exc_info=trace)
 
-    def set_timer(self, act: api.SetTimer) -> None:
+    def set_timer(self, action: api.SetTimer) -> None:
         """Set a timer of the module; the `sweep` timer is less frequent while the tenant is idle."""
-        delay_s = max(act.delay_ms, 0.0) / 1000
-        if act.name == "sweep":
+        delay_s = max(action.delay_ms, 0.0) / 1000
+        if action.name == "sweep":
             self._sweeps += 1
             idle = self.loop.time() - self._last_request_at > IDLE_AFTER_S and not self.requests
             self._idle_mode = idle and self.decision_module.is_idle()
@@ -361,10 +361,10 @@
                 self.upstreams.close_expired()
         if self._closed:
             return
-        old = self._timers.get(act.name)
+        old = self._timers.get(action.name)
         if old is not None:
             old.cancel()
-        self._timers[act.name] = self.loop.call_later(delay_s, self._timer_due, act.name)
+        self._timers[action.name] = self.loop.call_later(delay_s, self._timer_due, action.name)
 
     def _timer_due(self, name: str) -> None:
         self._timers.pop(name, None)
--- a/hillmux/hosted/counts.py
+++ b/hillmux/hosted/counts.py
@@ -27,14 +27,14 @@
         """Close them."""
         self._client.stop()
 
-    def call(self, act: api.IncrementCounter, on_reply: ReplyCallback) -> None:
+    def call(self, action: api.IncrementCounter, on_reply: ReplyCallback) -> None:
         """Make one call under its full name; its reply is passed to `on_reply`.
 
         A tenant's new module and its old one use the same names; replies to the old one must not reach the
         new.
         """
-        self.waiting.setdefault(act.name, deque()).append(on_reply)
-        self._client.call(act)
+        self.waiting.setdefault(action.name, deque()).append(on_reply)
+        self._client.call(action)
 
     def _on_reply(self, reply: api.CounterReply) -> None:
         waiting = self.waiting[reply.name]
@@ -52,10 +52,11 @@
         self._shared, self._scope, self._callback = shared, scope, on_reply
         self._closed = False
 
-    def call(self, act: api.IncrementCounter) -> None:
+    def call(self, action: api.IncrementCounter) -> None:
         """Make one call under the tenant's scope."""
         self._shared.call(
-            api.IncrementCounter(f"{self._scope}.{act.name}", act.amount, act.retention_ms), self._on_reply
+            api.IncrementCounter(f"{self._scope}.{action.name}", action.amount, action.retention_ms),
+            self._on_reply,
         )
 
     def _on_reply(self, reply: api.CounterReply) -> None:
--- a/hillmux/hosted/hostfiles.py
+++ b/hillmux/hosted/hostfiles.py
@@ -25,11 +25,13 @@
 
 @dataclass(slots=True, eq=False)
 class _File:
+    """A watched hosts file."""
+
     tenant: str
     pool: str
     path: str
-    stamp: tuple[int, int, int] | None = None
-    was_read: bool = False
+    stamp: tuple[int, int, int] | None = None  # modification time in ns, size and inode; None: not readable
+    was_read: bool = False  # the version with this stamp has been read
     last_fault: str = ""  # last error that was logged
     hosts: Hosts = ((), ())
 
@@ -38,9 +40,12 @@
     """Watches the hosts files of all tenants' pools."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, address_book: AddressBook, changed: Callable[[str], None]
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address_book: AddressBook,
+        on_hosts_changed: Callable[[str], None],
     ) -> None:
-        self._loop, self._address_book, self._changed = loop, address_book, changed
+        self._loop, self._address_book, self._on_hosts_changed = loop, address_book, on_hosts_changed
         self._files: dict[str, dict[str, _File]] = {}  # files by tenant and pool
         self._check_order: deque[_File] = deque()
         self._timer: asyncio.TimerHandle | None = None
@@ -56,11 +61,11 @@
 
     def watch(self, tenant: Tenant) -> None:
         """Watch the hosts files of a tenant's pools, and stop watching any other files of the tenant."""
-        wanted = {pool.name: pool.hosts_file for pool in tenant.pools if pool.hosts_file}
+        paths = {pool.name: pool.hosts_file for pool in tenant.pools if pool.hosts_file}
         files = self._files.setdefault(tenant.id, {})
-        for file in [file for file in files.values() if wanted.get(file.pool) != file.path]:
+        for file in [file for file in files.values() if paths.get(file.pool) != file.path]:
             self._unwatch(file)
-        for pool, path in wanted.items():
+        for pool, path in paths.items():
             if pool not in files:
                 files[pool] = _File(tenant.id, pool, path)
                 self._check_order.append(files[pool])
@@ -90,7 +95,7 @@
             file = self._check_order[0]
             self._check_order.rotate(-1)
             if self._read(file):
-                self._changed(file.tenant)
+                self._on_hosts_changed(file.tenant)
 
     def _read(self, file: _File) -> bool:
         """Read a file if its status changed; returns whether its hosts changed.
--- a/hillmux/hosted/resources.py
+++ b/hillmux/hosted/resources.py
@@ -12,11 +12,8 @@
 CLIENT_SHARE, HOST_SHARE = 0.5, 0.36  # fractions of the descriptors, as on the platform
 LOOP_TIME_PERIOD_S = 0.1  # accounting period of the loop's time
 UNASSIGNED = "(unheard)"  # owner of connections that have not carried a request yet
-LOOP_TIME_EXHAUSTED, SHARE_EXHAUSTED, DRAINING = (
-    "gateway_time",
-    "gateway_share",
-    "draining",
-)  # causes of the service's own refusals
+# Causes of rejections by the service itself.
+LOOP_TIME_EXHAUSTED, SHARE_EXHAUSTED, DRAINING = "gateway_time", "gateway_share", "draining"
 
 
 class Resources:
@@ -24,26 +21,34 @@
 
     Attributes:
         clock: one clock for all tenants, so that no tenant's windows move when the system's clock is set.
-        open: open requests.
+        open_requests: open requests.
         buffer: bytes of requests and of responses that clients have not read.
         clients: client connections.
         hosts: descriptors of connections to hosts, dials included.
         dials: connections to hosts that are being opened.
-        lines: log lines per second.
-        loop: seconds of the loop's time per accounting period.
+        log_lines: log lines per second.
+        loop_time: seconds of the loop's time per accounting period.
         suppressed_log_lines: log lines beyond a tenant's share since they were last reported.
     """
 
     def __init__(self, limits: Limits) -> None:
         self.clock = UnixClock()
-        self.open = Shares(limits.open_requests)
+        self.open_requests = Shares(limits.open_requests)
         self.buffer = Shares(limits.buffer_mb * 1024 * 1024)
         self.clients = Shares(max(int(CLIENT_SHARE * limits.sockets), 1))
         self.hosts = Shares(max(int(HOST_SHARE * limits.sockets), 1))
         self.dials = Shares(limits.dials)
-        self.lines = Shares(limits.log_lines)
-        self.loop = LoopTime(limits.loop_share * LOOP_TIME_PERIOD_S)
-        self._all = (self.open, self.buffer, self.clients, self.hosts, self.dials, self.lines, self.loop)
+        self.log_lines = Shares(limits.log_lines)
+        self.loop_time = LoopTime(limits.loop_share * LOOP_TIME_PERIOD_S)
+        self._all = (
+            self.open_requests,
+            self.buffer,
+            self.clients,
+            self.hosts,
+            self.dials,
+            self.log_lines,
+            self.loop_time,
+        )
         self.clients.register(UNASSIGNED, 1.0)
         self.buffer.register(UNASSIGNED, 1.0)
         self._second = 0
@@ -56,10 +61,10 @@
 
     def unregister(self, tenant_id: str) -> bool:
         """Remove a tenant; False if it still holds open requests, memory, connections or dials."""
-        lasting = (self.open, self.buffer, self.clients, self.hosts, self.dials)
+        lasting = (self.open_requests, self.buffer, self.clients, self.hosts, self.dials)
         if any(shares.held_by(tenant_id) > 0 for shares in lasting):
             return False
-        for shares in (self.lines, self.loop):
+        for shares in (self.log_lines, self.loop_time):
             shares.release(tenant_id, shares.held_by(tenant_id))
         for shares in self._all:
             shares.unregister(tenant_id)
@@ -70,8 +75,8 @@
         second = int(time.monotonic())
         if second != self._second:
             self._second = second
-            self.lines.start_period()
-        if self.lines.is_registered(tenant_id) and self.lines.acquire(tenant_id):
+            self.log_lines.start_period()
+        if self.log_lines.is_registered(tenant_id) and self.log_lines.acquire(tenant_id):
             return True
         self.suppressed_log_lines += 1
         return False
--- a/hillmux/hosted/serve.py
+++ b/hillmux/hosted/serve.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-GC_THRESHOLD = 20_000
+GC_THRESHOLD = 20_000  # allocations between garbage collections
 SWITCH_INTERVAL_S = 0.0005  # how long the thread that reads the configuration may hold up the loop
 LOCK_FILE = "hillmux.lock"
 
@@ -108,7 +108,7 @@
 
 
 async def serve(
-    path: Path, config: ServiceConfig, listening: Callable[[list[Address]], None] | None = None
+    path: Path, config: ServiceConfig, on_listening: Callable[[list[Address]], None] | None = None
 ) -> None:
     """Serve until SIGTERM or SIGINT and the graceful shutdown that follows.
 
@@ -130,8 +130,8 @@
         loop.add_signal_handler(signal.SIGHUP, reloader.request_reload)
         for host, port in addresses:
             log.info("listening on %s:%d", host, port)
-        if listening is not None:
-            listening(addresses)
+        if on_listening is not None:
+            on_listening(addresses)
         gc.freeze()
         gc.set_threshold(GC_THRESHOLD)  # requests create few reference cycles: collect rarely
         await shutdown.done.wait()
--- a/hillmux/hosted/service.py
+++ b/hillmux/hosted/service.py
@@ -216,8 +216,8 @@
                 self.router.put(change.new)
             self._apply_change(change)
             self._registry.commit(change)
-        fixed = ("listeners", "limits", "counter", "count_wait_ms", "state_folder")
-        unchanged = [name for name in fixed if getattr(config, name) != getattr(self.config, name)]
+        restart_only = ("listeners", "limits", "counter", "count_wait_ms", "state_folder")
+        unchanged = [name for name in restart_only if getattr(config, name) != getattr(self.config, name)]
         if unchanged:
             log.warning("changed settings ignored until a restart: %s", ", ".join(unchanged))
         if changes:
@@ -315,7 +315,7 @@
 
     def make_room(self, tenant_id: str) -> bool:
         """Shed a request of the tenant most over its share of open requests; returns whether one was shed."""
-        victim = self.resources.open.eviction_victim(tenant_id)
+        victim = self.resources.open_requests.eviction_victim(tenant_id)
         return victim is not None and self.shed_request(victim)
 
     def shed_request(self, tenant_id: str) -> bool:
@@ -405,17 +405,17 @@
 
     def _start_period(self) -> None:
         self._period_timer = self._loop.call_later(LOOP_TIME_PERIOD_S, self._start_period)
-        self.resources.loop.start_period()
+        self.resources.loop_time.start_period()
 
     def remaining_state(self, tenant_id: str) -> list[str]:
         """Descriptions of the state still held for a removed tenant; empty once all is released."""
-        left = [
+        remaining = [
             f"core with {core.open_request_count()} requests"
             for core in self._closing
             if core.tenant.id == tenant_id
         ]
-        if self.resources.open.is_registered(tenant_id):
-            left.append("an account")
+        if self.resources.open_requests.is_registered(tenant_id):
+            remaining.append("an account")
         if tenant_id in self._records or tenant_id in self._cores:
-            left.append("a record")
-        return left
+            remaining.append("a record")
+        return remaining
--- a/hillmux/hosted/tenant_connection.py
+++ b/hillmux/hosted/tenant_connection.py
@@ -82,7 +82,7 @@
         Reading is paused while input is deferred, so that each connection defers at most one piece.
         """
         if self._deferred_pieces or (
-            self.owner != UNASSIGNED and self._service.resources.loop.over_share(self.owner)
+            self.owner != UNASSIGNED and self._service.resources.loop_time.over_share(self.owner)
         ):
             if not self._deferred_pieces and not self._reading_paused:
                 self.transport.pause_reading()
@@ -109,11 +109,11 @@
             super().close_if_idle()
 
     def _handle(self, data: bytes) -> None:
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         self._charged_s = 0.0
         super().data_received(data)
         self._charge_request()
-        self._charge_loop_time(time.perf_counter() - began - self._charged_s)
+        self._charge_loop_time(time.perf_counter() - started_at - self._charged_s)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Also release the buffer that was charged to the owner's share."""
@@ -166,21 +166,21 @@
             super().check_timeouts(now)
 
     def _charge_loop_time(self, seconds: float) -> None:
-        if self.owner != UNASSIGNED and self._service.resources.loop.is_registered(self.owner):
-            self._service.resources.loop.charge(self.owner, seconds)
+        if self.owner != UNASSIGNED and self._service.resources.loop_time.is_registered(self.owner):
+            self._service.resources.loop_time.charge(self.owner, seconds)
 
     def _charge_unread(self, unread: int) -> None:
         """Charge unread bytes to the owner's buffer share; if they exceed it, the connection is aborted."""
         if unread == self.unread_bytes:
             return
-        buffer, more = self._service.resources.buffer, unread - self.unread_bytes
+        buffer, increase = self._service.resources.buffer, unread - self.unread_bytes
         self.unread_bytes = unread
-        if more < 0:
-            buffer.release(self.owner, -more)
+        if increase < 0:
+            buffer.release(self.owner, -increase)
             return
-        if buffer.acquire(self.owner, more):
+        if buffer.acquire(self.owner, increase):
             return
-        buffer.charge(self.owner, more)
+        buffer.charge(self.owner, increase)
         if not buffer.within_guaranteed_share(self.owner, 0.0):
             self.transport.abort()  # the client can detect that its response is incomplete
 
@@ -190,15 +190,15 @@
         size += self._unparsed.size
         for item in self._queue:
             size += 0 if isinstance(item, RejectedRequest) else item.head_bytes + item.body_bytes
-        buffer, more = self._service.resources.buffer, size - self.receiving_bytes
-        if more <= 0 or self.transport.is_closing():
-            more = max(more, -self.receiving_bytes)
-            buffer.release(self.owner, -min(more, 0))
-            self.receiving_bytes += min(more, 0)
+        buffer, increase = self._service.resources.buffer, size - self.receiving_bytes
+        if increase <= 0 or self.transport.is_closing():
+            increase = max(increase, -self.receiving_bytes)
+            buffer.release(self.owner, -min(increase, 0))
+            self.receiving_bytes += min(increase, 0)
             return
         self.receiving_bytes = size
-        if not buffer.acquire(self.owner, more):
-            buffer.charge(self.owner, more)
+        if not buffer.acquire(self.owner, increase):
+            buffer.charge(self.owner, increase)
             if not buffer.within_guaranteed_share(self.owner, 0.0):
                 self._reject(503)
                 self._take_requests()
@@ -222,11 +222,11 @@
         self._listener.mark_idle(self)
 
     def _take_request(self, item: RequestMessage | RejectedRequest) -> None:
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         self._process_request(item)
-        took = time.perf_counter() - began
-        self._charge_loop_time(took)
-        self._charged_s += took
+        elapsed_s = time.perf_counter() - started_at
+        self._charge_loop_time(elapsed_s)
+        self._charged_s += elapsed_s
 
     def _process_request(self, item: RequestMessage | RejectedRequest) -> None:
         self._answer_due = True
@@ -248,7 +248,7 @@
             self.answer(error.status)
         except Exception:
             # The request is still answered, and the connection's other requests are handled.
-            log.exception("request could not be submitted; answered 500")
+            log.exception("request could not be submitted")
             if self._answer_due:
                 self._detail = "gateway fault"
                 self.answer(500)
@@ -282,7 +282,7 @@
         record.stats.requests += 1
         if tenant.state == model.DRAINING:
             self._reject_with_cause(record, DRAINING)
-        elif service.resources.loop.must_shed_load(tenant.id):
+        elif service.resources.loop_time.must_shed_load(tenant.id):
             self._reject_with_cause(record, LOOP_TIME_EXHAUSTED)
         else:
             self._submit(record, forward_request)
--- a/tests/hosted/test_changes.py
+++ b/tests/hosted/test_changes.py
@@ -38,7 +38,7 @@
     """Open requests, buffer, host connections and dials that any tenant still holds."""
     resources = service.resources
     ledgers = {
-        "open": resources.open,
+        "open": resources.open_requests,
         "buffer": resources.buffer,
         "hosts": resources.hosts,
         "dials": resources.dials,
@@ -187,7 +187,7 @@
             answer_request(rig.hosts["a"], 0)
             assert status(await client.read()) == 200
             await rig.wait_until(lambda: old.is_empty() and old not in rig.service._closing)
-            assert rig.service.resources.open.total_held == 0
+            assert rig.service.resources.open_requests.total_held == 0
             assert rig.service.record("a").stats is not old.stats  # the new tenant has statistics of its own
 
     on_loop(scenario)
@@ -232,7 +232,7 @@
             b_core = rig.service.core("b")
             rig.apply("a", "b", b={"share": 3})  # needs no new module
             assert rig.service.core("b") is b_core
-            assert rig.service.resources.open._accounts["b"].weight == 3
+            assert rig.service.resources.open_requests._accounts["b"].weight == 3
 
     on_loop(scenario)
 
@@ -449,7 +449,7 @@
                     case "wait":
                         await asyncio.sleep(rng.random() * 0.02)
                 ledgers = rig.service.resources
-                assert ledgers.open.total_held <= ledgers.open.capacity
+                assert ledgers.open_requests.total_held <= ledgers.open_requests.capacity
                 assert ledgers.dials.total_held <= ledgers.dials.capacity
             statuses = Counter(await asyncio.gather(*tasks))
             assert sum(statuses.values()) == len(tasks)
--- a/tests/hosted/test_front.py
+++ b/tests/hosted/test_front.py
@@ -205,7 +205,7 @@
             await rig.wait_until(lambda: core.stats.faults > 6)  # its timer is repeated after each fault
             core.decision_module.handle = handle
             assert status(await client.fetch(request("a"))) == 200
-            assert core.open_request_count() == 0 and rig.service.resources.open.total_held == 0
+            assert core.open_request_count() == 0 and rig.service.resources.open_requests.total_held == 0
             assert not rig.service.record("b").stats.faults
 
     on_loop(scenario)
--- a/tests/hosted/test_isolation.py
+++ b/tests/hosted/test_isolation.py
@@ -73,7 +73,7 @@
             assert set(statuses["c"]) <= {200, 410, 503} and statuses["c"][410] > 0
             assert removed_stats.answered() == removed_stats.requests
             await rig.wait_until(lambda: not rig.service.remaining_state("c"))
-            assert rig.service.resources.open.total_held == 0
+            assert rig.service.resources.open_requests.total_held == 0
 
     on_loop(scenario)
 
@@ -86,14 +86,14 @@
                 client.writer.write(request("a"))
             stats = rig.service.record("a").stats
             await rig.wait_until(lambda: stats.requests == 20)
-            assert rig.service.resources.open.held_by("a") == 12  # the capacity without the reserve
+            assert rig.service.resources.open_requests.held_by("a") == 12  # the capacity without the reserve
             assert stats.refused == {"gateway_share": 8}
             b_clients = [await rig.connect() for _ in range(8)]
             for client in b_clients:
                 client.writer.write(request("b"))
             await rig.wait_until(lambda: rig.service.record("b").stats.requests == 8)
             assert rig.service.record("b").stats.refused == {}
-            assert rig.service.resources.open.held_by("b") == 8
+            assert rig.service.resources.open_requests.held_by("b") == 8
             await rig.wait_until(lambda: len(rig.hosts["b"].seen) == 8)
             assert stats.refused == {"gateway_share": 12}  # four open requests were shed
             for fake in rig.hosts.values():
@@ -124,7 +124,7 @@
         rig.per_tenant = {"a": {"default_plan": "small"}}
         async with rig:
             rig.service.resources.clock._offset += 3600
-            rig.service.resources.loop.capacity = 1e9  # otherwise a slow loop would shed some requests
+            rig.service.resources.loop_time.capacity = 1e9  # otherwise a slow loop would shed some requests
             client = await rig.connect()
             statuses: dict[str, Counter[int]] = {"a": Counter(), "b": Counter()}
             for _ in range(20):
@@ -389,7 +389,7 @@
 def test_only_the_tenant_that_used_up_its_loop_time_is_rejected() -> None:
     async def scenario() -> None:
         async with Hosted("a", "b") as rig:
-            loop = rig.service.resources.loop
+            loop = rig.service.resources.loop_time
             rig.service._period_timer.cancel()
             loop.charge("a", loop.capacity)  # as by a flood in this period
             loop.charge("b", loop.capacity / 100)
@@ -412,7 +412,7 @@
             client = await rig.connect()
             for _ in range(10):
                 await client.fetch(request("a"))
-            loop = rig.service.resources.loop
+            loop = rig.service.resources.loop_time
             assert loop.held_by("a") > 0 and loop.held_by("b") == 0
 
     on_loop(scenario)
@@ -421,37 +421,37 @@
 def test_load_is_shed_only_over_the_share_and_with_other_tenants_active() -> None:
     shared = Resources(Limits())
     for name in "ab":
-        shared.loop.register(name, 1.0)
-    shared.loop.charge("a", shared.loop.capacity * 1.4)
-    assert not shared.loop.must_shed_load("a")  # the only tenant may use all idle time
-    shared.loop.charge("b", shared.loop.capacity * 0.01)
-    assert shared.loop.must_shed_load("a") and not shared.loop.must_shed_load("b")
-    shared.loop.start_period()
-    assert not shared.loop.must_shed_load("a")
-    shared.loop.charge("a", shared.loop.capacity * 0.9)
-    assert not shared.loop.must_shed_load("a")  # there is time left to lend
-    shared.loop.charge("a", shared.loop.capacity * 0.25)
-    assert shared.loop.must_shed_load("a")  # the other tenant was active in the last period
+        shared.loop_time.register(name, 1.0)
+    shared.loop_time.charge("a", shared.loop_time.capacity * 1.4)
+    assert not shared.loop_time.must_shed_load("a")  # the only tenant may use all idle time
+    shared.loop_time.charge("b", shared.loop_time.capacity * 0.01)
+    assert shared.loop_time.must_shed_load("a") and not shared.loop_time.must_shed_load("b")
+    shared.loop_time.start_period()
+    assert not shared.loop_time.must_shed_load("a")
+    shared.loop_time.charge("a", shared.loop_time.capacity * 0.9)
+    assert not shared.loop_time.must_shed_load("a")  # there is time left to lend
+    shared.loop_time.charge("a", shared.loop_time.capacity * 0.25)
+    assert shared.loop_time.must_shed_load("a")  # the other tenant was active in the last period
     for _ in range(2):
-        shared.loop.start_period()
-    shared.loop.charge("a", shared.loop.capacity * 1.4)
-    assert not shared.loop.must_shed_load("a")
+        shared.loop_time.start_period()
+    shared.loop_time.charge("a", shared.loop_time.capacity * 1.4)
+    assert not shared.loop_time.must_shed_load("a")
 
 
 def test_no_load_is_shed_among_many_equally_busy_tenants() -> None:
     shared = Resources(Limits())
     for i in range(100):
-        shared.loop.register(f"t{i}", 1.0)
-        shared.loop.charge(f"t{i}", shared.loop.capacity * (0.015 if i % 2 else 0.012))
-    assert shared.loop.total_held > shared.loop.capacity
-    assert not any(shared.loop.must_shed_load(f"t{i}") for i in range(100))
+        shared.loop_time.register(f"t{i}", 1.0)
+        shared.loop_time.charge(f"t{i}", shared.loop_time.capacity * (0.015 if i % 2 else 0.012))
+    assert shared.loop_time.total_held > shared.loop_time.capacity
+    assert not any(shared.loop_time.must_shed_load(f"t{i}") for i in range(100))
 
 
 def test_loop_time_on_a_shared_connection_is_charged_per_request() -> None:
     async def scenario() -> None:
         async with Hosted("a", "b") as rig:
             rig.service._period_timer.cancel()
-            rig.service.resources.loop.start_period()
+            rig.service.resources.loop_time.start_period()
             submit = rig.service.core("a").submit
 
             def slow_submit(*args: object) -> object:
@@ -464,7 +464,7 @@
             client = await rig.connect()
             client.writer.write(request("a") + request("b"))
             assert [status(await client.read()) for _ in range(2)] == [200, 200]
-            loop = rig.service.resources.loop
+            loop = rig.service.resources.loop_time
             assert loop.held_by("a") >= 0.02 > loop.held_by("b") > 0
 
     on_loop(scenario)
@@ -485,25 +485,29 @@
 def test_tenant_is_over_share_in_this_period_and_the_next() -> None:
     shared = Resources(Limits())
     for name in "abc":
-        shared.loop.register(name, 1.0)
-    shared.loop.charge("a", 0.010)
-    assert not shared.loop.over_share("a")  # the only tenant
-    shared.loop.charge("b", 0.001)
-    assert shared.loop.over_share("a") and not shared.loop.over_share("b") and not shared.loop.over_share("c")
-    shared.loop.start_period()
-    assert shared.loop.over_share("a") and not shared.loop.over_share("b")
-    shared.loop.start_period()
-    assert not shared.loop.over_share("a")
+        shared.loop_time.register(name, 1.0)
+    shared.loop_time.charge("a", 0.010)
+    assert not shared.loop_time.over_share("a")  # the only tenant
+    shared.loop_time.charge("b", 0.001)
+    assert (
+        shared.loop_time.over_share("a")
+        and not shared.loop_time.over_share("b")
+        and not shared.loop_time.over_share("c")
+    )
+    shared.loop_time.start_period()
+    assert shared.loop_time.over_share("a") and not shared.loop_time.over_share("b")
+    shared.loop_time.start_period()
+    assert not shared.loop_time.over_share("a")
     for name in "abc":
-        shared.loop.charge(name, 0.010)
-    assert not any(shared.loop.over_share(name) for name in "abc")
+        shared.loop_time.charge(name, 0.010)
+    assert not any(shared.loop_time.over_share(name) for name in "abc")
 
 
 def test_input_of_a_tenant_over_its_share_is_deferred_and_answered_in_order() -> None:
     async def scenario() -> None:
         async with Hosted("a", "b") as rig:
             rig.service._period_timer.cancel()
-            rig.service.resources.loop._last_over_share = frozenset("a")
+            rig.service.resources.loop_time._last_over_share = frozenset("a")
             a_clients = [await rig.connect() for _ in range(20)]
             b_client = await rig.connect()
             for client in (*a_clients, b_client):
@@ -545,7 +549,7 @@
         async with Hosted("a") as rig:
             client = await rig.connect()
             assert status(await client.fetch(request("a"))) == 200
-            rig.service.resources.loop._last_over_share = frozenset("a")
+            rig.service.resources.loop_time._last_over_share = frozenset("a")
             rig.service._period_timer.cancel()
             (connection,) = rig.server.connections
             connection.data_received(request("a"))
