--- a/hillmux/hosted/core.py
+++ b/hillmux/hosted/core.py
@@ -276,7 +276,7 @@
             self.post(api.TimerFired("sweep"))
 
     def forget_if_finished(self, request: OpenRequest) -> None:
-        """Also return the request's shares once it is forgotten."""
+        """Also release the request's shares once it is removed."""
         held = request.id in self.requests
         super().forget_if_finished(request)
         if held and request.id not in self.requests:
--- a/hillmux/hosted/counts.py
+++ b/hillmux/hosted/counts.py
@@ -46,7 +46,7 @@
 
 
 class ScopedCounter:
-    """One tenant's view of the shared counter: adds the tenant's scope as a prefix to the names of counts."""
+    """One tenant's view of the shared counter: adds its scope to names in calls; replies omit it."""
 
     def __init__(self, shared: SharedCounter, scope: str, on_reply: ReplyCallback) -> None:
         self._shared, self._scope, self._callback = shared, scope, on_reply
--- a/hillmux/hosted/stats.py
+++ b/hillmux/hosted/stats.py
@@ -55,9 +55,9 @@
         self.rejected = 0  # invalid requests, among them those without a matching route
         self.refused: dict[str, int] = {}  # valid requests rejected, by cause (a fixed set)
         self.units = 0.0  # units of first attempts that were sent to a host
-        self.times = LatencyHistogram()  # of what was served, from its last byte to its answer
-        self.client_disconnects = 0  # whose client went away before its answer
-        self.faults = 0  # events that the tenant's module broke on
+        self.times = LatencyHistogram()  # served requests, from their last byte received to the answer
+        self.client_disconnects = 0  # requests whose client disconnected before the answer
+        self.faults = 0  # events on which the tenant's decision module raised
 
     def count_rejection(self, cause: str) -> None:
         """Count a valid request that was rejected."""
