--- a/hillmux/recovery/retention.py
+++ b/hillmux/recovery/retention.py
@@ -193,7 +193,7 @@
             return {**document, "hosts": _aged_hosts(document["hosts"], replacements[Section.HOST], age_ms)}
         case state_codec.CUSTOMERS:
             rows = [
-                [*row[:2], *_row(state_codec.USE, row[2:], replacements[Section.USE])]
+                [*row[:2], *_row(state_codec.QUOTA_STATE_KEYS, row[2:], replacements[Section.USE])]
                 for row in document["uses"]
             ]
             return {**document, "uses": rows}
@@ -212,10 +212,10 @@
 
 
 def _aged_hosts(hosts: dict[str, list[Any]], replaced: dict[str, Any], age_ms: float) -> dict[str, list[Any]]:
-    index = state_codec.HOST.index("slow")
+    index = state_codec.HOST_KEYS.index("slow")
     rows = {}
     for name, row in hosts.items():
-        aged = _row(state_codec.HOST, row, replaced)
+        aged = _row(state_codec.HOST_KEYS, row, replaced)
         aged[index] = 1.0 + (aged[index] - 1.0) * 0.5 ** (age_ms / LATENCY_RATIO_HALF_LIFE_MS)
         rows[name] = aged
     return rows
--- a/tests/hot_restart/test_state_codec.py
+++ b/tests/hot_restart/test_state_codec.py
@@ -1,4 +1,4 @@
-"""A decision module restores what another exported: it decides alike, or nothing is changed."""
+"""A module that restores exported state decides as its predecessor; invalid state changes nothing."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from hillmux import interface as api
 from hillmux.hot_restart import state_codec as state
 from hillmux.hot_restart.channel import MAX_PACKET_BYTES
-from hillmux.hot_restart.state_codec import AT_ONCE, MODULE, StateError, export, restore
+from hillmux.hot_restart.state_codec import MAX_ENTRIES_PER_DOCUMENT, MODULE, StateError, export, restore
 from hillmux.interface import ListKind, RejectReason
 from hillmux.quotas.registry import EVICTION_CANDIDATES
 
@@ -26,44 +26,46 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_restored_module_decides_as_its_predecessor_would_have(seed: int) -> None:
-    """The same requests at the same times, to the old module as if it went on and to its successor."""
+    """The same requests are sent at the same times to the old module and to its successor."""
     d = busy_gateway(seed, faults=False)
     new = successor_of(d)
     assert new.gateway.fleet.skipped_count() == d.gateway.fleet.skipped_count()
-    answers = []
+    decisions_by_module = []
     for module in (d, new):
         module.gateway.rng.seed(seed)
-        r, said = random.Random(seed), []
+        rng, decisions = random.Random(seed), []
         for i in range(200):
-            rid, out = module.ask("read", "capped", f"c{i % 7}", units=2, after=r.expovariate(1 / 20))
-            said.append([type(a).__name__ for a in out if isinstance(a, api.SendAttempt | api.Reject)])
+            rid, out = module.ask("read", "capped", f"c{i % 7}", units=2, after=rng.expovariate(1 / 20))
+            decisions.append([type(a).__name__ for a in out if isinstance(a, api.SendAttempt | api.Reject)])
             for _ in of(out, api.SendAttempt):
                 module.end(rid, after=1.0)
-        answers.append(said)
-    assert answers[0] == answers[1]
+        decisions_by_module.append(decisions)
+    assert decisions_by_module[0] == decisions_by_module[1]
 
 
 def test_old_and_new_process_together_stay_within_one_ceiling() -> None:
-    """The old one nothing, the new one what was left and what it earns; both together within the store."""
+    """The old module admits nothing; the new one admits the remaining units and those earned since."""
     d = busy_gateway()
     new = successor_of(d)
     d.give(api.TakenOver(True))
-    before, use = d.now, d.gateway.quotas.registry.states["c0", "capped"]
+    takeover_at, quota_state = d.now, d.gateway.quotas.registry.states["c0", "capped"]
     spent = 0
     for i in range(400):
         for module in (d, new):
-            module.now = before + 10 * i
+            module.now = takeover_at + 10 * i
             rid, out = module.ask("read", "capped", "c0", units=1)
             if of(out, api.SendAttempt):
                 assert module is new
                 spent += 1
                 module.end(rid)
-    rate, full = CAPPED.ceiling_rate / use.replicas, CAPPED.ceiling_burst / use.replicas
-    store = min(use.ceiling_remaining + (before - use.ceiling_at) / 1000 * rate, full)
-    assert store + 4.0 * rate - 2 <= spent <= store + 4.0 * rate
+    rate, burst = CAPPED.ceiling_rate / quota_state.replicas, CAPPED.ceiling_burst / quota_state.replicas
+    available = min(
+        quota_state.ceiling_remaining + (takeover_at - quota_state.ceiling_at) / 1000 * rate, burst
+    )
+    assert available + 4.0 * rate - 2 <= spent <= available + 4.0 * rate
 
 
-def test_resumed_process_spends_of_its_ceilings_again() -> None:
+def test_resumed_process_admits_from_its_ceilings_again() -> None:
     d = busy_gateway(faults=False)
     d.give(api.TakenOver(True))
     rid, out = d.ask("read", "capped", "new", units=1)
@@ -72,7 +74,7 @@
     assert of(d.ask("read", "capped", "new", units=1)[1], api.SendAttempt)
 
 
-def test_record_of_a_host_restarted_since_is_not_restored() -> None:
+def test_record_of_a_host_restarted_after_the_export_is_not_restored() -> None:
     d = busy_gateway()
     new = Driver(servers=6, seed=99, now=d.now, counter_available=False)
     new.give(api.EndpointList(ListKind.CHANGES, (server(2, started_at_ms=d.now),)))
@@ -91,18 +93,22 @@
     )
 
 
-def test_documents_are_of_bounded_size() -> None:
+def test_documents_have_bounded_size() -> None:
     d = Driver(servers=2, counter_available=False)
-    for i in range(3 * AT_ONCE):
+    for i in range(3 * MAX_ENTRIES_PER_DOCUMENT):
         d.ask("read", "open", f"{i:016x}")
-    d.give(api.EndpointList(ListKind.FULL, tuple(server(i, name=f"{i:0>200}") for i in range(3 * AT_ONCE))))
+    d.give(
+        api.EndpointList(
+            ListKind.FULL, tuple(server(i, name=f"{i:0>200}") for i in range(3 * MAX_ENTRIES_PER_DOCUMENT))
+        )
+    )
     documents = list(export(d.gateway))
     assert max(len(json.dumps(doc)) for doc in documents) < MAX_PACKET_BYTES
-    assert sum(len(doc.get("hosts", ())) for doc in documents) == 3 * AT_ONCE
-    assert sum(len(doc.get("uses", ())) for doc in documents) == 3 * AT_ONCE
+    assert sum(len(doc.get("hosts", ())) for doc in documents) == 3 * MAX_ENTRIES_PER_DOCUMENT
+    assert sum(len(doc.get("uses", ())) for doc in documents) == 3 * MAX_ENTRIES_PER_DOCUMENT
 
 
-def _spoilt() -> list[tuple[str, object]]:
+def _malformed_fields() -> list[tuple[str, object]]:
     return [
         ("version", 99),
         ("scalars", {"q": 1.0}),
@@ -118,7 +124,7 @@
     ]
 
 
-@pytest.mark.parametrize(("field", "value"), _spoilt())
+@pytest.mark.parametrize(("field", "value"), _malformed_fields())
 def test_malformed_documents_change_nothing(field: str, value: object) -> None:
     documents = exported_documents(busy_gateway().gateway)
     next(d for d in documents if d["t"] == (field if field == "hosts" else MODULE))[field] = value
@@ -156,30 +162,32 @@
 
 def test_exactly_one_module_document_is_required() -> None:
     documents = exported_documents(busy_gateway().gateway)
-    for some in (documents[1:], [documents[0], *documents]):
+    for malformed in (documents[1:], [documents[0], *documents]):
         with pytest.raises(StateError, match="one document"):
-            restore(Driver(servers=6).gateway, some)
+            restore(Driver(servers=6).gateway, malformed)
 
 
-def test_names_and_order_in_documents_are_those_of_the_first_version() -> None:
-    """An old and a new version hand over to each other by them, whatever the attributes are called."""
-    assert state.USE == (
+def test_document_keys_and_their_order_are_those_of_the_first_version() -> None:
+    """Processes of two versions read each other's documents, so attribute names must not affect them."""
+    assert state.QUOTA_STATE_KEYS == (
         "width", "widest", "window", "own", "added", "base", "base_own", "base_use", "base_at", "base_left",
         "most", "left", "left_at", "others", "luck", "seen", "ceiling", "ceiling_at",
     )  # fmt: skip
-    assert state.COUNTER == ("heard", "call_at")
-    assert set(state.USE_ATTRIBUTES) == set(state.USE) and set(state.COUNTER_ATTRIBUTES) == set(state.COUNTER)
-    assert len(set(state.USE_ATTRIBUTES.values())) == len(state.USE)
+    assert state.THROTTLE_KEYS == ("heard", "call_at")
+    assert set(state.QUOTA_STATE_ATTRIBUTES) == set(state.QUOTA_STATE_KEYS) and set(
+        state.THROTTLE_ATTRIBUTES
+    ) == set(state.THROTTLE_KEYS)
+    assert len(set(state.QUOTA_STATE_ATTRIBUTES.values())) == len(state.QUOTA_STATE_KEYS)
 
 
-def test_customer_row_is_written_in_the_order_of_the_stored_names() -> None:
+def test_customer_row_is_written_in_the_order_of_the_document_keys() -> None:
     d = Driver(servers=6)
     d.ask("read", "capped", "c0", units=2, width=3)
-    (known_state,) = d.gateway.quotas.registry.states.values()
+    (quota_state,) = d.gateway.quotas.registry.states.values()
     documents = list(export(d.gateway))
     (row,) = next(doc for doc in documents if doc["t"] == "customers")["uses"]
-    told = dict(zip(state.USE, row[2:], strict=True))
+    values = dict(zip(state.QUOTA_STATE_KEYS, row[2:], strict=True))
     assert row[:2] == ["c0", "capped"]
-    assert (told["width"], told["own"], told["added"]) == (3, known_state.used, known_state.reported)
-    assert (told["left"], told["luck"]) == (known_state.remaining, known_state.grant_ratio)
+    assert (values["width"], values["own"], values["added"]) == (3, quota_state.used, quota_state.reported)
+    assert (values["left"], values["luck"]) == (quota_state.remaining, quota_state.grant_ratio)
     assert next(doc for doc in documents if doc["t"] == MODULE)["scalars"]["heard"] == 1.0
--- a/tests/quotas/test_lease_records.py
+++ b/tests/quotas/test_lease_records.py
@@ -111,7 +111,7 @@
     fleet = GatewayFleet(3)
     drawn = fleet.draw(0)
     (row,) = next(doc for doc in export(fleet.gateways[0].gateway) if doc["t"] == "customers")["uses"]
-    told = dict(zip(documents.USE, row[2:], strict=True))
+    told = dict(zip(documents.QUOTA_STATE_KEYS, row[2:], strict=True))
     due = told["own"] - told["added"]
     assert due == pytest.approx(-drawn)
     assert sum(fleet.totals.values()) + due == pytest.approx(told["own"])
@@ -124,13 +124,18 @@
         "base_use": 7.0, "base_at": 0.0, "base_left": 15.0, "most": 15.0, "left": 15.0, "left_at": 0.0,
         "others": 0.0005, "luck": 1.0, "seen": 0.0, "ceiling": 0.0, "ceiling_at": 0.0,
     }  # fmt: skip
-    assert tuple(values) == documents.USE
+    assert tuple(values) == documents.QUOTA_STATE_KEYS
     fleet = GatewayFleet(3)
     for name in ("base_at", "left_at", "seen", "ceiling_at"):
         values[name] = fleet.now
     fleet.use_elsewhere(9.0)
     rows = [doc for doc in export(fleet.gateways[0].gateway) if doc["t"] != "customers"]
-    rows.append({"t": "customers", "uses": [[NAME, PLAN.name, *(values[name] for name in documents.USE)]]})
+    rows.append(
+        {
+            "t": "customers",
+            "uses": [[NAME, PLAN.name, *(values[name] for name in documents.QUOTA_STATE_KEYS)]],
+        }
+    )
     restore(fleet.gateways[0].gateway, json.loads(json.dumps(rows)))
     assert fleet.lease(0) == 0.0
     assert fleet.ask(0)
--- a/tests/recovery/test_retention.py
+++ b/tests/recovery/test_retention.py
@@ -25,7 +25,8 @@
 )
 
 PLACES = {
-    "scalars": state.SCALARS + state.COUNTER, "host": state.HOST, "use": state.USE,
+    "scalars": state.SCALAR_KEYS + state.THROTTLE_KEYS,
+    "host": state.HOST_KEYS, "use": state.QUOTA_STATE_KEYS,
     "cell": ("value", "work", "f", "r"), "head": ("latency", "warm_rate", "asked_at"), "sketch": ("text",),
 }  # fmt: skip
 # Made anew from the list, the settings or what is remembered, or of what is open: nothing to remember.
@@ -57,8 +58,8 @@
 @pytest.mark.parametrize(
     ("kind", "left_behind"),
     [
-        (Host, tuple(state.HOST_ATTRIBUTES[name] for name in state.HOST)),
-        (QuotaState, tuple(state.USE_ATTRIBUTES[name] for name in state.USE)),
+        (Host, tuple(state.HOST_ATTRIBUTES[name] for name in state.HOST_KEYS)),
+        (QuotaState, tuple(state.QUOTA_STATE_ATTRIBUTES[name] for name in state.QUOTA_STATE_KEYS)),
     ],
 )
 def test_every_field_of_a_host_and_a_customer_is_stored_or_derived(
