--- a/hillmux/hot_restart/channel.py
+++ b/hillmux/hot_restart/channel.py
@@ -1,7 +1,7 @@
-"""Packets of JSON, each with at most one file descriptor, between two processes of one gateway.
+"""Sends JSON packets, each with at most one file descriptor, between two processes of one gateway.
 
-A Unix socket of type SOCK_SEQPACKET keeps packets whole and in order; SCM_RIGHTS (unix(7)) carries a
-descriptor. Packets for which the other process has no room wait in a queue, which is bounded by the
+A Unix socket of type SOCK_SEQPACKET preserves packet boundaries and order; SCM_RIGHTS (unix(7)) passes a
+descriptor. While the socket's send buffer is full, packets wait in a queue, which is bounded by the number of
 connections and documents that this process holds.
 """
 
@@ -21,11 +21,11 @@
 MAX_PACKET_BYTES = 192 * 1024  # fits the system's default send buffer
 SOCKET_NAME = "hillmux.sock"
 BACKLOG = 4
-MAX_PACKETS_PER_WAKEUP = 64  # read in one turn of the event loop
+MAX_PACKETS_PER_WAKEUP = 64  # packets read in one iteration of the event loop
 
 
 class PacketChannel:
-    """One end of a conversation; closing it loses what waits to be sent."""
+    """One end of a connection between the two processes; closing it drops the packets still queued."""
 
     def __init__(
         self,
@@ -42,10 +42,12 @@
         loop.add_reader(sock, self._read)
 
     def send(self, packet: Packet, descriptor: int | None = None) -> None:
-        """Send a packet after those before it; takes the descriptor over and closes it once it is sent.
+        """Queue a packet, and send as many queued packets as the socket accepts.
+
+        The channel owns the descriptor from now on, and closes it once it is sent.
 
         Raises:
-            ValueError: the packet is longer than `MAX_PACKET_BYTES`.
+            ValueError: The packet is longer than `MAX_PACKET_BYTES`.
         """
         if not self.open:
             if descriptor is not None:
@@ -53,17 +55,17 @@
             return
         data = json.dumps(packet, separators=(",", ":")).encode()
         if len(data) > MAX_PACKET_BYTES:
-            raise ValueError(f"a packet of {len(data)} bytes")
+            raise ValueError(f"packet: found {len(data)} bytes, expected at most {MAX_PACKET_BYTES}")
         self._send_queue.append((data, descriptor))
         if len(self._send_queue) == 1:
             self._write()
 
     def all_sent(self) -> bool:
-        """Whether no packet waits to be sent."""
+        """Whether the send queue is empty."""
         return not self._send_queue
 
     def close(self) -> None:
-        """End the conversation."""
+        """Close the connection and the queued descriptors."""
         if not self.open:
             return
         self.open = False
@@ -107,7 +109,7 @@
                 return
             descriptor = descriptors[0] if descriptors else None
             packet = _decode(data) if not flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC) else None
-            if packet is None:  # the end of the stream, or no packet of this protocol
+            if packet is None:  # end of stream, or not a packet of this protocol
                 if descriptor is not None:
                     os.close(descriptor)
                 self._connection_lost()
@@ -130,7 +132,7 @@
 
 @contextlib.contextmanager
 def _socket_path(directory: str) -> Iterator[str]:
-    """A short path of the socket: an address holds 108 bytes (unix(7)), a directory's name may be longer."""
+    """Yield a short path of the socket: an address is limited to 108 bytes (unix(7)), a path is not."""
     descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{descriptor}/{SOCKET_NAME}"
@@ -139,10 +141,10 @@
 
 
 def listen(directory: str) -> socket.socket:
-    """Listen in a directory, in place of the process that listened there before.
+    """Listen in a directory, replacing the socket of the process that listened there before.
 
     Raises:
-        OSError: the socket cannot be bound.
+        OSError: The socket cannot be bound.
     """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
@@ -160,7 +162,7 @@
 
 
 def connect(directory: str) -> socket.socket | None:
-    """Connect to the process that listens in a directory; None if there is none of the same user."""
+    """Connect to the process that listens in a directory; None if none runs there as the same user."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
         with _socket_path(directory) as path:
@@ -175,6 +177,6 @@
 
 
 def is_same_user(sock: socket.socket) -> bool:
-    """Whether the other process runs as the same user: only such a one may receive clients' connections."""
+    """Whether the other process runs as the same user; no other user may receive clients' connections."""
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
     return bool(struct.unpack("3i", credentials)[1] == os.getuid())
--- a/hillmux/hot_restart/client.py
+++ b/hillmux/hot_restart/client.py
@@ -1,4 +1,4 @@
-"""The new process of a hot restart: it asks the running process for listener, state and connections."""
+"""The successor's side of a hot restart: receives the listener, the state and client connections."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from hillmux.hot_restart.channel import PacketChannel, connect
 from hillmux.hot_restart.packets import Packet, PacketKind
 
-HAND_OVER_TIMEOUT_S = 2.0
+HANDOVER_TIMEOUT_S = 2.0
 MAX_DOCUMENTS = 8192
 
 
-class HandedOver(NamedTuple):
-    """What the running process hands over before the new one serves."""
+class TransferredState(NamedTuple):
+    """What the running process transfers before the successor serves."""
 
     listener: int  # descriptor of the listening socket, owned by the receiver
-    documents: list[Packet]  # the state, as `state_codec.restore` reads it
+    documents: list[Packet]  # the state, in the form that `state_codec.restore` reads
 
 
 class HotRestartClient:
-    """A conversation with the running process."""
+    """A connection to the running process."""
 
     def __init__(
         self, sock: socket.socket, loop: asyncio.AbstractEventLoop, on_connection: Callable[[int], None]
@@ -38,37 +38,37 @@
     def connect(
         cls, directory: str, loop: asyncio.AbstractEventLoop, on_connection: Callable[[int], None]
     ) -> HotRestartClient | None:
-        """Connect to the process that serves; None if there is none.
+        """Connect to the running process; None if there is none.
 
-        `on_connection` gets the descriptor of each client's connection that it passes on.
+        `on_connection` is called with the descriptor of each client connection that is passed on.
         """
         sock = connect(directory)
         return None if sock is None else cls(sock, loop, on_connection)
 
-    async def request_state(self) -> HandedOver:
-        """Ask the running process to hand over.
+    async def request_state(self) -> TransferredState:
+        """Request the listener and the state from the running process.
 
         Raises:
-            OSError: it ended, or did not hand over in time.
+            OSError: It ended, or did not send them within `HANDOVER_TIMEOUT_S`.
         """
         self._channel.send(PacketKind.ASK.packet())
         try:
-            async with asyncio.timeout(HAND_OVER_TIMEOUT_S):
+            async with asyncio.timeout(HANDOVER_TIMEOUT_S):
                 await self._complete
         except TimeoutError:
             self.close()
-            raise OSError("the old process does not hand over") from None
+            raise OSError("the old process did not hand over in time") from None
         assert self._listener is not None
-        handed_over = HandedOver(self._listener, self._documents)
+        transferred = TransferredState(self._listener, self._documents)
         self._listener, self._documents = None, []
-        return handed_over
+        return transferred
 
     def announce_serving(self) -> None:
-        """Tell the running process that this one accepts connections."""
+        """Notify the running process that this process accepts connections."""
         self._channel.send(PacketKind.SERVING.packet())
 
     def close(self) -> None:
-        """End the conversation; unless told that this process serves, the other one goes on serving."""
+        """Close the connection; unless `announce_serving` was called, the running process resumes serving."""
         self._channel.close()
         if self._listener is not None:
             os.close(self._listener)
@@ -97,4 +97,4 @@
 
     def _connection_lost(self) -> None:
         if not self._complete.done():
-            self._complete.set_exception(OSError("the old process ended"))
+            self._complete.set_exception(OSError("the old process ended before its state was complete"))
--- a/hillmux/hot_restart/packets.py
+++ b/hillmux/hot_restart/packets.py
@@ -1,11 +1,11 @@
-"""The packets of a hot restart: a JSON object each, whose field `t` says what it is.
+"""The packets of a hot restart. Each is a JSON object whose field `t` is its type.
 
-    client -> server   ask          the new process could serve: hand over
+    client -> server   ask          the new process is able to serve, and requests the handover
     server -> client   listener     with the descriptor of the listening socket
     server -> client   documents    the state (`state_codec.py`), one document a packet
     server -> client   end          the state is complete
     client -> server   serving      the new process accepts connections
-    server -> client   connection   with the descriptor of a client's connection that carries no request
+    server -> client   connection   with the descriptor of a client connection that carries no request
 
 The names are fixed: processes of two versions exchange these packets.
 """
@@ -19,7 +19,7 @@
 
 
 class PacketKind(StrEnum):
-    """The packets that are no document."""
+    """The types of packets other than documents."""
 
     ASK = "ask"
     LISTENER = "listener"
@@ -28,5 +28,5 @@
     CONNECTION = "connection"
 
     def packet(self) -> Packet:
-        """A packet of this kind."""
+        """Return a packet of this type."""
         return {"t": self.value}
--- a/hillmux/hot_restart/server.py
+++ b/hillmux/hot_restart/server.py
@@ -1,11 +1,11 @@
-"""The running process of a hot restart: it waits for a successor and hands over to it.
-
-The new process connects once it could serve, and asks. The running one stops accepting, tells its decision
-module that it has been taken over, and sends its listening socket and state. The new one restores them,
-accepts connections and says so. Only then does the running process pass on the clients' connections that
-carry no request, and each of the others after its response. Connections not yet accepted and bytes not yet
-read are the new process's to read, so no client is rejected. Until the successor serves, the running
-process can resume, and does if the successor ends.
+"""The running process's side of a hot restart: waits for a successor process and hands over to it.
+
+The successor connects once it is able to serve, and requests the state. The running process stops accepting,
+notifies its decision module that another process takes over, and sends its listening socket and state. The
+successor restores them, accepts connections and announces that it serves. Only then does the running process
+pass on the client connections that carry no request, and each of the others after its response. Connections
+still in the backlog and bytes not yet read are left to the successor, so no client is rejected. If the
+successor ends before it serves, the running process resumes.
 """
 
 from __future__ import annotations
@@ -24,26 +24,26 @@
 
 
 class HandOver(NamedTuple):
-    """What a retiring process hands over before its successor serves."""
+    """What a retiring process transfers before its successor serves."""
 
-    listener: int  # a descriptor of the listening socket of its own
-    documents: Iterable[Packet]  # the state
+    listener: int  # a duplicate descriptor of the listening socket, owned by the receiver
+    documents: Iterable[Packet]  # the state, as `state_codec.export` yields it
 
 
 class RetiringProcess(Protocol):
-    """The running process, as the hot restart drives it."""
+    """The interface of the running process to the hot restart."""
 
     def hand_over(self) -> HandOver:
-        """Stop accepting and deciding; returns listener and state."""
+        """Stop accepting connections and deciding on new requests; returns listener and state."""
 
     def resume(self) -> None:
-        """Serve again: the successor ended before it served."""
+        """Serve again, after the successor ended before it served."""
 
     def on_successor_serving(self, successor: SuccessorProcess) -> None:
-        """The successor accepts connections; pass the clients' connections on to it."""
+        """Pass client connections on to the successor, which now accepts connections."""
 
     def on_successor_lost(self) -> None:
-        """The successor that served has ended; no more connections can be passed on."""
+        """Handle the end of a successor that served: no more connections can be passed on."""
 
 
 class SuccessorProcess:
@@ -53,7 +53,7 @@
         self._channel = channel
 
     def pass_connection(self, descriptor: int) -> None:
-        """Pass on a client's connection that carries no request; the descriptor is closed once it is sent."""
+        """Pass on a client connection that carries no request; the descriptor is closed once it is sent."""
         self._channel.send(PacketKind.CONNECTION.packet(), descriptor)
 
     def all_passed(self) -> bool:
@@ -62,25 +62,25 @@
 
 
 class HotRestartServer:
-    """Waits for a successor of this process, one at a time."""
+    """Accepts one successor of this process at a time."""
 
     def __init__(self, process: RetiringProcess, loop: asyncio.AbstractEventLoop) -> None:
         self._process, self._loop = process, loop
         self._listener: socket.socket | None = None
         self._channel: PacketChannel | None = None
-        self._asked = self._successor_serves = False
+        self._state_requested = self._successor_serves = False
 
     def start(self, directory: str) -> None:
-        """Listen in a directory, in place of a predecessor."""
+        """Listen in a directory, replacing the predecessor's socket; a failure is logged."""
         try:
             self._listener = listen(directory)
-        except OSError as error:  # clients are served all the same; only a hot restart is not possible
-            log.warning("hand-over: cannot listen in %s: %s", directory, error)
+        except OSError as error:  # the process can serve clients, but not be hot restarted
+            log.warning("hot restart: not available, cannot listen in %s: %s", directory, error)
             return
         self._loop.add_reader(self._listener, self._accept)
 
     def stop(self) -> None:
-        """Stop waiting for a successor."""
+        """Stop listening for a successor."""
         if self._listener is not None:
             self._loop.remove_reader(self._listener)
             self._listener.close()
@@ -101,14 +101,14 @@
         if descriptor is not None:
             os.close(descriptor)
         kind = packet.get("t")
-        if kind == PacketKind.ASK and not self._asked:
+        if kind == PacketKind.ASK and not self._state_requested:
             self._hand_over()
-        elif kind == PacketKind.SERVING and self._asked and not self._successor_serves:
+        elif kind == PacketKind.SERVING and self._state_requested and not self._successor_serves:
             self._retire()
 
     def _hand_over(self) -> None:
         assert self._channel is not None
-        self._asked = True
+        self._state_requested = True
         listener, documents = self._process.hand_over()
         self._channel.send(PacketKind.LISTENER.packet(), listener)
         for document in documents:
@@ -119,14 +119,14 @@
         assert self._channel is not None
         self._successor_serves = True
         self.stop()
-        log.info("another process serves: passing connections on")
+        log.info("hot restart: the successor serves; passing client connections on")
         self._process.on_successor_serving(SuccessorProcess(self._channel))
 
     def _connection_lost(self) -> None:
         self._channel = None
         if self._successor_serves:
             self._process.on_successor_lost()
-        elif self._asked:
-            self._asked = False
-            log.warning("the process that was to take over ended: going on")
+        elif self._state_requested:
+            self._state_requested = False
+            log.warning("hot restart: the successor ended before it served; resuming")
             self._process.resume()
