--- a/hillmux/recovery/__init__.py
+++ b/hillmux/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Coming back: what full service is, and how a fleet returns to it."""
+"""Recovery after a restart: snapshots, readiness, and the definition of full service."""
--- a/hillmux/recovery/commands.py
+++ b/hillmux/recovery/commands.py
@@ -41,19 +41,19 @@
 def inspect(path: Path) -> None:
     """Print whose it is, when it was taken, what it holds, and until when each item may be believed."""
     try:
-        found = read_snapshot(path)
+        contents = read_snapshot(path)
     except SnapshotError as error:
         click.echo(f"{path}: {error}", err=True)
         sys.exit(EXIT_INVALID)
-    for line in describe(found):
+    for line in describe(contents):
         click.echo(line)
 
 
 def read_snapshot(path: Path) -> Snapshot:
-    """The snapshot in a file.
+    """Read and decode a snapshot file.
 
     Raises:
-        SnapshotError: the file cannot be read, or holds no snapshot.
+        SnapshotError: The file cannot be read, or is not a snapshot.
     """
     try:
         return decode(path.read_bytes())
@@ -61,24 +61,24 @@
         raise SnapshotError(f"cannot be read: {error.strerror}") from None
 
 
-def describe(found: Snapshot) -> list[str]:
-    """A snapshot as lines of text for operators."""
-    header, owner = found.header, found.header.owner
+def describe(contents: Snapshot) -> list[str]:
+    """Describe a snapshot in lines of text for operators."""
+    header, owner = contents.header, contents.header.owner
     end = "exact: nothing was decided after it" if header.exact else "a process went on after it"
     return [
         f"gateway    {owner.name}, fleet {owner.fleet or '(none named)'}, plans {owner.plans}",
         f"written    {_utc(header.taken_ms)} by {header.incarnation}, its number {header.serial}",
         f"end        {end}",
-        f"holds      {_count(found, state_codec.HOSTS, 'hosts')} hosts,"
-        f" {_count(found, state_codec.CUSTOMERS, 'uses')} customers",
+        f"holds      {_count(contents, state_codec.HOSTS, 'hosts')} hosts,"
+        f" {_count(contents, state_codec.CUSTOMERS, 'uses')} customers",
         "",
         f"{'item':<16}{'believed until':<24}guards against",
         *(f"{rule.name:<16}{_retained_until(rule, header):<24}{rule.risk}" for rule in RETENTION_RULES),
     ]
 
 
-def _count(found: Snapshot, kind: str, field: str) -> int:
-    return sum(len(document[field]) for document in found.documents if document.get("t") == kind)
+def _count(contents: Snapshot, kind: str, field: str) -> int:
+    return sum(len(document[field]) for document in contents.documents if document.get("t") == kind)
 
 
 def _retained_until(rule: RetentionRule, header: SnapshotHeader) -> str:
--- a/hillmux/recovery/retention.py
+++ b/hillmux/recovery/retention.py
@@ -1,14 +1,13 @@
-"""What of a decision module's state the next process may restore, and for how long.
+"""Which parts of a decision module's state the next process may restore, and for how long.
 
-A process leaves documents (`hot_restart.state_codec`) when it ends. After a hot restart, or a graceful
+A process leaves its state as documents (`hot_restart.state_codec`). After a hot restart, or a graceful
 shutdown that wrote a final snapshot, they are exact: no decision was taken after them. A process that was
-killed took decisions after its last snapshot, and nobody knows which. So each rule states two times: how
-long a part of the state holds after a clean exit, and how long after a crash. Past that time it is replaced
-by the value of a fresh module, which is the harmless side: an empty ceiling, a host without a record, an
-admit fraction of 1.
+killed took unknown decisions after its last snapshot. So each rule states two retention times: one after a
+clean exit, one after a crash. An expired part is replaced by the value of a fresh module, which is the safe
+default: an empty ceiling, a host without a record, an admit fraction of 1.
 
-Every field of the documents belongs to exactly one rule; a test checks it, so a new field is not forgotten
-here. Free of I/O; times in milliseconds of Unix time.
+Every field of the documents belongs to exactly one rule; a test checks it, so that no new field is left out.
+Free of I/O; times are Unix time in ms.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 
 
 class Section(StrEnum):
-    """The part of the documents that a rule's fields stand in."""
+    """The part of the documents that a rule's fields belong to."""
 
     SCALARS = "scalars"
     HEAD = "head"
@@ -39,15 +38,15 @@
 
 @dataclass(slots=True, frozen=True)
 class RetentionRule:
-    """How long some fields of the state may be restored."""
+    """How long certain fields of the state may be restored."""
 
     name: str
     section: Section
     fields: tuple[str, ...]
     after_clean_exit_ms: float
     after_crash_ms: float
-    defaults: dict[str, Any]  # what replaces the fields afterwards, where no moment of now does
-    risk: str  # of restoring them for longer
+    defaults: dict[str, Any]  # values of expired fields, except times, which are set to the current time
+    risk: str  # the risk of restoring the fields for longer, as shown to operators
 
 
 RETENTION_RULES: tuple[RetentionRule, ...] = (
@@ -131,36 +130,44 @@
         "none: it only says that a ceiling began to fill later than at our birth",
     ),
 )  # fmt: skip
-# In a snapshot left by a crash nothing of a customer is retained that was not seen for so long before it.
-USE_AFTER_CRASH_MS = next(rule.after_crash_ms for rule in RETENTION_RULES if rule.name == "use by others")
+# A snapshot left by a crash holds no customer that was unseen for this long before it.
+MAX_UNSEEN_AFTER_CRASH_MS = next(
+    rule.after_crash_ms for rule in RETENTION_RULES if rule.name == "use by others"
+)
 
 
 class SnapshotContentError(ValueError):
-    """Documents that do not have the form in which `state_codec.export` writes them."""
+    """Documents that do not have the form that `state_codec.export` writes."""
 
 
 def is_worth_storing(seen_at_ms: float, expiry_ms: float, now_ms: float, exact: bool) -> bool:
     """Whether a snapshot needs a customer last seen at `seen_at_ms`.
 
-    A customer unseen for its plan's `expiry_ms` is known no better than a new one.
+    A customer unseen for its plan's `expiry_ms` is equivalent to a new one. `exact`: no decision is taken
+    after the snapshot.
     """
-    return now_ms - seen_at_ms < (expiry_ms if exact else USE_AFTER_CRASH_MS)
+    return now_ms - seen_at_ms < (expiry_ms if exact else MAX_UNSEEN_AFTER_CRASH_MS)
 
 
 def retained(
     documents: Iterable[dict[str, Any]], taken_ms: float, exact: bool, now_ms: float, started_at_ms: float
 ) -> list[dict[str, Any]]:
-    """Copies of the documents with all that may not be restored any more replaced by defaults.
+    """Return copies of the documents in which expired values are replaced by defaults.
 
-    `exact`: no decision was taken after `taken_ms`. `started_at_ms`: the start of the process that restores.
+    Args:
+        documents: The documents of a snapshot.
+        taken_ms: When the snapshot was taken.
+        exact: Whether no decision was taken after `taken_ms`.
+        now_ms: The current time.
+        started_at_ms: The start of the process that restores.
 
     Raises:
-        SnapshotContentError: the documents have another form.
+        SnapshotContentError: The documents do not have the form that `state_codec.export` writes.
     """
     age_ms = max(now_ms - taken_ms, 0.0)
     replacements = _replacements(age_ms, exact, now_ms, started_at_ms)
     try:
-        return [_aged(document, replacements, age_ms) for document in documents]
+        return [_retain(document, replacements, age_ms) for document in documents]
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
         raise SnapshotContentError(f"documents: {type(error).__name__}: {error}") from None
 
@@ -168,8 +175,8 @@
 def _replacements(
     age_ms: float, exact: bool, now_ms: float, started_at_ms: float
 ) -> dict[Section, dict[str, Any]]:
-    """The values that replace expired fields, by section; a field that has none keeps its value."""
-    moments: dict[Section, dict[str, Any]] = {
+    """The values that replace expired fields, by section; a field without such a value is kept."""
+    time_defaults: dict[Section, dict[str, Any]] = {
         Section.SCALARS: {"born": started_at_ms},
         Section.HOST: {"credit_at": now_ms},
         Section.USE: {"left_at": now_ms, "base_at": now_ms, "ceiling_at": now_ms},
@@ -178,22 +185,22 @@
     for rule in RETENTION_RULES:
         if age_ms < (rule.after_clean_exit_ms if exact else rule.after_crash_ms):
             continue
-        values = {**rule.defaults, **moments.get(rule.section, {})}
+        values = {**rule.defaults, **time_defaults.get(rule.section, {})}
         replacements[rule.section].update({name: values[name] for name in rule.fields if name in values})
     return replacements
 
 
-def _aged(
+def _retain(
     document: dict[str, Any], replacements: dict[Section, dict[str, Any]], age_ms: float
 ) -> dict[str, Any]:
     match document.get("t"):
         case state_codec.MODULE:
-            return _aged_module(document, replacements)
+            return _retain_module(document, replacements)
         case state_codec.HOSTS:
-            return {**document, "hosts": _aged_hosts(document["hosts"], replacements[Section.HOST], age_ms)}
+            return {**document, "hosts": _retain_hosts(document["hosts"], replacements[Section.HOST], age_ms)}
         case state_codec.CUSTOMERS:
             rows = [
-                [*row[:2], *_row(state_codec.QUOTA_STATE_KEYS, row[2:], replacements[Section.USE])]
+                [*row[:2], *_replace_values(state_codec.QUOTA_STATE_KEYS, row[2:], replacements[Section.USE])]
                 for row in document["uses"]
             ]
             return {**document, "uses": rows}
@@ -201,25 +208,27 @@
             return dict(document)
 
 
-def _aged_module(document: dict[str, Any], replacements: dict[Section, dict[str, Any]]) -> dict[str, Any]:
-    names, cell = ("value", "work", "f", "r"), replacements[Section.CELL]
+def _retain_module(document: dict[str, Any], replacements: dict[Section, dict[str, Any]]) -> dict[str, Any]:
+    cell_keys, replaced = ("value", "work", "f", "r"), replacements[Section.CELL]
     return {
         **document,
         "scalars": {**document["scalars"], **replacements[Section.SCALARS]},
         **replacements[Section.HEAD],
-        "cells": [[*row[:2], *_row(names, row[2:], cell)] for row in document["cells"]],
+        "cells": [[*row[:2], *_replace_values(cell_keys, row[2:], replaced)] for row in document["cells"]],
     }
 
 
-def _aged_hosts(hosts: dict[str, list[Any]], replaced: dict[str, Any], age_ms: float) -> dict[str, list[Any]]:
-    index = state_codec.HOST_KEYS.index("slow")
+def _retain_hosts(
+    hosts: dict[str, list[Any]], replaced: dict[str, Any], age_ms: float
+) -> dict[str, list[Any]]:
+    slow_index = state_codec.HOST_KEYS.index("slow")
     rows = {}
     for name, row in hosts.items():
-        aged = _row(state_codec.HOST_KEYS, row, replaced)
-        aged[index] = 1.0 + (aged[index] - 1.0) * 0.5 ** (age_ms / LATENCY_RATIO_HALF_LIFE_MS)
-        rows[name] = aged
+        values = _replace_values(state_codec.HOST_KEYS, row, replaced)
+        values[slow_index] = 1.0 + (values[slow_index] - 1.0) * 0.5 ** (age_ms / LATENCY_RATIO_HALF_LIFE_MS)
+        rows[name] = values
     return rows
 
 
-def _row(names: tuple[str, ...], row: list[Any], replaced: dict[str, Any]) -> list[Any]:
+def _replace_values(names: tuple[str, ...], row: list[Any], replaced: dict[str, Any]) -> list[Any]:
     return [replaced.get(name, value) for name, value in zip(names, row, strict=True)]
--- a/hillmux/recovery/snapshot_service.py
+++ b/hillmux/recovery/snapshot_service.py
@@ -1,5 +1,7 @@
-"""Snapshots of a running gateway: the previous one is taken at its start, new ones are written periodically
-and a final one at its end.
+"""Snapshots of a running gateway.
+
+The previous process's snapshot is loaded at the start, new ones are written periodically, and a final one at
+the end.
 """
 
 from __future__ import annotations
@@ -21,33 +23,33 @@
     SnapshotBuilder,
     SnapshotError,
     SnapshotHeader,
-    after_restore,
     check_usable,
     decode,
+    mark_restored,
 )
 from hillmux.recovery.snapshot_store import StateDirectory
 
 log = logging.getLogger(__name__)
 
-MAX_WRITING_SHARE = 0.1  # of the time: to a slow disk snapshots are written less often
+MAX_WRITING_SHARE = 0.1  # share of the time; snapshots are written less often to a slow disk
 
 ExportState = Callable[[bool], Iterator[dict[str, Any]]]
 
 
 @dataclass(slots=True, frozen=True)
 class SnapshotOwner:
-    """Whose snapshots these are; with the identity of the directory it makes the snapshot's `Identity`."""
+    """The owner of the snapshots; the directory's identity completes it to an `Identity`."""
 
-    name: str  # of the gateway
+    name: str  # name of the gateway
     fleet: str
     plans: str  # digest of the plans
 
 
 class SnapshotService:
-    """The snapshots of one process.
+    """Loads and writes the snapshots of one process.
 
     `export_state` yields the decision module's state in documents of bounded size: all of it for a final
-    snapshot (True), else what may still be restored after a crash.
+    snapshot (True), otherwise only what may be restored after a crash.
     """
 
     def __init__(
@@ -63,91 +65,93 @@
         self._directory, self._interval_s, self._owner = StateDirectory(directory), interval_s, owner
         self._export_state, self._now_ms, self._loop = export_state, now_ms, loop
         self._max_bytes = max_bytes
-        self._identity: Identity | None = None  # once this process holds the directory's lock
+        self._identity: Identity | None = None  # set once this process holds the directory's lock
         self._incarnation, self._serial = secrets.token_hex(8), 0
-        self._previous_taken = False
+        self._previous_loaded = False
         self._task: asyncio.Task[None] | None = None
         self._write_lock, self._stopped = threading.Lock(), False
         self._last_warning = ""
 
-    def take_previous(self) -> Snapshot | None:
-        """The snapshot of the previous process, if this one may restore it; else the log says why not.
+    def load_previous(self) -> Snapshot | None:
+        """Return the snapshot of the previous process, or None if there is none that may be restored.
 
-        It stays for the next start until this process has written its own, but is no longer exact: what was
-        decided after it is unknown from now on. One that cannot be restored is set aside.
+        It stays on disk for the next start until this process has written its own, but is marked as not
+        exact, since this process takes decisions after it. A snapshot that must not be restored is logged
+        and quarantined.
         """
         if not self._lock_directory():
-            log.info("snapshots: another process has %s: nothing is taken from it", self._directory.path)
+            log.info("snapshots: nothing restored, another process has locked %s", self._directory.path)
             return None
-        if self._previous_taken:
+        if self._previous_loaded:
             return None
-        self._previous_taken = True
+        self._previous_loaded = True
         try:
             data = self._directory.read()
             if data is None:
                 log.info("snapshots: none in %s", self._directory.path)
                 return None
-            return self._usable(data)
+            return self._decode_and_mark(data)
         except SnapshotError as error:
-            log.warning("snapshots: left, nothing of it is believed: %s", error)
-            self.set_previous_aside()
+            log.warning("snapshots: unusable, nothing restored: %s", error)
+            self.quarantine_previous()
         except OSError as error:
-            log.warning("snapshots: left, nothing of it is believed: %s", error)
+            log.warning("snapshots: unusable, nothing restored: %s", error)
         return None
 
-    def _usable(self, data: bytes) -> Snapshot:
-        """The snapshot in these bytes, which are marked as restored.
+    def _decode_and_mark(self, data: bytes) -> Snapshot:
+        """Decode and check a snapshot, and mark it as restored on disk.
 
         Raises:
-            SnapshotError: it must not be restored.
-            OSError: it can neither be marked nor set aside: the next start would take it for exact.
+            SnapshotError: It must not be restored.
+            OSError: It can be neither marked nor quarantined, so the next start would treat it as exact.
         """
         assert self._identity is not None
         snapshot = decode(data)
         check_usable(snapshot.header, self._identity, self._now_ms())
         try:
-            self._directory.write(after_restore(data, snapshot.header))
+            self._directory.write(mark_restored(data, snapshot.header))
         except OSError:
-            self._directory.set_aside()
+            self._directory.quarantine()
         return snapshot
 
-    def set_previous_aside(self) -> None:
-        """The documents of the previous snapshot cannot be restored, by no start."""
-        self._run_logged(self._directory.set_aside)
+    def quarantine_previous(self) -> None:
+        """Quarantine the previous snapshot, whose documents cannot be restored."""
+        self._run_logged(self._directory.quarantine)
 
     def retained(self, snapshot: Snapshot, started_at_ms: float) -> list[dict[str, Any]]:
-        """What a process that started at `started_at_ms` may restore now.
+        """Return the documents with what a process that started at `started_at_ms` may restore now.
 
         Raises:
-            SnapshotContentError: the documents have another form.
+            SnapshotContentError: The documents do not have the form that `state_codec.export` writes.
         """
         header = snapshot.header
         return retained(snapshot.documents, header.taken_ms, header.exact, self._now_ms(), started_at_ms)
 
     def start(self) -> None:
-        """Begin to write snapshots in the background."""
+        """Start writing snapshots periodically in the background."""
         self._task = self._loop.create_task(self._write_periodically())
 
     def write_final(self) -> None:
-        """After the last decision: write a final snapshot at once, and unlock the directory."""
+        """Write a final snapshot and unlock the directory; call it after the last decision."""
         self._stop_writing()
         if self._lock_directory():
             builder = SnapshotBuilder(self._max_bytes)
             for document in self._export_state(True):
                 builder.add(document)
-            # An omitted customer would be new to a process that restores an exact snapshot with its birth:
-            # its ceiling would be full again. So a snapshot that omits any is not exact.
+            # A process that restores an exact snapshot also restores the start time, from which the ceiling
+            # of an unknown customer is earned: the ceiling of an omitted one would be full again. So a
+            # snapshot that omits any is not exact.
             data = self._encode(builder, exact=not builder.omitted_documents)
             with self._write_lock:
                 self._run_logged(lambda: self._directory.write(data))
         self._directory.close()
 
-    def abandon(self) -> None:
-        """After another process has taken over: write no more, and leave no snapshot to restore."""
+    def discard(self) -> None:
+        """Stop writing and quarantine the last snapshot; call it after another process has taken over."""
         self._stop_writing()
         if self._identity is not None:
             with self._write_lock:
-                self._run_logged(self._directory.set_aside)
+                self._run_logged(self._directory.quarantine)
         self._directory.close()
 
     def _stop_writing(self) -> None:
@@ -157,7 +161,7 @@
             self._task = None
 
     def _lock_directory(self) -> bool:
-        """Whether this process holds the directory; it cannot before the previous process has ended."""
+        """Lock the directory if the previous process has unlocked it; returns whether this one holds it."""
         if self._identity is not None:
             return True
         try:
@@ -182,13 +186,13 @@
                 if builder.omitted_documents:
                     break
                 builder.add(document)
-                await asyncio.sleep(0)  # requests are served between two documents
+                await asyncio.sleep(0)  # lets the event loop serve requests between two documents
             data = self._encode(builder, exact=False)
             await self._loop.run_in_executor(None, self._write, data)
             wait_s = max(self._interval_s, (self._loop.time() - started_at) / MAX_WRITING_SHARE)
 
     def _write(self, data: bytes) -> None:
-        """Write in a worker thread, unless the final snapshot, which must stand, was written meanwhile."""
+        """Write in a worker thread, unless writing has stopped: the final snapshot must not be replaced."""
         with self._write_lock:
             if not self._stopped:
                 self._run_logged(lambda: self._directory.write(data))
@@ -206,10 +210,10 @@
         except FileNotFoundError:
             self._warn_once("")  # there was no snapshot to set aside
         except OSError as error:
-            self._warn_once(f"not written, the last one stands: {error}")
+            self._warn_once(f"cannot be written, the last one is kept: {error}")
 
     def _warn_once(self, text: str) -> None:
-        """Log a fault when it changes, not at each write; "" when there is none any more."""
+        """Log a fault once, not at each write; "" means that the last operation succeeded."""
         if text != self._last_warning:
             self._last_warning = text
-            log.warning("snapshots: %s", text or "written again")
+            log.warning("snapshots: %s", text or "writes succeed again")
--- a/hillmux/recovery/snapshot_store.py
+++ b/hillmux/recovery/snapshot_store.py
@@ -1,8 +1,8 @@
-"""The directory of a gateway's snapshots: locked by one process, with one complete snapshot at any time.
+"""The directory of a gateway's snapshots: locked by one process, with at most one snapshot, always complete.
 
-The lock is the kernel's (flock(2)), so a process that died holds none. A snapshot is written to a file beside
-the old one, synced and renamed over it (rename(2)), and the directory is synced: a machine that stops at any
-point leaves one complete file.
+The lock is the kernel's (flock(2)), so it ends with its process. A snapshot is written to a temporary file,
+synced and renamed over the old one (rename(2)), and the directory is synced: a machine that stops at any
+point leaves either the old or the new file, complete.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from hillmux.recovery.snapshot_format import MAX_DOCUMENT_BYTES, MAX_HEADER_BYTES, SnapshotError
 
-SNAPSHOT_NAME, PARTIAL_NAME, SET_ASIDE_NAME, LOCK_NAME, IDENTITY_NAME = (
+SNAPSHOT_NAME, PARTIAL_NAME, QUARANTINE_NAME, LOCK_NAME, IDENTITY_NAME = (
     "snapshot",
     "snapshot.next",
     "snapshot.taken",
@@ -33,10 +33,10 @@
         self._lock: int | None = None
 
     def lock(self) -> bool:
-        """Lock the directory, creating it if needed; False while another process holds it.
+        """Lock the directory, creating it if needed; returns False while another process holds the lock.
 
         Raises:
-            OSError: it cannot be created or opened.
+            OSError: The directory cannot be created or opened.
         """
         if self._lock is not None:
             return True
@@ -57,22 +57,20 @@
             self._lock = None
 
     def id(self) -> str:
-        """An identity that a copy of the directory does not have: a random mark and the inode of its file."""
+        """An identity that a copy of the directory does not share: a random text and its file's inode."""
         path = self.path / IDENTITY_NAME
         with contextlib.suppress(FileExistsError):
             self._write_new(path, secrets.token_hex(16).encode())
         with path.open("rb") as file:
-            found = os.fstat(file.fileno())
-            return (
-                f"{file.read(MAX_IDENTITY_BYTES).decode(errors='replace')}.{found.st_dev:x}.{found.st_ino:x}"
-            )
+            stat = os.fstat(file.fileno())
+            return f"{file.read(MAX_IDENTITY_BYTES).decode(errors='replace')}.{stat.st_dev:x}.{stat.st_ino:x}"
 
     def read(self) -> bytes | None:
         """The bytes of the snapshot; None if there is none.
 
         Raises:
-            SnapshotError: it is larger than any that is written.
-            OSError: it cannot be read.
+            SnapshotError: It is larger than the size limit of snapshots.
+            OSError: It cannot be read.
         """
         try:
             with (self.path / SNAPSHOT_NAME).open("rb") as file:
@@ -80,23 +78,23 @@
         except FileNotFoundError:
             return None
         if len(data) > MAX_DOCUMENT_BYTES + MAX_HEADER_BYTES:
-            raise SnapshotError(f"size: found over {MAX_DOCUMENT_BYTES + MAX_HEADER_BYTES} bytes")
+            raise SnapshotError(f"size: found more than {MAX_DOCUMENT_BYTES + MAX_HEADER_BYTES} bytes")
         return data
 
-    def set_aside(self) -> None:
-        """Rename the snapshot, so that no process restores it; it stays for inspection.
+    def quarantine(self) -> None:
+        """Rename the snapshot so that no process restores it; it is kept for inspection.
 
         Raises:
-            OSError: that failed; then the snapshot must not be restored.
+            OSError: The rename failed; the caller must not restore the snapshot.
         """
-        os.replace(self.path / SNAPSHOT_NAME, self.path / SET_ASIDE_NAME)
+        os.replace(self.path / SNAPSHOT_NAME, self.path / QUARANTINE_NAME)
         self._sync()
 
     def write(self, data: bytes) -> None:
         """Replace the snapshot durably.
 
         Raises:
-            OSError: the old one stands unchanged.
+            OSError: The write failed; the old snapshot is unchanged.
         """
         path = self.path / PARTIAL_NAME
         path.unlink(missing_ok=True)
@@ -109,7 +107,7 @@
         file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
         try:
             unwritten = memoryview(data)
-            while unwritten:  # a write may be short
+            while unwritten:  # os.write may write less than it is given
                 unwritten = unwritten[os.write(file, unwritten) :]
             os.fsync(file)
         finally:
--- a/hillmux/recovery/snapshotting_gateway.py
+++ b/hillmux/recovery/snapshotting_gateway.py
@@ -1,4 +1,4 @@
-"""The platform's gateway with snapshots: it restores the last one, and reports how far it has recovered."""
+"""The platform's gateway with snapshots: restores the last one, and reports its phase of recovery."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 log = logging.getLogger(__name__)
 
 READINESS_INTERVAL_S = 0.25
-STALL_MEMORY_MS = 1_000.0  # how long a stall counts after its end
+STALL_MEMORY_MS = 1_000.0  # how long after its end a stall is reported as a cause
 
 
 class SnapshottingGateway(ManagedGateway):
-    """A managed gateway with snapshots and a phase of recovery."""
+    """A managed gateway that restores and writes snapshots and observes its phase of recovery."""
 
     def __init__(self, config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config, loop)
@@ -52,15 +52,15 @@
         now_ms, expiry_ms = self.clock.now_ms(), self.decision_module.quotas.registry.rest_ms
         return export(
             self.decision_module,
-            lambda use: is_worth_storing(use.seen_at, expiry_ms[use.plan.name], now_ms, exact),
+            lambda state: is_worth_storing(state.seen_at, expiry_ms[state.plan.name], now_ms, exact),
         )
 
     async def open(self, server: Listener[Any], address: tuple[str, int]) -> list[tuple[str, int]]:
-        """Also restore the snapshot of the previous process before clients are accepted."""
-        snapshot = self._snapshots.take_previous()
+        """Extends `open`: restores the snapshot of the previous process before clients are accepted."""
+        snapshot = self._snapshots.load_previous()
         if snapshot is not None:
-            # Hosts that no list names yet are not restored, so the endpoint list comes first.
-            await self._until_servable()
+            # Only hosts in the endpoint list are restored, so the list has to be there first.
+            await self._wait_until_servable()
             restored = self._restore(snapshot)
         listening = await super().open(server, address)
         if snapshot is not None and restored:
@@ -69,39 +69,39 @@
         self._observe()
         return listening
 
-    async def _until_servable(self) -> None:
+    async def _wait_until_servable(self) -> None:
         end = self.loop.time() + READY_TIMEOUT_S
         while not self.could_serve() and self.loop.time() < end:
             await asyncio.sleep(0.02)
 
     def _restore(self, snapshot: Snapshot) -> bool:
-        """Restore what may be restored; whether the documents could be read."""
+        """Restore what may be restored; returns False if the documents are malformed."""
         try:
             restore(self.decision_module, self._snapshots.retained(snapshot, self._started_at_ms))
         except (StateError, SnapshotContentError) as error:
-            log.warning("snapshots: left, nothing of it is believed: %s", error)
-            self._snapshots.set_previous_aside()
+            log.warning("snapshots: unusable, nothing restored: %s", error)
+            self._snapshots.quarantine_previous()
             return False
         return True
 
     def _log_restored(self, header: SnapshotHeader) -> None:
         log.info(
-            "snapshots: going on from %s, %.1f s old, %s",
+            "snapshots: restored the state of process %s, %.1f s old, %s",
             header.incarnation,
             (self.clock.now_ms() - header.taken_ms) / 1000,
-            "exact" if header.exact else "a process went on after it",
+            "exact" if header.exact else "not exact",
         )
 
     def stop(self) -> None:
-        """Also write the final snapshot, unless a successor serves."""
+        """Extends `stop`: writes the final snapshot, unless a successor serves."""
         super().stop()
         if not self._successor_serves:
             self._snapshots.write_final()
 
     def on_successor_serving(self, successor: SuccessorProcess) -> None:
-        """Also stop writing snapshots, and set the last one aside."""
+        """Extends the base method: stops writing snapshots, and quarantines the last one."""
         self._successor_serves = True
-        self._snapshots.abandon()
+        self._snapshots.discard()
         super().on_successor_serving(successor)
 
     # Readiness
@@ -111,7 +111,7 @@
         return self._readiness.current.text()
 
     def metrics_by_name(self) -> dict[str, object]:
-        """All metrics, the phase, its causes, and the seconds that the recovery took (None so far)."""
+        """All metrics, the phase, its causes, and the duration of the recovery in s, or None."""
         recovery_ms = self._readiness.recovery_ms
         return {
             **super().metrics_by_name(),
@@ -129,7 +129,7 @@
         self.loop.call_later(READINESS_INTERVAL_S, self._observe)
 
     def _condition(self, now_ms: float, late: bool) -> GatewayCondition:
-        """What the gateway sees of itself; `late`: this observation comes after a stall of the process."""
+        """The gateway's current condition; `late`: this observation comes after a stall of the process."""
         gateway, fleet, throttle = (
             self.decision_module,
             self.decision_module.fleet,
@@ -149,7 +149,7 @@
         )
 
     def post(self, event: api.Event) -> None:
-        """Also count ended attempts, by which readiness is judged."""
+        """Extends `post`: counts ended attempts, which readiness depends on."""
         if isinstance(event, api.AttemptEnded):
             self._outcomes += 1
         super().post(event)
--- a/tests/recovery/test_fleet_restart.py
+++ b/tests/recovery/test_fleet_restart.py
@@ -1,4 +1,4 @@
-"""Several real processes with snapshots, killed and started together: nothing stale is believed."""
+"""Several gateway processes with snapshots are killed and restarted together: nothing stale is restored."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     })  # fmt: skip
 
 
-def said(result: Result, who: str) -> list[str]:
+def snapshot_log(result: Result, who: str) -> list[str]:
     return [e["text"] for e in record.read(result.folder) if e["ev"] == "snapshots" and e["who"] == who]
 
 
 def test_killed_gateways_restore_their_snapshots_and_exceed_no_ceiling(tmp_path: Path) -> None:
-    """Killed twice under customers that press on their ceilings: what a snapshot says of one is not spent."""
+    """Killed twice while customers use up their ceilings; ceilings in a snapshot must not be used again."""
     result = play(fleet(
         {"at_s": 1.6, "what": "kill", "who": "75% of gateways", "name": "herd"},
         {"at_s": 1.7, "what": "start", "who": "@herd", "how": "kept"},
@@ -41,14 +41,14 @@
     killed = {e["who"] for e in record.read(result.folder) if e["ev"] == "kill"}
     assert len(killed) == 3
     for who in killed:
-        lines = said(result, who)
-        up = sum(e["ev"] == "listens" and e["who"] == who for e in record.read(result.folder))
-        assert lines[0].startswith("none in ") and len(lines) == up > 1
-        assert all(" s old, a process went on after it" in line for line in lines[1:])
+        lines = snapshot_log(result, who)
+        starts = sum(e["ev"] == "listens" and e["who"] == who for e in record.read(result.folder))
+        assert lines[0].startswith("none in ") and len(lines) == starts > 1
+        assert all(" s old, not exact" in line for line in lines[1:])
 
 
 def test_gateway_killed_before_its_first_snapshot_leaves_the_previous_one(tmp_path: Path) -> None:
-    """Guards against a crash loop in which each start but the first comes back with nothing."""
+    """Guards against a crash loop in which only the first restart finds a snapshot."""
     scenario = fleet(
         {"at_s": 2.0, "what": "kill", "who": "gateway:1"},
         {"at_s": 2.1, "what": "start", "who": "gateway:1", "how": "kept"},
@@ -56,43 +56,45 @@
         {"at_s": 4.0, "what": "start", "who": "gateway:1", "how": "kept"},
         length_s=6.0, rules=("answered", "effects", "ceilings"),
     )  # fmt: skip
-    seldom = scenario.model_copy(update={"fleet": scenario.fleet.model_copy(update={"snapshots_ms": 1900})})
-    result = play(seldom, tmp_path / "run")
+    rare_snapshots = scenario.model_copy(
+        update={"fleet": scenario.fleet.model_copy(update={"snapshots_ms": 1900})}
+    )
+    result = play(rare_snapshots, tmp_path / "run")
     held(result)
-    _, *later = said(result, "g1")
-    assert len(later) == 2 and all(line.endswith(", a process went on after it") for line in later)
+    _, *restores = snapshot_log(result, "g1")
+    assert len(restores) == 2 and all(line.endswith(", not exact") for line in restores)
 
 
 def test_graceful_shutdown_leaves_a_final_snapshot_that_is_restored_once(tmp_path: Path) -> None:
     result = play(fleet(
         {"at_s": 1.0, "what": "term", "who": "gateway:1"},
         {"at_s": 1.1, "what": "start", "who": "gateway:1", "how": "kept"},
-        {"at_s": 6.2, "what": "kill", "who": "gateway:1"},  # before it writes its first
+        {"at_s": 6.2, "what": "kill", "who": "gateway:1"},  # before its first snapshot
         length_s=7.0, rules=("answered", "effects", "ceilings"),
     ), tmp_path / "run")  # fmt: skip
     held(result)
-    none, exact = said(result, "g1")
-    assert none.startswith("none in ") and exact.endswith(", exact")
+    first_start, restart = snapshot_log(result, "g1")
+    assert first_start.startswith("none in ") and restart.endswith(", exact")
 
 
 @pytest.mark.parametrize(
-    ("how", "why"), [("torn", "size: found"), ("flipped", "digest: the documents are damaged"),
+    ("how", "reason"), [("torn", "size: found"), ("flipped", "digest: the documents are damaged"),
                      ("twin", "name: found 'g2', expected 'g1'")],
 )  # fmt: skip
-def test_damaged_or_foreign_snapshot_is_logged_and_not_restored(tmp_path: Path, how: str, why: str) -> None:
+def test_damaged_or_foreign_snapshot_is_logged_and_not_restored(
+    tmp_path: Path, how: str, reason: str
+) -> None:
     result = play(fleet(
         {"at_s": 1.6, "what": "kill", "who": "gateway:1"},
         {"at_s": 1.7, "what": "start", "who": "gateway:1", "how": how},
         length_s=4.0, rules=("answered", "effects", "ceilings"),
     ), tmp_path / "run")  # fmt: skip
     held(result)
-    told = said(result, "g1")[1]
-    assert told.startswith("left, nothing of it is believed: ") and why in told
+    line = snapshot_log(result, "g1")[1]
+    assert line.startswith("unusable, nothing restored: ") and reason in line
 
 
-def test_counter_that_loses_its_totals_opens_no_ceiling(
-    tmp_path: Path,
-) -> None:
+def test_counter_that_loses_its_totals_lets_no_ceiling_be_exceeded(tmp_path: Path) -> None:
     result = play(fleet(
         {"at_s": 1.6, "what": "kill", "who": "75% of gateways", "name": "herd"},
         {"at_s": 1.6, "what": "counter_stop"},
@@ -110,7 +112,7 @@
 def test_gateway_started_with_a_cached_list_and_silent_discovery_serves_and_learns(
     tmp_path: Path, how: str
 ) -> None:
-    """Its list names hosts that have gone, and others at each other's addresses, all of them cold by now."""
+    """The list names a removed host and hosts that have swapped addresses; all of them are cold."""
     result = play(fleet(
         {"at_s": 1.0, "what": "silence", "who": "gateway:1"},
         {"at_s": 1.2, "what": "kill", "who": "gateway:1"},
@@ -122,12 +124,12 @@
     ), tmp_path / "run")  # fmt: skip
     held(result)
     events = list(record.read(result.folder))
-    back = next(e["t"] for e in events if e["ev"] == "ready" and e["who"] == "g1" and e["t"] > result.t0)
-    spoke = result.t0 + 4500
-    sent = [e for e in events if e["ev"] == "got" and e["gw"] == "g1" and e["t"] > back]
-    assert any(e["t"] < spoke for e in sent) and any(e["t"] > spoke for e in sent)
+    ready_at = next(e["t"] for e in events if e["ev"] == "ready" and e["who"] == "g1" and e["t"] > result.t0)
+    discovery_back_at = result.t0 + 4500
+    sent = [e for e in events if e["ev"] == "got" and e["gw"] == "g1" and e["t"] > ready_at]
+    assert any(e["t"] < discovery_back_at for e in sent) and any(e["t"] > discovery_back_at for e in sent)
     assert result.figures.fell == 0
-    started = next(e["t"] for e in events if e["ev"] == "start" and e["who"] == "g1" and e["t"] > result.t0)
-    phases = [e["text"] for e in events if e["ev"] == "phase" and e["who"] == "g1" and e["t"] > started]
-    silent = "learning: discovery has not answered: hosts are those of the kept list"
-    assert phases[0].startswith(silent) and not phases[-1].startswith(silent)
+    start_at = next(e["t"] for e in events if e["ev"] == "start" and e["who"] == "g1" and e["t"] > result.t0)
+    phases = [e["text"] for e in events if e["ev"] == "phase" and e["who"] == "g1" and e["t"] > start_at]
+    without_discovery = "learning: discovery has not answered: hosts are those of the kept list"
+    assert phases[0].startswith(without_discovery) and not phases[-1].startswith(without_discovery)
--- a/tests/recovery/test_readiness.py
+++ b/tests/recovery/test_readiness.py
@@ -1,4 +1,4 @@
-"""The phase of recovery that a gateway reports."""
+"""The phase of recovery that a gateway reports, and its causes."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from hillmux.recovery.readiness import FULL_AFTER_CLEAR_MS, GatewayCondition, Phase, ReadinessTracker
 
-WELL = GatewayCondition(True, True, True, 100, 1.0, 20, 0, 0, False)
+CLEAR = GatewayCondition(True, True, True, 100, 1.0, 20, 0, 0, False)
 
 
 def phases_after(tracker: ReadinessTracker, *observations: tuple[float, GatewayCondition]) -> list[Phase]:
-    names = []
+    phases = []
     for now_ms, condition in observations:
         tracker.update(now_ms, condition)
-        names.append(tracker.current.phase)
-    return names
+        phases.append(tracker.current.phase)
+    return phases
 
 
 @pytest.mark.parametrize(
@@ -30,31 +30,35 @@
      ({"warming_hosts": 2, "ejected_hosts": 1}, Phase.RAMPING, "of 20 hosts 2 are cold and 1 fail"),
      ({"stalled": True}, Phase.RAMPING, "it stood still")],
 )  # fmt: skip
-def test_each_cause_keeps_its_phase_and_is_named(
+def test_each_cause_keeps_the_gateway_in_its_phase_and_is_reported(
     changes: dict[str, object], phase: Phase, cause: str
 ) -> None:
     tracker = ReadinessTracker(0)
-    assert phases_after(tracker, *((t, replace(WELL, **changes)) for t in (0, 10_000, 60_000))) == [phase] * 3
+    assert (
+        phases_after(tracker, *((t, replace(CLEAR, **changes)) for t in (0, 10_000, 60_000))) == [phase] * 3
+    )
     assert cause in tracker.current.text() and tracker.recovery_ms is None
 
 
 def test_gateway_is_full_once_no_cause_holds_for_5_s_and_reports_the_recovery_time() -> None:
     tracker = ReadinessTracker(0)
-    cold = replace(WELL, warming_hosts=10)
+    warming = replace(CLEAR, warming_hosts=10)
     assert (
-        phases_after(tracker, (0, cold), (3000, WELL), (3000 + FULL_AFTER_CLEAR_MS - 1, WELL))
+        phases_after(tracker, (0, warming), (3000, CLEAR), (3000 + FULL_AFTER_CLEAR_MS - 1, CLEAR))
         == [Phase.RAMPING] * 3
     )
-    assert tracker.update(3000 + FULL_AFTER_CLEAR_MS, WELL)
+    assert tracker.update(3000 + FULL_AFTER_CLEAR_MS, CLEAR)
     assert (tracker.current.text(), tracker.recovery_ms) == (Phase.FULL, 3000)
 
 
 def test_returning_cause_restarts_the_wait() -> None:
     tracker = ReadinessTracker(0)
-    half = replace(WELL, admit_fraction=0.5)
+    shedding = replace(CLEAR, admit_fraction=0.5)
     end = 4500 + FULL_AFTER_CLEAR_MS
-    names = phases_after(tracker, (0, WELL), (4000, half), (4500, WELL), (end - 1, WELL), (end, WELL))
-    assert names == [Phase.RAMPING] * 4 + [Phase.FULL] and tracker.recovery_ms == 4500
+    phases = phases_after(
+        tracker, (0, CLEAR), (4000, shedding), (4500, CLEAR), (end - 1, CLEAR), (end, CLEAR)
+    )
+    assert phases == [Phase.RAMPING] * 4 + [Phase.FULL] and tracker.recovery_ms == 4500
 
 
 @pytest.mark.parametrize(
@@ -65,12 +69,12 @@
      ({"ejected_hosts": 9}, Phase.RAMPING),
      ({"ready": False}, Phase.STARTING)],
 )  # fmt: skip
-def test_full_gateway_recovers_anew_after_a_stall_or_lost_hosts_but_not_after_overload(
+def test_full_gateway_starts_to_recover_again_after_a_stall_or_lost_hosts_but_not_after_overload(
     changes: dict[str, object], phase: Phase
 ) -> None:
     tracker = ReadinessTracker(0)
-    phases_after(tracker, (0, WELL), (FULL_AFTER_CLEAR_MS, WELL))
+    phases_after(tracker, (0, CLEAR), (FULL_AFTER_CLEAR_MS, CLEAR))
     assert tracker.current.phase == Phase.FULL
-    assert phases_after(tracker, (90_000, replace(WELL, **changes))) == [phase]
+    assert phases_after(tracker, (90_000, replace(CLEAR, **changes))) == [phase]
     if phase != Phase.FULL:
         assert tracker.recovery_started_ms == 90_000 and tracker.recovery_ms is None
--- a/tests/recovery/test_snapshot_store.py
+++ b/tests/recovery/test_snapshot_store.py
@@ -1,4 +1,4 @@
-"""The folder of snapshots: one process at a time, and whole files wherever a process stops."""
+"""The directory of snapshots: one process at a time, and complete files wherever a process is killed."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 import pytest
 
-from hillmux.recovery import snapshot_store as module
+from hillmux.recovery import snapshot_store
 from hillmux.recovery.snapshot_format import MAX_DOCUMENT_BYTES, SnapshotError
-from hillmux.recovery.snapshot_store import IDENTITY_NAME, SET_ASIDE_NAME, SNAPSHOT_NAME, StateDirectory
+from hillmux.recovery.snapshot_store import IDENTITY_NAME, QUARANTINE_NAME, SNAPSHOT_NAME, StateDirectory
 
 ROOT = Path(__file__).resolve().parents[2]
-HOLD = """
+LOCKING_PROCESS = """
 import sys, time
 from pathlib import Path
 from hillmux.recovery.snapshot_store import StateDirectory
 print(StateDirectory(Path(sys.argv[1])).lock(), flush=True)
 time.sleep(60)
 """
-WRITES = """
+KILLED_WRITER = """
 import os, sys
 from pathlib import Path
 from hillmux.recovery import snapshot_store as module
@@ -46,89 +46,92 @@
 """
 
 
-def test_directory_is_locked_until_its_process_is_dead(tmp_path: Path) -> None:
-    hold = [sys.executable, "-c", HOLD, str(tmp_path)]
-    with subprocess.Popen(hold, cwd=ROOT, stdout=subprocess.PIPE) as other:
+def test_directory_is_locked_until_its_process_ends(tmp_path: Path) -> None:
+    command = [sys.executable, "-c", LOCKING_PROCESS, str(tmp_path)]
+    with subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE) as other:
         assert other.stdout is not None and other.stdout.readline() == b"True\n"
-        mine = StateDirectory(tmp_path)
-        assert not mine.lock()
+        directory = StateDirectory(tmp_path)
+        assert not directory.lock()
         other.send_signal(signal.SIGKILL)
         other.wait()
-        assert mine.lock() and mine.lock()  # asked again it is still ours
+        assert directory.lock() and directory.lock()  # locking again succeeds
 
 
 def test_process_killed_during_a_write_leaves_the_old_or_the_new_file(tmp_path: Path) -> None:
     old, new = b"old" * 5000, b"new" * 5000
-    seen, point = [], 0
+    contents, calls_before_kill = [], 0
     while True:
-        path = tmp_path / str(point)
+        path = tmp_path / str(calls_before_kill)
         before = StateDirectory(path)
         assert before.lock()
         before.write(old)
         before.close()
-        done = subprocess.run([sys.executable, "-c", WRITES, str(path), str(point)], cwd=ROOT, check=False)
+        done = subprocess.run(
+            [sys.executable, "-c", KILLED_WRITER, str(path), str(calls_before_kill)], cwd=ROOT, check=False
+        )
         after = StateDirectory(path)
         assert after.lock()
-        seen.append(after.read())
-        after.write(b"next")  # and the next one is not in the way of what was left
+        contents.append(after.read())
+        after.write(b"next")  # leftovers of the killed write do not block the next one
         assert after.read() == b"next"
         if done.returncode == 0:
             break
         assert done.returncode == 9
-        point += 1
-    assert set(seen) == {old, new} and seen[-1] == new and point >= 6
-    assert seen == sorted(seen, key=lambda found: found == new)  # once the new one stands, it stays
+        calls_before_kill += 1
+    assert set(contents) == {old, new} and contents[-1] == new and calls_before_kill >= 6
+    # Once the new file is in place, later calls do not bring the old one back.
+    assert contents == sorted(contents, key=lambda content: content == new)
 
 
-@pytest.mark.parametrize("broken", ["write", "fsync", "replace"])
-def test_failing_disk_leaves_the_last_file(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, broken: str
+@pytest.mark.parametrize("failing_call", ["write", "fsync", "replace"])
+def test_failed_write_keeps_the_last_file(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, failing_call: str
 ) -> None:
-    mine = StateDirectory(tmp_path)
-    assert mine.lock()
-    mine.write(b"old")
+    directory = StateDirectory(tmp_path)
+    assert directory.lock()
+    directory.write(b"old")
 
     def fails(*args: object, **kwargs: object) -> None:
         raise OSError(28, "No space left on device")
 
     with monkeypatch.context() as patch:
-        patch.setattr(module.os, broken, fails)
+        patch.setattr(snapshot_store.os, failing_call, fails)
         with pytest.raises(OSError, match="No space"):
-            mine.write(b"new")
-    assert mine.read() == b"old"
-    mine.write(b"newer")
-    assert mine.read() == b"newer"
+            directory.write(b"new")
+    assert directory.read() == b"old"
+    directory.write(b"newer")
+    assert directory.read() == b"newer"
 
 
 def test_short_writes_are_continued(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    mine, write = StateDirectory(tmp_path), os.write
-    assert mine.lock()
-    monkeypatch.setattr(module.os, "write", lambda file, data: write(file, data[:7]))
-    mine.write(b"0123456789" * 10)
-    assert mine.read() == b"0123456789" * 10
-
-
-def test_set_aside_snapshot_is_kept_under_another_name(tmp_path: Path) -> None:
-    mine = StateDirectory(tmp_path)
-    assert mine.lock() and mine.read() is None
-    mine.write(b"one")
-    mine.set_aside()
-    assert mine.read() is None and (tmp_path / SET_ASIDE_NAME).read_bytes() == b"one"
+    directory, write = StateDirectory(tmp_path), os.write
+    assert directory.lock()
+    monkeypatch.setattr(snapshot_store.os, "write", lambda file, data: write(file, data[:7]))
+    directory.write(b"0123456789" * 10)
+    assert directory.read() == b"0123456789" * 10
+
+
+def test_quarantined_snapshot_is_kept_under_another_name(tmp_path: Path) -> None:
+    directory = StateDirectory(tmp_path)
+    assert directory.lock() and directory.read() is None
+    directory.write(b"one")
+    directory.quarantine()
+    assert directory.read() is None and (tmp_path / QUARANTINE_NAME).read_bytes() == b"one"
     with pytest.raises(FileNotFoundError):
-        mine.set_aside()
+        directory.quarantine()
 
 
-def test_file_larger_than_any_written_is_not_read(tmp_path: Path) -> None:
-    mine = StateDirectory(tmp_path)
-    assert mine.lock()
+def test_file_over_the_size_limit_is_not_read(tmp_path: Path) -> None:
+    directory = StateDirectory(tmp_path)
+    assert directory.lock()
     with (tmp_path / SNAPSHOT_NAME).open("wb") as file:
         file.truncate(MAX_DOCUMENT_BYTES * 2)
     with pytest.raises(SnapshotError, match="size"):
-        mine.read()
+        directory.read()
 
 
 def test_identity_file_that_is_not_text_is_accepted(tmp_path: Path) -> None:
-    mine = StateDirectory(tmp_path)
-    assert mine.lock()
+    directory = StateDirectory(tmp_path)
+    assert directory.lock()
     (tmp_path / IDENTITY_NAME).write_bytes(b"\xff\xfe" * 100)
-    assert mine.id() == mine.id()
+    assert directory.id() == directory.id()
