--- a/hillmux/__init__.py
+++ b/hillmux/__init__.py
@@ -1,4 +1,4 @@
-"""hillmux: the decisions of a front door that meters many customers' use of one back end."""
+"""hillmux: an API gateway that enforces the quotas of many customers of a shared fleet of hosts."""
 
 from hillmux.decision.gateway import Gateway
 
--- a/hillmux/__main__.py
+++ b/hillmux/__main__.py
@@ -1,4 +1,4 @@
-"""The platform's gateway: start, signals and exit status."""
+"""The gateway process on the platform: start, signals and exit status."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from hillmux.net.shutdown import Shutdown
 from hillmux.net.streaming_client import StreamingListener
 
-# Requests leave next to no reference cycles, so the collector runs seldom.
+# Requests leave hardly any reference cycles, so the garbage collector can run less often than by default.
 GC_ALLOCATIONS: Final = 20_000
 EXIT_CANNOT_START: Final = 2
 
 
 def _new_gateway(config: GatewayConfig, loop: asyncio.AbstractEventLoop) -> PlatformGateway:
-    """The gateway that a configuration asks for; what it does not ask for is not imported."""
+    """Create the gateway for a configuration; modules that it does not need are not imported."""
     if config.snapshots is not None:
         from hillmux.recovery.snapshotting_gateway import SnapshottingGateway
 
@@ -38,7 +38,7 @@
 
 
 def _reload(gateway: PlatformGateway, server: StreamingListener, started: GatewayConfig) -> None:
-    """Handle SIGHUP; an invalid configuration changes nothing."""
+    """Handle SIGHUP: reload the configuration; an invalid one changes nothing."""
     try:
         config = load(os.environ, before=started)
     except ConfigError as error:
@@ -56,7 +56,7 @@
 
 
 async def serve(config: GatewayConfig) -> None:
-    """Serve until a graceful shutdown, which SIGTERM or SIGINT begins, is complete."""
+    """Serve until a graceful shutdown, started by SIGTERM or SIGINT, is complete."""
     loop = asyncio.get_running_loop()
     gateway = _new_gateway(config, loop)
     server = StreamingListener(gateway, loop, config.max_sockets)
@@ -73,13 +73,14 @@
     gc.freeze()
     gc.set_threshold(GC_ALLOCATIONS)
     await shutdown.done.wait()
-    # The loop removes its signal handlers first: a SIGHUP without one would make the exit status a failure.
+    # The loop removes its signal handlers before the process exits. A SIGHUP in between would kill the
+    # process, and the exit status would be that of a failure.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     gateway.stop()
 
 
 def main() -> int:
-    """The exit status: 0 after a graceful shutdown, 2 for an invalid configuration or an address in use."""
+    """Return the exit status: 0 after a graceful shutdown, 2 for a bad configuration or address in use."""
     try:
         config = load(os.environ)
     except ConfigError as error:
--- a/hillmux/admin/__init__.py
+++ b/hillmux/admin/__init__.py
@@ -1,1 +1,1 @@
-"""What operators ask of a running gateway: metrics, readiness, and hosts that they disable."""
+"""The operators' interface of a running gateway: metrics, readiness, and disabling hosts."""
--- a/hillmux/admin/commands.py
+++ b/hillmux/admin/commands.py
@@ -1,7 +1,7 @@
-"""Operators' commands, one line a connection: parsing and answers. Free of I/O.
+"""Parses operators' commands, one line per connection, and formats the answers. Free of I/O.
 
 check          ACK and the phase of recovery, or NAK while requests cannot be served
-vars           one line of JSON with all metrics, then `--`
+vars           one line of JSON with all metrics, then the line `--`
 set-down ID    disable a host; ACK, or NAK and the reason
 set-up ID      enable it again
 """
@@ -29,7 +29,7 @@
 
 
 class InvalidCommandError(ValueError):
-    """A line that is no command; the text says what is allowed."""
+    """A line that is not a valid command; the text says what is allowed."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,26 +41,26 @@
 
 
 class ManagedProcess(Protocol):
-    """A gateway as its operators see it."""
+    """The interface of a gateway to its operators."""
 
     def ready(self) -> bool:
         """Whether requests can be served."""
 
     def phase(self) -> str:
-        """The phase of recovery and its causes; "" where recovery is not observed."""
+        """The phase of recovery and its causes; "" if recovery is not observed."""
 
     def metrics_by_name(self) -> dict[str, object]:
-        """All metrics, as values that JSON can hold."""
+        """All metrics by name, as values that JSON can represent."""
 
     def override_host(self, host: str, disabled: bool) -> str:
-        """Disable a host or enable it again; "" once that is in force, else why not."""
+        """Disable a host or enable it again; returns "" if that took effect, otherwise the reason why not."""
 
 
 def parse(line: bytes) -> Command:
-    """The command in a line without its line end.
+    """Parse a line, given without its line ending.
 
     Raises:
-        InvalidCommandError: there is none.
+        InvalidCommandError: The line is not a valid command.
     """
     try:
         words = line.decode("ascii").split()
@@ -83,7 +83,7 @@
 
 
 def respond(line: bytes, gateway: ManagedProcess) -> bytes:
-    """Carry out the command in a line, and return the complete answer."""
+    """Execute the command in a line, and return the complete answer."""
     try:
         command = parse(line)
     except InvalidCommandError as error:
--- a/hillmux/admin/host_overrides.py
+++ b/hillmux/admin/host_overrides.py
@@ -1,8 +1,8 @@
-"""Hosts that operators have disabled: which commands are accepted, and the file that keeps the hosts.
+"""Hosts that operators have disabled: which commands are accepted, and the file that stores the hosts.
 
-Two versions of a gateway run side by side during a hot restart, and a command to either must bind both. So
-the state is a small file in the directory that they share: a command reads, changes and replaces it under a
-lock before it is answered, and each process polls it for the changes of the other.
+Two processes of a gateway run side by side during a hot restart, and a command to either must apply to both.
+So the state is a small file in the directory that they share: a command reads, changes and replaces it under
+a lock before it is answered, and each process polls it for changes by the other.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 FILE_NAME = "hosts-out.json"
 FILE_VERSION = 1
-LOCK_TIMEOUT_S = 0.1  # the event loop is blocked for so long at most
+LOCK_TIMEOUT_S = 0.1  # upper bound of the time for which the event loop is blocked
 LOCK_RETRY_INTERVAL_S = LOCK_TIMEOUT_S / 50
-MAX_DISABLED = 4096
-MAX_KNOWN = 16384
+MAX_DISABLED = 4096  # hosts
+MAX_KNOWN = 16384  # hosts
 
 
 class OverrideFileError(Exception):
-    """The file cannot be read or written; nothing has changed."""
+    """The file cannot be read or written; no host was disabled or enabled."""
 
 
 class FileStamp(NamedTuple):
-    """What changes whenever the file is replaced."""
+    """File attributes that change whenever the file is replaced."""
 
     inode: int
     modified_ns: int
@@ -35,13 +35,13 @@
 
 
 class KnownHosts:
-    """The ids that discovery has listed, up to `MAX_KNOWN` of the latest: only these may be disabled."""
+    """The ids of up to `MAX_KNOWN` hosts that discovery listed most recently; only these may be disabled."""
 
     def __init__(self) -> None:
-        self._last_listed: dict[str, None] = {}  # the one listed longest ago first
+        self._last_listed: dict[str, None] = {}  # ids as keys, least recently listed first
 
     def add(self, names: Iterable[str]) -> None:
-        """Note ids that a list names."""
+        """Record the ids of hosts in an endpoint list."""
         for name in names:
             self._last_listed.pop(name, None)
             self._last_listed[name] = None
@@ -52,12 +52,12 @@
         return name in self._last_listed
 
     def all(self) -> list[str]:
-        """All ids, the one listed longest ago first."""
+        """All ids, least recently listed first."""
         return list(self._last_listed)
 
 
 def rejection_reason(name: str, disable: bool, known: KnownHosts, disabled: set[str]) -> str:
-    """Why a command cannot be carried out; "" if it can. Repeating a command is allowed."""
+    """Why a command is rejected, or "" if it is accepted. Repeating a command is allowed."""
     if name not in known and name not in disabled:
         return f"{name}: discovery has never named it"
     if disable and name not in disabled and len(disabled) >= MAX_DISABLED:
@@ -66,7 +66,7 @@
 
 
 class OverrideFile:
-    """The disabled hosts, in a file of the directory; without a directory, in this process alone."""
+    """The disabled hosts, stored in a file of the directory; without a directory, only in this process."""
 
     def __init__(self, directory: str | None) -> None:
         self._path = os.path.join(directory, FILE_NAME) if directory is not None else None
@@ -77,7 +77,7 @@
         """Disable a host or enable it again, for all processes of the gateway.
 
         Raises:
-            OverrideFileError: the file cannot be changed.
+            OverrideFileError: The file cannot be read or written.
         """
         if self._path is None:
             _update(self.disabled, name, disable)
@@ -87,15 +87,16 @@
                 _lock(lock_file.fileno())
                 names = _read(self._path)
                 _update(names, name, disable)
-                _replace(self._path, names)
+                _write(self._path, names)
                 self._stamp = _file_stamp(self._path)
         except (OSError, ValueError) as error:
             raise OverrideFileError(f"{FILE_NAME}: {error}") from None
         self.disabled = names
 
     def refresh(self) -> set[str] | None:
-        """The disabled hosts if another process has changed them, else None; an unreadable file changes
-        nothing.
+        """Return the disabled hosts if another process has changed them, otherwise None.
+
+        An unreadable file changes nothing.
         """
         if self._path is None:
             return None
@@ -128,11 +129,11 @@
 def _lock(descriptor: int) -> None:
     """Lock the file for one small read and write.
 
-    Another process may have been stopped while it holds the lock; this one must go on serving, so it gives up
-    after `LOCK_TIMEOUT_S`.
+    Another process may be stopped while it holds the lock. This one has to keep serving, so it waits for at
+    most `LOCK_TIMEOUT_S`.
 
     Raises:
-        BlockingIOError: another process holds the lock.
+        BlockingIOError: Another process holds the lock.
     """
     end = time.monotonic() + LOCK_TIMEOUT_S
     while True:
@@ -157,7 +158,7 @@
     return set(names[:MAX_DISABLED])
 
 
-def _replace(path: str, names: set[str]) -> None:
+def _write(path: str, names: set[str]) -> None:
     new_path = f"{path}.new"
     with open(new_path, "w") as file:
         json.dump({"version": FILE_VERSION, "out": sorted(names)}, file)
--- a/hillmux/admin/metrics.py
+++ b/hillmux/admin/metrics.py
@@ -1,27 +1,27 @@
-"""Counts since the start of the process, as operators read them. Free of I/O."""
+"""The counters since the start of the process that operators read. Free of I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-MAX_CLASSES = 256  # counted apart; a client may send ever new names
+MAX_CLASSES = 256  # bounds the memory: clients may send any number of class names
 REJECTED_STATUSES = frozenset((429, 503))
 MIN_ERROR_STATUS = 400
 
 
 @dataclass(slots=True)
 class Metrics:
-    """Requests and attempts by class, and reloads of the configuration."""
+    """Counters of requests and attempts by class, and of reloads of the configuration."""
 
     served: dict[str, int] = field(default_factory=dict)
     rejected: dict[str, int] = field(default_factory=dict)
     failed: dict[str, int] = field(default_factory=dict)
-    attempts: dict[str, int] = field(default_factory=dict)  # written completely to a host
+    attempts: dict[str, int] = field(default_factory=dict)  # requests written completely to a host
     config_reloads: int = 0
     config_reload_errors: int = 0
 
     def count_answer(self, class_name: str, status: int) -> None:
-        """Count the final response to a request."""
+        """Count the final response to a request, by its HTTP status."""
         if status < MIN_ERROR_STATUS:
             _count(self.served, class_name)
         elif status in REJECTED_STATUSES:
@@ -34,7 +34,7 @@
         _count(self.attempts, class_name)
 
     def to_dict(self, classes: list[str], in_progress: int, known: int, skipped: int) -> dict[str, object]:
-        """All metrics under their public names; `classes` stand there with 0 before their first request."""
+        """All metrics under their public names; `classes` are included with 0 before their first request."""
         return {
             "passed": _by_class(self.served, classes),
             "dropped": _by_class(self.rejected, classes),
--- a/hillmux/admin/server.py
+++ b/hillmux/admin/server.py
@@ -1,4 +1,4 @@
-"""The operators' port: one command a connection, answered at once; no connection blocks another."""
+"""The operators' port: one command per connection, answered at once; no connection blocks another."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 from hillmux.admin.commands import MAX_LINE_BYTES, ManagedProcess, respond
 
-MAX_CONNECTIONS = 12  # at once; they come out of the process's reserve of descriptors
-IDLE_TIMEOUT_S = 10.0  # in which a connection must send its line
+MAX_CONNECTIONS = 12  # open at a time; they use the process's reserve of descriptors
+IDLE_TIMEOUT_S = 10.0  # time in which a connection has to send its command
 BACKLOG = 64
-NO_COMMAND = b"\0"  # stands for a line that is too long
+NO_COMMAND = b"\0"  # an invalid command, in place of a line that is too long
 
 
 class OperatorServer:
-    """Listens for operators' connections."""
+    """Listens for operators' connections, and bounds their number."""
 
     def __init__(self, gateway: ManagedProcess, loop: asyncio.AbstractEventLoop) -> None:
         self.gateway, self._loop = gateway, loop
         self._server: asyncio.Server | None = None
-        self._connections: dict[OperatorConnection, None] = {}  # the oldest first
+        self._connections: dict[OperatorConnection, None] = {}  # open connections as keys, oldest first
 
     async def start(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Listen; returns the address, with the port that the system chose for port 0.
+        """Listen on an address; returns it with the port that the system chose for port 0.
 
         Raises:
-            OSError: the address cannot be listened on.
+            OSError: The address cannot be bound.
         """
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self._server = await self._loop.create_server(
@@ -43,21 +43,21 @@
             connection.abort()
 
     def connection_opened(self, connection: OperatorConnection) -> None:
-        """Register a connection; the oldest is closed where there are too many.
+        """Register a connection; if there are too many, the oldest is closed.
 
-        Connections that send nothing must not use up the process's descriptors.
+        Idle connections must not use up the process's descriptors.
         """
         self._connections[connection] = None
         if len(self._connections) > MAX_CONNECTIONS:
             next(iter(self._connections)).abort()
 
     def connection_closed(self, connection: OperatorConnection) -> None:
-        """Forget a connection."""
+        """Remove a connection from the register."""
         self._connections.pop(connection, None)
 
 
 class OperatorConnection(asyncio.Protocol):
-    """One connection: a line comes in, an answer goes out."""
+    """One connection: reads one line, writes one answer and closes."""
 
     def __init__(self, server: OperatorServer) -> None:
         self._server = server
@@ -67,13 +67,13 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the server, and start the time-out."""
+        """Register with the server, and start the idle time-out."""
         self._transport = cast(asyncio.Transport, transport)
         self._timer = asyncio.get_running_loop().call_later(IDLE_TIMEOUT_S, self.abort)
         self._server.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Answer the first line, or one longer than `MAX_LINE_BYTES`; ignore the rest."""
+        """Answer the first line, once it is complete or longer than `MAX_LINE_BYTES`; ignore the rest."""
         if self._answered:
             return
         self._received += data
@@ -82,7 +82,7 @@
             self._answer(line.rstrip(b"\r") if len(line) <= MAX_LINE_BYTES else NO_COMMAND)
 
     def eof_received(self) -> bool:
-        """Answer a last line that lacks its end; True keeps the transport open for the answer."""
+        """Answer a last line without a line ending; True keeps the transport open for the answer."""
         if not self._answered and self._received:
             self._answer(self._received.rstrip(b"\r"))
         return self._answered
@@ -94,13 +94,13 @@
         self._transport.close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Stop the time-out, and tell the server."""
+        """Cancel the time-out, and notify the server."""
         if self._timer is not None:
             self._timer.cancel()
         self._server.connection_closed(self)
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         self._server.connection_closed(self)
         if self._transport is not None:
             self._transport.abort()
--- a/hillmux/cli.py
+++ b/hillmux/cli.py
@@ -1,4 +1,4 @@
-"""`hillmux`: the command line. What a command needs beyond its options is imported when it runs."""
+"""The command line `hillmux`. A command imports the modules that only it needs when it runs."""
 
 from __future__ import annotations
 
@@ -146,7 +146,7 @@
     set_up_log(name)
     for handler in logging.getLogger().handlers:
         handler.filters.clear()
-        handler.addFilter(LogRateLimit(2 * lines_per_s))  # each tenant's lines are limited before
+        handler.addFilter(LogRateLimit(2 * lines_per_s))  # in addition to the limit on each tenant's lines
 
 
 def _exit_invalid(text: str) -> NoReturn:
--- a/tests/admin/test_disabled_hosts.py
+++ b/tests/admin/test_disabled_hosts.py
@@ -1,4 +1,4 @@
-"""The decision module: hosts out by hand, and settings that change in service."""
+"""The decision module: hosts that operators disable, changed settings, and responses already started."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from hillmux.interface import AttemptResult, HostStatus, Idempotency, KeyScope, ListKind, RejectReason
 
 
-def sends(d: Driver, rounds: int = 40) -> list[str]:
-    """The hosts that new requests go to; each is served."""
+def hosts_used(d: Driver, rounds: int = 40) -> list[str]:
+    """The hosts to which new requests are sent; each request is answered."""
     names = []
     for _ in range(rounds):
         rid, out = d.ask(after=1.0)
@@ -24,27 +24,27 @@
 def test_disabled_host_gets_no_request_whatever_discovery_lists() -> None:
     d = Driver(servers=3)
     d.give(api.HostDisabled("h0", True))
-    assert "h0" not in sends(d)
+    assert "h0" not in hosts_used(d)
     d.give(api.EndpointList(ListKind.CHANGES, (server(0, status=HostStatus.REMOVED),)))
     d.give(api.EndpointList(ListKind.CHANGES, (server(0),)))
     d.give(api.EndpointList(ListKind.FULL, tuple(server(i, capacity=2.0) for i in range(3))))
     d.give(api.EndpointList(ListKind.CHANGES, (server(0, started_at_ms=d.now),)))
-    assert "h0" not in sends(d)
+    assert "h0" not in hosts_used(d)
     assert d.gateway.fleet.skipped_count() == 1
     d.give(api.HostDisabled("h0", True))
-    d.give(api.HostDisabled("h0", False))  # one call back ends it, however often it was taken out
-    assert "h0" in sends(d, 200)
+    d.give(api.HostDisabled("h0", False))  # one command enables a host that was disabled twice
+    assert "h0" in hosts_used(d, 200)
     assert d.gateway.fleet.skipped_count() == 0
 
 
-def test_retry_avoids_a_host_disabled_meanwhile() -> None:
+def test_retry_avoids_a_host_disabled_after_the_first_attempt() -> None:
     d = Driver(servers=2)
     rid, out = d.ask()
     (first,) = of(out, api.SendAttempt)
     other = {"h0": "h1", "h1": "h0"}[first.host]
     d.give(api.HostDisabled(other, True))
-    again = of(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
-    assert [a.host for a in again] == [first.host]
+    retries = of(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
+    assert [a.host for a in retries] == [first.host]
 
 
 def test_request_is_rejected_when_all_hosts_are_disabled() -> None:
@@ -52,25 +52,25 @@
     for name in ("h0", "h1"):
         d.give(api.HostDisabled(name, True))
     _, out = d.ask()
-    (refused,) = of(out, api.Reject)
-    assert refused.reason == RejectReason.NO_HOST
+    (rejection,) = of(out, api.Reject)
+    assert rejection.reason == RejectReason.NO_HOST
 
 
 def test_enabled_host_warms_up_unless_discovery_listed_its_restart() -> None:
     d = Driver(servers=4)
-    sends(d)
+    hosts_used(d)
     d.give(api.HostDisabled("h0", True), after=100)
-    d.give(api.HostDisabled("h0", False), after=3000)  # restarted meanwhile: the list has not told yet
+    d.give(api.HostDisabled("h0", False), after=3000)  # may have restarted, which is not listed yet
     host = d.gateway.hosts["h0"]
     assert d.gateway.fleet.capacity_share(host) == pytest.approx(0.2)
-    back = d.now
-    d.give(api.EndpointList(ListKind.CHANGES, (server(0, started_at_ms=back - 1000),)), after=500)
-    assert host.warming_since_ms == back - 1000
+    enabled_at = d.now
+    d.give(api.EndpointList(ListKind.CHANGES, (server(0, started_at_ms=enabled_at - 1000),)), after=500)
+    assert host.warming_since_ms == enabled_at - 1000
     d.give(api.HostDisabled("h1", True), after=100)
     d.give(api.EndpointList(ListKind.CHANGES, (server(1, started_at_ms=d.now),)), after=100)
-    born = d.now - 100
+    started_at_ms = d.now - 100
     d.give(api.HostDisabled("h1", False), after=2000)
-    assert d.gateway.hosts["h1"].warming_since_ms == born
+    assert d.gateway.hosts["h1"].warming_since_ms == started_at_ms
 
 
 def test_enabled_host_is_no_longer_ejected() -> None:
@@ -84,11 +84,11 @@
     assert (host.ejections, fleet.host_set.ejected_count, fleet.host_set.open_on_healthy) == (0, 0, before)
 
 
-def test_disabled_host_that_was_never_listed_costs_one_name() -> None:
+def test_disabled_host_that_was_never_listed_costs_one_entry() -> None:
     d = Driver(servers=2)
     d.give(api.HostDisabled("h9", True))
     d.give(api.EndpointList(ListKind.CHANGES, (server(9),)))
-    assert "h9" not in sends(d)
+    assert "h9" not in hosts_used(d)
     d.give(api.HostDisabled("h9", False))
     assert d.gateway.fleet.disabled_since == {}
 
@@ -97,7 +97,7 @@
     return api.SettingsChanged(settings(**changes))
 
 
-def test_open_requests_keep_their_class_and_attempts() -> None:
+def test_requests_in_flight_keep_their_class_and_attempt_limit() -> None:
     d = Driver(servers=6)
     rid, _ = d.ask("read")
     d.give(
@@ -106,14 +106,14 @@
             max_attempts=1,
         )
     )
-    for _ in range(3):  # four attempts, as when it came
+    for _ in range(3):  # four attempts, the limit when the request arrived
         assert of(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
     assert of(d.end(rid, AttemptResult.ERROR), api.Fail)
-    rid, _ = d.ask("read")  # under the new rules
+    rid, _ = d.ask("read")  # under the changed settings
     assert of(d.end(rid, AttemptResult.ERROR), api.Fail)
 
 
-def test_open_request_of_a_removed_class_continues_and_new_ones_are_rejected() -> None:
+def test_request_in_flight_of_a_removed_class_continues_and_new_ones_are_rejected() -> None:
     d = Driver(servers=3)
     rid, _ = d.ask("read")
     d.give(changed(classes=(KEYED, UNSAFE)))
@@ -127,20 +127,20 @@
 def test_request_that_awaits_a_counter_total_keeps_its_class() -> None:
     d = Driver(servers=3)
     rid, out = d.ask("read", "basic", customer="c", units=1)
-    for _ in range(8):  # until one has to wait for the counter
+    for _ in range(8):  # until a request has to wait for the counter
         if not of(out, api.SendAttempt):
             break
         d.end(rid)
         rid, out = d.ask("read", "basic", customer="c", units=1)
     assert rid in d.gateway.new_requests.waiting
     d.give(changed(classes=(KEYED, UNSAFE)))
-    (use,) = d.gateway.quotas.registry.states.values()
-    d.give(api.CounterReply(use.count_name, AttemptResult.OK, 0.0), after=5)
+    (state,) = d.gateway.quotas.registry.states.values()
+    d.give(api.CounterReply(state.count_name, AttemptResult.OK, 0.0), after=5)
     answers = [a for _, a in d.log if isinstance(a, api.SendAttempt | api.Reject) and a.request_id == rid]
     assert len(answers) == 1
 
 
-def test_memory_stays_bounded_under_ever_new_classes() -> None:
+def test_memory_stays_bounded_when_classes_keep_changing() -> None:
     d = Driver(servers=3)
     for i in range(50):
         name = f"read{i}"
@@ -157,8 +157,8 @@
     d.give(changed(classes=(keyed,)))
     rid, out = d.ask("put")
     (first,) = of(out, api.SendAttempt)
-    (again,) = of(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
-    zones = {s: d.gateway.hosts[s].zone for s in (first.host, again.host)}
+    (retry,) = of(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
+    zones = {s: d.gateway.hosts[s].zone for s in (first.host, retry.host)}
     assert len(set(zones.values())) == 1
 
 
@@ -169,7 +169,7 @@
     assert set(d.gateway.context.classes) == {"read", "put", "pay"}
 
 
-# --- Answers that have begun at their clients ---
+# --- Responses that have started ---
 
 
 def test_response_that_a_client_reads_slowly_does_not_count_as_load_of_its_host() -> None:
@@ -179,7 +179,7 @@
     assert (host.open_requests, fleet.host_set.open_on_healthy) == (5, 5)
     for rid in streams:
         d.give(api.ResponseStarted(rid, 0))
-        d.give(api.ResponseStarted(rid, 0))  # told twice, it counts once
+        d.give(api.ResponseStarted(rid, 0))  # a repeated event counts once
     d.give(api.ResponseStarted(streams[0], 7))
     assert (host.open_requests, fleet.host_set.open_on_healthy) == (0, 0)
     for rid in streams:
@@ -187,7 +187,7 @@
     assert (host.open_requests, fleet.host_set.open_on_healthy, d.gateway.pending) == (0, 0, {})
 
 
-def test_response_that_breaks_off_is_not_retried() -> None:
+def test_response_reset_after_its_start_is_not_retried() -> None:
     d = Driver(servers=3)
     rid, _ = d.ask()
     d.give(api.ResponseStarted(rid, 0))
--- a/tests/admin/test_operators_port.py
+++ b/tests/admin/test_operators_port.py
@@ -1,4 +1,4 @@
-"""The real program and its operators, over loopback sockets."""
+"""The operators' port of a real gateway process, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 def test_disabled_host_gets_no_request_until_it_is_enabled(tmp_path: Path) -> None:
-    """Whatever discovery says of it meanwhile; and over a restart of the gateway, as over an upgrade."""
+    """Neither watch events that list the host again nor a restart of the gateway enable it."""
 
     async def scenario() -> None:
         async with Rig(tmp_path, serve, serve, operated=True) as rig:
@@ -89,53 +89,53 @@
     on_loop(scenario)
 
 
-def test_silent_and_verbose_callers_do_not_block_others(tmp_path: Path) -> None:
+def test_idle_and_overlong_connections_do_not_block_others(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, operated=True) as rig:
-            held = [
+            idle = [
                 await asyncio.open_connection(LOOP, rig.operator_port) for _ in range(3 * MAX_CONNECTIONS)
             ]
-            for _, writer in held[:5]:
+            for _, writer in idle[:5]:
                 writer.write(b"che")
             assert await rig.call("check") == "ACK\n"
             assert (await rig.call("x" * 2 * MAX_LINE_BYTES)).startswith("NAK")
             reader, writer = await asyncio.open_connection(LOOP, rig.operator_port)
             writer.write(b"check")
-            writer.write_eof()  # a last line without its end
+            writer.write_eof()  # a last line without a line ending
             assert await reader.read() == b"ACK\n"
-            for _, writer in held:
+            for _, writer in idle:
                 writer.close()
 
     on_loop(scenario)
 
 
-NEXT = [
+CHANGED_CLASSES = [
     GRADES[1],
     {"name": "read-next", "objective_ms": 3000.0, "deadline_ms": 6000.0, "worth": 3.0, "effect": "unsafe"},
 ]
 
 
-def test_reload_changes_classes_and_open_requests_keep_theirs(tmp_path: Path) -> None:
+def test_reload_changes_classes_and_requests_in_flight_keep_theirs(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, silent, silent, operated=True) as rig:
             old = asyncio.create_task(rig.ask(message(rid=b"old")))
-            await _seen(rig, 1)
+            await _until_attempts(rig, 1)
 
             def change(config: dict) -> None:
-                config["settings"]["grades"] = NEXT
+                config["settings"]["grades"] = CHANGED_CLASSES
                 config["settings"]["bounds"]["try_limit"] = 1
 
             rig.change = change
             rig.write_config()
             await rig.hup("reloaded")
             assert (await rig.figures())["loads"] == 1
-            assert await rig.status(message(rid=b"gone")) == 400  # a class that was dropped
+            assert await rig.status(message(rid=b"gone")) == 400  # a removed class
             new = asyncio.create_task(rig.ask(message("read-next", rid=b"new", key=False)))
-            await _seen(rig, 2)
-            for host in rig.hosts:  # both attempts fail: the old class may go again, the new one may not
+            await _until_attempts(rig, 2)
+            for host in rig.hosts:  # both fail: the old request may be retried, the new one may not
                 for seen in host.seen:
                     seen.writer.write(reply(b"", 500))
-            await _seen(rig, 3)
+            await _until_attempts(rig, 3)
             assert (await new).line.split()[1] == "502"
             last = max(
                 (s for h in rig.hosts for s in h.seen if s.headers["x-request-id"] == "old"),
@@ -147,35 +147,35 @@
     on_loop(scenario)
 
 
-async def _seen(rig: Rig, count: int) -> None:
+async def _until_attempts(rig: Rig, count: int) -> None:
     while sum(len(host.seen) for host in rig.hosts) < count:
         await asyncio.sleep(0.005)
 
 
 def _without(path: str):
     def change(config: dict) -> None:
-        *way, last = path.split(".")
-        at = config
-        for part in way:
-            at = at[int(part)] if isinstance(at, list) else at[part]
-        del at[last]
+        *parents, key = path.split(".")
+        node = config
+        for part in parents:
+            node = node[int(part)] if isinstance(node, list) else node[part]
+        del node[key]
 
     return change
 
 
 def _with(path: str, value: object):
     def change(config: dict) -> None:
-        *way, last = path.split(".")
-        at = config
-        for part in way:
-            at = at[int(part)] if isinstance(at, list) else at[part]
-        at[last] = value
+        *parents, key = path.split(".")
+        node = config
+        for part in parents:
+            node = node[int(part)] if isinstance(node, list) else node[part]
+        node[key] = value
 
     return change
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "error"),
     [
         (_without("settings.grades.1.effect"), "settings.grades[].effect: is missing"),
         (_without("settings.bounds.try_limit"), "settings.bounds.try_limit: is missing"),
@@ -189,13 +189,13 @@
         (_with("settings.grades.0.effect", "maybe"), "effect: found 'maybe', expected safe, keyed or unsafe"),
     ],
 )
-def test_invalid_configuration_leaves_the_old_settings_in_force(tmp_path: Path, change, said: str) -> None:
+def test_invalid_configuration_leaves_the_old_settings_in_force(tmp_path: Path, change, error: str) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, operated=True) as rig:
             rig.change = change
             rig.write_config()
             await rig.hup("configuration is kept")
-            assert any(said in line for line in rig.log), rig.log
+            assert any(error in line for line in rig.log), rig.log
             assert await rig.status(message()) == 200
             figures = await rig.figures()
             assert (figures["loads"], figures["load_errors"]) == (0, 1)
@@ -203,14 +203,14 @@
     on_loop(scenario)
 
 
-def test_start_ends_with_a_plain_error_when_the_operators_address_is_taken(tmp_path: Path) -> None:
+def test_start_fails_with_an_error_message_when_the_operators_address_is_in_use(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, operated=True) as rig:
             config = json.loads((tmp_path / "config.json").read_text())
             config["operator"] = f"{LOOP}:{rig.operator_port}"
             (tmp_path / "second.json").write_text(json.dumps(config))
             second = await rig.run(tmp_path / "second.json")
-            _, said = await second.communicate()
-            assert second.returncode == 2 and b"listen: " in said
+            _, errors = await second.communicate()
+            assert second.returncode == 2 and b"listen: " in errors
 
     on_loop(scenario)
