--- a/tests/compatibility/follow_up.py
+++ b/tests/compatibility/follow_up.py
@@ -1,4 +1,4 @@
-"""Requests after a hand-over, over the simulator's wire: recorded from one version, played to the other."""
+"""Requests after a hot restart in the simulator's protocol: recorded from one version, replayed to another."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from compatibility.inputs import FOLLOW_UP_REQUESTS, FOLLOW_UP_SEED
 
-Batch = list[object]  # the clock in ms, the lines sent, and the lines of the reply
+Batch = list[object]  # clock in ms, lines sent, lines of the reply
 
 
 def record(start_ms: float, batch: Callable[[float, list[str]], list[str]], instance: str) -> list[Batch]:
-    """Send requests of several customers, end each attempt, and note all that is said."""
+    """Send requests of several customers, end each attempt, and return all batches."""
     rng = random.Random(FOLLOW_UP_SEED)
     queue: list[tuple[float, int, str]] = []
     order = 0
--- a/tests/compatibility/inputs.py
+++ b/tests/compatibility/inputs.py
@@ -1,4 +1,4 @@
-"""What both versions are given: files, requests, operators' lines and the moments at which they come."""
+"""The inputs to both versions: files, requests, operators' lines and times."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from typing import Any
 
 RECORDED = Path(__file__).with_name("recorded")
-# Streams of `decision.event_stream` whose gateways are exported, by their seeds: at the end of the first
-# hosts warm up, one of them fails, and customers have totals of the counter; the second sheds load.
+# Seeds of the `decision.event_stream` streams whose gateways are exported. At the end of the first, hosts are
+# warming up, one is ejected, and customers have counter totals; the second ends with load shedding.
 STREAM_SEEDS, STREAM_EVENTS = (987, 969), 3000
 FOLLOW_UP_SEED, FOLLOW_UP_REQUESTS = 7, 300
-NEW_SEED = 42  # of the gateway that goes on from the documents
+NEW_SEED = 42  # seed of the gateway that restores the documents
 SKETCH_KEY, SKETCH_TIME_MS = bytes(range(8)), 1234.5
 
-# Snapshots by the file's name: their age when they are read, and whether the process ended at them.
+# Snapshots by file name: age when it is read, and whether it is exact.
 SNAPSHOT_AGES_MS = {
     "snapshot-fresh": (1_000.0, False),
     "snapshot-minutes": (5 * 60_000.0, False),
@@ -228,10 +228,10 @@
 address = "127.0.0.1:7002"
 """
 
-# Counter calls: name, amount, milliseconds for which the counter retains it.
+# Counter calls: name, amount, and retention time in ms.
 COUNTER_CALLS = (("0a1b.3.17", 2.5, 4000.0), ("x", 1e-7, 0.2), ("y", 1234567.0, 86_400_000.0))
 
-# Clients' requests: method, target, headers, body. Of the settings above.
+# Client requests under the settings above: method, target, headers, body.
 CLIENT_REQUESTS: tuple[tuple[bytes, bytes, dict[bytes, bytes], bytes], ...] = (
     (
         b"GET",
@@ -256,7 +256,7 @@
 )
 QUOTA_INFO = b"units=2,spread=3,first=1"
 
-# Operators' lines, with whether the gateway is ready, its phase and what stands in the way of a change.
+# Operators' lines; whether the gateway is ready, its phase, and its reason for rejecting a command.
 OPERATOR_CALLS: tuple[tuple[bytes, bool, str, str], ...] = (
     (b"check", True, "", ""),
     (b"check", True, "learning: 3 of 20 outcomes seen", ""),
@@ -274,7 +274,7 @@
     (b"\xff", True, "", ""),
 )
 HELP_COLUMNS = 100
-FIGURES, FIGURE_SIZE = 3, 20.0  # measurements that are read, and the size that they are asked for
+FIGURES, FIGURE_SIZE = 3, 20.0  # number of measurements read, and the size at which they are evaluated
 
 
 def stored(name: str) -> Any:
--- a/tests/compatibility/record_previous_version.py
+++ b/tests/compatibility/record_previous_version.py
@@ -1,8 +1,8 @@
-"""Writes `recorded/` with the last version that had the package name `yewstage` (commit f277e92).
+"""Writes `recorded/` with the last version whose package was named `yewstage` (commit f277e92).
 
 Run in that version's checkout with an interpreter that has this version's requirements:
-`PYTHONPATH=.:TESTS python TESTS/compatibility/record_previous_version.py`, TESTS being the
-folder above this one.
+`PYTHONPATH=.:TESTS python TESTS/compatibility/record_previous_version.py`, where TESTS is the parent of this
+directory.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class Adapter:
-    """A simulator's adapter that is fed a batch at a time."""
+    """The simulator's adapter, which receives one batch at a time."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -56,13 +56,13 @@
             yield self.lines.pop(0)
 
     def batch(self, now_ms: float, lines: list[str]) -> list[str]:
-        """Play one batch."""
+        """Send one batch, and return the reply."""
         self.lines = [line + "\n" for line in (*lines, "END")]
         return self.host.batch(now_ms)
 
 
 def write(name: str, document: Any) -> None:
-    """One JSON document, an entry of the outermost list or object a line."""
+    """Write a JSON document with one entry of the outermost list or object per line."""
     items = document.items() if isinstance(document, dict) else enumerate(document)
     begin, end = "{}" if isinstance(document, dict) else "[]"
     lines = [
@@ -73,17 +73,17 @@
 
 
 def record_hot_restart(seed: int) -> list[dict[str, Any]]:
-    """Documents of a busy gateway, what a restored one exports, and how it goes on."""
+    """Record a busy gateway's documents, what a restored one exports, and its replies to later requests."""
     old = Adapter()
     stream = EventStream(seed, inputs.STREAM_EVENTS, old.batch, lambda now, name, rng: [])
     opened: list[str] = []
     open_line = stream._open_line
 
-    def noted_open_line() -> list[str]:
+    def recording_open_line() -> list[str]:
         opened[:] = open_line()
         return list(opened)
 
-    stream._open_line = noted_open_line  # type: ignore[method-assign]
+    stream._open_line = recording_open_line  # type: ignore[method-assign]
     stream.play()
     gateway = old.host.gateways[INSTANCE]
     gateway.quotas.registry.forgotten_ceilings.put(inputs.SKETCH_KEY, inputs.SKETCH_TIME_MS)
@@ -112,7 +112,7 @@
 
 
 def record_snapshots(documents: list[dict[str, Any]]) -> None:
-    """The documents as snapshots of several ages, and what each age retains of them."""
+    """Record the documents as snapshots of several ages, and what is retained at each age."""
     retained = {}
     for serial, (name, (age_ms, exact)) in enumerate(inputs.SNAPSHOT_AGES_MS.items(), 1):
         builder = Builder()
@@ -129,7 +129,7 @@
 
 
 def record_configurations() -> None:
-    """What configurations, a scenario and a file of overrides are parsed to."""
+    """Record the parsed values of configurations, scenarios and a file of host overrides."""
     (RECORDED / "platform.json").write_text(json.dumps(inputs.PLATFORM_CONFIG, indent=1) + "\n")
     environment = {"ROUTER_CONFIG": str(RECORDED / "platform.json"), "ROUTER_NAME": "g4", "TMPDIR": "/tmp/g4"}
     platform = platform_config.load(environment)
@@ -141,8 +141,8 @@
     for name in LAB_SCENARIOS:
         source = Path("examples/lab") / f"{name}.toml"
         (RECORDED / f"scenario-{name}.toml").write_text(source.read_text())
-        found = scenario.load(RECORDED / f"scenario-{name}.toml")
-        lab[name] = [plain(found), plain(scenario.schedule(found))]
+        loaded = scenario.load(RECORDED / f"scenario-{name}.toml")
+        lab[name] = [plain(loaded), plain(scenario.schedule(loaded))]
     write(
         "parsed.json",
         {
@@ -167,7 +167,7 @@
 
 
 def record_measurements() -> None:
-    """Some figures of the stored measurements, as they are read."""
+    """Record some of the stored measurements as they are read."""
     stored = Measurements.read()
     figures = list(stored.figures.values())[: inputs.FIGURES]
     Measurements(figures, stored.seeds).write(RECORDED / "measurements.json")
@@ -175,19 +175,19 @@
 
 
 def attempt_bytes(settings: api.Settings, number: int) -> str:
-    """The bytes of the attempt of a client's request."""
+    """The bytes of the first attempt of a client's request."""
     message = Message()
     message.method, message.url, headers, body = inputs.CLIENT_REQUESTS[number]
     message.headers = {**headers, b"quota-info": inputs.QUOTA_INFO}
     message.body, message.size = [body], len(body)
-    found = order(message, Terms(settings))
-    attempt = Attempt("1", 0, "cabin-0", found.head, found.body, 100.0, 200.0)
+    request = order(message, Terms(settings))
+    attempt = Attempt("1", 0, "cabin-0", request.head, request.body, 100.0, 200.0)
     attempt.timeout_s = 1.25
     return attempt.payload(100.25).decode()
 
 
 async def discovery_requests(generation: int) -> list[str]:
-    """The first two requests of a watch that knows a generation."""
+    """The first two requests of a watch that starts with a known generation."""
     lines: list[str] = []
     done = asyncio.Event()
 
@@ -211,35 +211,35 @@
 
 
 class FakeGateway:
-    """A gateway that says what an operator's call is recorded with."""
+    """A stand-in with a configurable readiness, phase and reason for rejecting commands."""
 
-    def __init__(self, is_ready: bool, phase: str, wrong: str) -> None:
-        self.is_ready, self.how_far, self.wrong = is_ready, phase, wrong
+    def __init__(self, is_ready: bool, phase: str, rejection: str) -> None:
+        self.is_ready, self.phase_text, self.rejection = is_ready, phase, rejection
 
     def ready(self) -> bool:
-        """Whether it serves."""
+        """Whether requests can be served."""
         return self.is_ready
 
     def phase(self) -> str:
-        """How far it has come back."""
-        return self.how_far
+        """The phase of recovery."""
+        return self.phase_text
 
     def figures(self) -> dict[str, object]:
-        """One figure."""
+        """One metric."""
         return {"loads": 1}
 
     def hand(self, host: str, out: bool) -> str:
-        """Why a host cannot be taken out or put back."""
-        return self.wrong
+        """The reason why a host cannot be disabled or enabled."""
+        return self.rejection
 
 
 def help_texts(command: click.Command, name: str, parent: click.Context | None = None) -> dict[str, str]:
-    """The help of a command and of all below it."""
+    """The help texts of a command and its subcommands, by command path."""
     context = click.Context(command, info_name=name, parent=parent, terminal_width=inputs.HELP_COLUMNS)
     texts = {context.command_path: command.get_help(context)}
     if isinstance(command, click.Group):
-        for below, found in sorted(command.commands.items()):
-            texts.update(help_texts(found, below, context))
+        for subcommand_name, subcommand in sorted(command.commands.items()):
+            texts.update(help_texts(subcommand, subcommand_name, context))
     return texts
 
 
@@ -250,7 +250,7 @@
 
 
 def record_messages() -> None:
-    """What is sent to the counter, discovery and hosts, and what operators are answered."""
+    """Record what is sent to the counter, discovery and hosts, and the answers to operators."""
     settings = platform_config.load({"ROUTER_CONFIG": str(RECORDED / "platform.json")}).settings
     write(
         "messages.json",
--- a/tests/compatibility/test_configurations.py
+++ b/tests/compatibility/test_configurations.py
@@ -1,4 +1,4 @@
-"""Configurations, scenarios and measurements are parsed to the values that the version before parsed."""
+"""Configurations, scenarios and measurements are parsed to the same values as by the previous version."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 
 @pytest.mark.parametrize("name", ("herd", "split"))
 def test_scenario_and_its_schedule_are_parsed_as_before(name: str) -> None:
-    found = scenario.load(RECORDED / f"scenario-{name}.toml")
-    assert [plain(found), plain(scenario.schedule(found))] == stored("parsed.json")["lab"][name]
+    loaded = scenario.load(RECORDED / f"scenario-{name}.toml")
+    assert [plain(loaded), plain(scenario.schedule(loaded))] == stored("parsed.json")["lab"][name]
 
 
 @pytest.mark.parametrize(
@@ -43,12 +43,12 @@
         ("scenario", scenario.Scenario),
     ),
 )
-def test_file_has_the_keys_defaults_and_bounds_that_it_had_before(name: str, model: type) -> None:
+def test_file_schema_has_the_same_keys_defaults_and_bounds_as_before(name: str, model: type) -> None:
     assert schema_keys(TypeAdapter(model).json_schema()) == stored("parsed.json")["schema"][name]
 
 
 def test_settings_key_that_holds_an_equals_sign_is_split_there(tmp_path: Path) -> None:
-    """Guards against a setting that earlier versions read and that became an unknown key."""
+    """Guards against treating a setting that earlier versions read as an unknown key."""
     settings = {name: value for name, value in inputs.PLATFORM_CONFIG["settings"].items() if name != "zone"}
     config = platform_config.parse({**inputs.PLATFORM_CONFIG, "settings": {**settings, "zone=east": "a"}})
     assert config.settings.zone == "east=a"
--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -1,4 +1,4 @@
-"""Bytes to the counter, discovery and hosts, operators' answers, metrics and help texts stay as they were."""
+"""Bytes to the counter, discovery and hosts, operators' answers, metrics and help texts are unchanged."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 async def watch_requests(generation: int) -> list[str]:
-    """The first two requests of a watch that knows a generation."""
+    """The first two requests of a watch that starts with a known generation."""
     lines: list[str] = []
     done = asyncio.Event()
 
@@ -66,29 +66,29 @@
     message.method, message.url, headers, body = inputs.CLIENT_REQUESTS[number]
     message.headers = {**headers, b"quota-info": inputs.QUOTA_INFO}
     message.body, message.body_bytes = [body], len(body)
-    found = parse_request(message, RequestRules(platform().settings))
-    attempt = Attempt("1", 0, "cabin-0", found.head, found.body, 100.0, 200.0)
+    request = parse_request(message, RequestRules(platform().settings))
+    attempt = Attempt("1", 0, "cabin-0", request.head, request.body, 100.0, 200.0)
     attempt.timeout_s = 1.25
     assert attempt.payload(100.25).decode() == stored("messages.json")["attempts"][number]
 
 
 class FakeGateway:
-    """A gateway that says what an operator's call was recorded with."""
+    """A stand-in with a configurable readiness, phase and reason for rejecting commands."""
 
-    def __init__(self, is_ready: bool, phase: str, wrong: str) -> None:
-        self.is_ready, self.how_far, self.wrong = is_ready, phase, wrong
+    def __init__(self, is_ready: bool, phase: str, rejection: str) -> None:
+        self.is_ready, self.phase_text, self.rejection = is_ready, phase, rejection
 
     def ready(self) -> bool:
         return self.is_ready
 
     def phase(self) -> str:
-        return self.how_far
+        return self.phase_text
 
     def metrics_by_name(self) -> dict[str, object]:
         return {"loads": 1}
 
     def override_host(self, host: str, disabled: bool) -> str:
-        return self.wrong
+        return self.rejection
 
 
 @pytest.mark.parametrize("number", range(len(inputs.OPERATOR_CALLS)))
@@ -105,12 +105,12 @@
 
 
 def help_texts(command: click.Command, name: str, parent: click.Context | None = None) -> dict[str, Any]:
-    """The help of a command and of all below it."""
+    """The help texts of a command and its subcommands, by command path."""
     context = click.Context(command, info_name=name, parent=parent, terminal_width=inputs.HELP_COLUMNS)
     texts: dict[str, Any] = {context.command_path: command.get_help(context)}
     if isinstance(command, click.Group):
-        for below, found in sorted(command.commands.items()):
-            texts.update(help_texts(found, below, context))
+        for subcommand_name, subcommand in sorted(command.commands.items()):
+            texts.update(help_texts(subcommand, subcommand_name, context))
     return texts
 
 
--- a/tests/compatibility/test_stored_state.py
+++ b/tests/compatibility/test_stored_state.py
@@ -1,4 +1,4 @@
-"""Hot-restart documents, snapshots and host overrides of the version before are read as that version did."""
+"""Hot-restart documents, snapshots and host overrides of the previous version are read as it reads them."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def successor(seed: int) -> Playback:
-    """A new gateway with the old one's settings and hosts, before it is given what the old one knew."""
+    """A new gateway with the old one's settings and hosts, before it restores the old one's state."""
     playback = Playback()
     now_ms, lines, reply = stored(f"follow-up-{seed}.json")["start"]
     assert playback.batch(now_ms, lines) == reply
@@ -47,7 +47,7 @@
 
 
 def host_fields(host: Host) -> dict[str, object]:
-    """A host's attributes under their stored names and in the stored order, apart from the codec's tables."""
+    """A host's attributes under their stored keys in stored order, independent of the codec's tables."""
     return {
         "born": host.started_at_ms,
         "cold_from_ms": host.warming_since_ms,
@@ -61,8 +61,8 @@
     }
 
 
-def use_fields(state: QuotaState) -> dict[str, object]:
-    """A customer's attributes under their stored names and in the stored order, as `host_fields`."""
+def quota_state_fields(state: QuotaState) -> dict[str, object]:
+    """A customer's attributes under their stored keys in stored order, as `host_fields`."""
     return {
         "width": state.replicas,
         "widest": state.replicas_in_window,
@@ -86,7 +86,7 @@
 
 
 def scalar_fields(gateway: Gateway) -> dict[str, Any]:
-    """The gateway's own attributes under their stored names."""
+    """The gateway's own attributes under their stored keys."""
     return {
         "born": gateway.context.started_at,
         "q": gateway.occupancy.smoothed,
@@ -107,32 +107,32 @@
 @pytest.mark.parametrize("seed", inputs.STREAM_SEEDS)
 def test_documents_restore_to_the_attributes_they_were_exported_from(seed: int) -> None:
     gateway = restored(seed)
-    head, *others = documents_of(seed)
-    assert scalar_fields(gateway) == head["scalars"]
-    assert gateway.fleet.slow_start.warm_work_rate == head["warm_rate"]
-    assert gateway.latency.per_unit_ms == head["latency"]
-    assert gateway.quotas.registry.last_request_at == head["asked_at"]
-    cells = [
+    module_document, *others = documents_of(seed)
+    assert scalar_fields(gateway) == module_document["scalars"]
+    assert gateway.fleet.slow_start.warm_work_rate == module_document["warm_rate"]
+    assert gateway.latency.per_unit_ms == module_document["latency"]
+    assert gateway.quotas.registry.last_request_at == module_document["asked_at"]
+    admission_shares = [
         [*key, share.value, share.work, share.admit_fraction, share.accumulator]
         for key, share in gateway.admission.shares.items()
     ]
-    assert sorted(cells) == sorted(head["cells"])
+    assert sorted(admission_shares) == sorted(module_document["cells"])
     hosts = {name: row for document in others for name, row in document.get("hosts", {}).items()}
     assert {name: list(host_fields(host).values()) for name, host in gateway.hosts.items()} == hosts
-    uses = {(row[0], row[1]): row[2:] for document in others for row in document.get("uses", ())}
+    quota_states = {(row[0], row[1]): row[2:] for document in others for row in document.get("uses", ())}
     states = gateway.quotas.registry.states
-    assert {key: list(use_fields(state).values()) for key, state in states.items()} == uses
+    assert {key: list(quota_state_fields(state).values()) for key, state in states.items()} == quota_states
     sketch = gateway.quotas.registry.forgotten_ceilings
     assert sketch.get(inputs.SKETCH_KEY) == inputs.SKETCH_TIME_MS
 
 
 @pytest.mark.parametrize("seed", inputs.STREAM_SEEDS)
-def test_restored_gateway_exports_the_documents_that_the_version_before_exports(seed: int) -> None:
+def test_restored_gateway_exports_the_same_documents_as_the_previous_version(seed: int) -> None:
     assert exported(restored(seed)) == stored(f"follow-up-{seed}.json")["exported"]
 
 
 @pytest.mark.parametrize("seed", inputs.STREAM_SEEDS)
-def test_restored_gateway_decides_as_the_version_before_would(seed: int) -> None:
+def test_restored_gateway_decides_as_the_previous_version(seed: int) -> None:
     playback = successor(seed)
     gateway = playback.adapter.gateways[INSTANCE]
     restore(gateway, documents_of(seed))
@@ -142,36 +142,42 @@
     assert exported(gateway) == recorded["exported_after"]
 
 
-def test_recorded_documents_hold_hosts_that_fail_and_warm_up_and_customers_with_totals() -> None:
+def test_recorded_documents_include_ejected_and_warming_hosts_and_counter_totals() -> None:
     first, second = (restored(seed) for seed in inputs.STREAM_SEEDS)
     hosts = [host_fields(host) for host in first.hosts.values()]
-    uses = [use_fields(state) for state in first.quotas.registry.states.values()]
+    quota_states = [quota_state_fields(state) for state in first.quotas.registry.states.values()]
     assert any(host["fails"] for host in hosts)
     assert any(host["credit"] for host in hosts)
     assert any(host["born"] for host in hosts)
-    assert any(use["base"] is not None for use in uses)
+    assert any(quota_state["base"] is not None for quota_state in quota_states)
     assert scalar_fields(second)["f"] < 1
 
 
-def test_each_item_is_retained_for_as_long_as_before() -> None:
+def test_retention_rules_are_as_before() -> None:
     assert plain(RETENTION_RULES) == stored("snapshot-rules.json")["items"]
 
 
-def test_snapshot_is_shown_to_operators_as_before() -> None:
+def test_snapshot_is_described_to_operators_as_before() -> None:
     snapshot = decode((RECORDED / "snapshot-minutes").read_bytes())
     assert describe(snapshot) == stored("snapshot-rules.json")["shown"]
 
 
-@pytest.mark.parametrize(("name", "age_and_end"), inputs.SNAPSHOT_AGES_MS.items())
-def test_snapshot_is_read_and_retained_as_before(name: str, age_and_end: tuple[float, bool]) -> None:
-    age_ms, exact = age_and_end
+@pytest.mark.parametrize(("name", "age_and_exact"), inputs.SNAPSHOT_AGES_MS.items())
+def test_snapshot_is_read_and_retained_as_before(name: str, age_and_exact: tuple[float, bool]) -> None:
+    age_ms, exact = age_and_exact
     snapshot = decode((RECORDED / name).read_bytes())
-    head = snapshot.header
-    assert head.owner == Identity("g3", "sites", "0123abcd", "17:42")
-    assert (head.incarnation, head.taken_ms, head.exact) == ("feedc0de", inputs.READ_AT_MS - age_ms, exact)
+    header = snapshot.header
+    assert header.owner == Identity("g3", "sites", "0123abcd", "17:42")
+    assert (header.incarnation, header.taken_ms, header.exact) == (
+        "feedc0de",
+        inputs.READ_AT_MS - age_ms,
+        exact,
+    )
     assert snapshot.documents == documents_of(inputs.STREAM_SEEDS[0])
-    found = retained(snapshot.documents, head.taken_ms, head.exact, inputs.READ_AT_MS, inputs.STARTED_AT_MS)
-    assert found == stored("retained.json")[name]
+    documents = retained(
+        snapshot.documents, header.taken_ms, header.exact, inputs.READ_AT_MS, inputs.STARTED_AT_MS
+    )
+    assert documents == stored("retained.json")[name]
 
 
 @pytest.mark.parametrize("name", inputs.SNAPSHOT_AGES_MS)
@@ -185,8 +191,8 @@
 
 
 def test_ages_of_the_recorded_snapshots_retain_different_documents() -> None:
-    retained = stored("retained.json")
-    assert len({json.dumps(documents) for documents in retained.values()}) == len(retained)
+    retained_by_name = stored("retained.json")
+    assert len({json.dumps(documents) for documents in retained_by_name.values()}) == len(retained_by_name)
 
 
 def test_host_overrides_are_read_and_written_as_before(tmp_path: Path) -> None:
--- a/tests/compatibility/values.py
+++ b/tests/compatibility/values.py
@@ -1,7 +1,7 @@
-"""Values of either version as plain JSON, without the names of classes and attributes.
+"""Converts values of either version to plain JSON, without the names of classes and attributes.
 
-A dataclass or pydantic model becomes the list of its fields' values in the order of their declaration, so a
-rename leaves it as it is, and a value that changes, moves or is lost does not.
+A dataclass or pydantic model becomes the list of its fields' values in declaration order. So a rename does
+not change the result, but a changed, moved or lost value does.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 def plain(value: Any) -> Any:
-    """A value as JSON holds it."""
+    """Convert a value to JSON types."""
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         return [plain(getattr(value, field.name)) for field in dataclasses.fields(value)]
     model_fields = getattr(type(value), "model_fields", None)
@@ -35,7 +35,7 @@
 
 
 def schema_keys(schema: dict[str, Any], definitions: dict[str, Any] | None = None) -> Any:
-    """A JSON schema without the names and docstrings of classes: references stand for what they refer to."""
+    """A JSON schema without names and docstrings of classes, with references replaced by their targets."""
     definitions = schema.get("$defs", {}) if definitions is None else definitions
 
     def resolved(part: Any, names_fields: bool = False) -> Any:
@@ -45,11 +45,11 @@
             return part
         if "$ref" in part:
             return resolved(definitions[part["$ref"].rpartition("/")[2]])
-        left_out = () if names_fields else ("$defs", "title", "description")
+        omitted_keys = () if names_fields else ("$defs", "title", "description")
         return {
             key: resolved(item, key == "properties" and not names_fields)
             for key, item in part.items()
-            if key not in left_out
+            if key not in omitted_keys
         }
 
     return resolved(schema)
--- a/tests/fakes/successors.py
+++ b/tests/fakes/successors.py
@@ -1,4 +1,4 @@
-"""A busy gateway, what it exports, and a successor that restores it; without sockets and clocks."""
+"""A busy gateway, its exported state, and a successor that restores it; without sockets and clocks."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def busy_gateway(seed: int = 1, customers: int = 30, faults: bool = True, **changes: object) -> Driver:
-    """A gateway after a while of traffic from customers of all plans; `faults`: a slow and a failing host."""
+    """A gateway after traffic from customers of several plans; `faults`: with a slow and a failing host."""
     driver = Driver(servers=6, seed=seed, counter_available=False, **changes)
     rng = random.Random(seed)
     restarted = server(5, started_at_ms=driver.now)
@@ -42,7 +42,7 @@
 
 
 def exported_documents(gateway: Gateway) -> list[dict[str, Any]]:
-    """What a gateway exports, after a round trip over JSON."""
+    """The documents that a gateway exports, after a round trip through JSON."""
     documents: list[dict[str, Any]] = json.loads(json.dumps(list(export(gateway))))
     return documents
 
@@ -50,7 +50,7 @@
 def successor_of(
     predecessor: Driver, documents: list[dict[str, Any]] | None = None, after_ms: float = 0.0
 ) -> Driver:
-    """A gateway of the same settings and endpoints that restores documents, by default the predecessor's."""
+    """A gateway with the same settings and hosts that restores documents, by default the predecessor's."""
     successor = Driver(servers=6, seed=99, now=predecessor.now + after_ms, counter_available=False)
     restarted = predecessor.gateway.hosts["h5"].endpoint
     successor.give(api.EndpointList(ListKind.CHANGES, (restarted,)))
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -1,4 +1,4 @@
-"""What is compiled passes the tests of its source; where it cannot be made, the source runs."""
+"""The compiled modules pass the tests of their sources; without a compiler, the sources run."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import pytest
 
 ROOT = Path(__file__).parents[1]
-TESTS = (  # the decisions, the adapter, and the real program between scripted peers
+TESTS = (  # of the decisions, the adapter, and the real process with scripted peers
     "tests/decision",
     "tests/balancing/test_random_histories.py",
     "tests/balancing/test_selection.py",
@@ -32,8 +32,8 @@
 )
 
 
-def make(folder: Path, **env: str) -> str:
-    """What deploy/compile.py says of the folder that it made."""
+def run_compile(folder: Path, **env: str) -> str:
+    """Run deploy/compile.py on a folder, and return its output."""
     done = subprocess.run(
         [sys.executable, ROOT / "deploy/compile.py", folder],
         env={**os.environ, **env},
@@ -44,27 +44,28 @@
     return done.stdout
 
 
-def run(folder: Path, *command: str) -> subprocess.CompletedProcess[str]:
+def run_python(folder: Path, *arguments: str) -> subprocess.CompletedProcess[str]:
+    """Run Python with the modules of a folder."""
     env = {**os.environ, "PYTHONPATH": str(folder), "PYTHONSAFEPATH": "1"}
     return subprocess.run(
-        [sys.executable, *command], env=env, cwd=ROOT, text=True, capture_output=True, check=False
+        [sys.executable, *arguments], env=env, cwd=ROOT, text=True, capture_output=True, check=False
     )
 
 
-def origin(folder: Path, module: str = "decision.gateway") -> str:
-    return run(folder, "-c", f"import hillmux.{module} as m; print(m.__file__)").stdout.strip()
+def module_path(folder: Path, module: str = "decision.gateway") -> str:
+    return run_python(folder, "-c", f"import hillmux.{module} as m; print(m.__file__)").stdout.strip()
 
 
 @pytest.mark.skipif(
     shutil.which("cc") is None and shutil.which("gcc") is None, reason="there is no C compiler"
 )
 @pytest.mark.parametrize("tests", TESTS)
-def test_what_is_compiled_passes_the_tests_of_its_source(tests: str) -> None:
-    folder = ROOT / "build/run"  # kept from run to run while no source changes
+def test_compiled_modules_pass_the_tests_of_their_sources(tests: str) -> None:
+    folder = ROOT / "build/run"  # reused by later runs while no source changes
     folder.parent.mkdir(exist_ok=True)
-    with open(folder.parent / "lock", "w") as lock:  # one worker of the tests makes it, the others wait
+    with open(folder.parent / "lock", "w") as lock:  # one pytest worker compiles, the others wait
         fcntl.flock(lock, fcntl.LOCK_EX)
-        assert "is compiled" in make(folder)
+        assert "is compiled" in run_compile(folder)
     for module in (
         "decision.gateway",
         "quotas.quotas",
@@ -73,37 +74,35 @@
         "net.listener",
         "net.managed_gateway",
     ):
-        assert origin(folder, module).endswith(".so") and str(folder) in origin(folder, module)
-    done = run(folder, "-m", "pytest", "-q", "-p", "no:cacheprovider", "-p", "no:xdist", tests)
+        assert module_path(folder, module).endswith(".so") and str(folder) in module_path(folder, module)
+    done = run_python(folder, "-m", "pytest", "-q", "-p", "no:cacheprovider", "-p", "no:xdist", tests)
     assert done.returncode == 0, done.stdout[-2000:]
 
 
-def test_without_a_compiler_the_source_stands(tmp_path: Path) -> None:
+def test_without_a_compiler_the_sources_are_run(tmp_path: Path) -> None:
     folder = tmp_path / "run"
-    said = make(folder, CC="no-such-compiler", PATH="/nonexistent")
-    assert "is not compiled" in said
+    output = run_compile(folder, CC="no-such-compiler", PATH="/nonexistent")
+    assert "is not compiled" in output
     assert list(
         (folder / "hillmux/decision/__pycache__").glob("gateway.*.pyc")
-    )  # no start compiles the sources again
-    assert origin(folder) == str(folder / "hillmux/decision/gateway.py")
+    )  # so that no start has to compile the sources to bytecode again
+    assert module_path(folder) == str(folder / "hillmux/decision/gateway.py")
     assert not list(folder.rglob("*.so")) and not (folder / "setup.py").exists()
-    done = run(folder, "-m", "hillmux.simulator.adapter")  # the adapter starts, and ends with its input
+    done = run_python(folder, "-m", "hillmux.simulator.adapter")  # starts, and ends at the end of its input
     assert done.returncode == 0, done.stderr
 
 
-def test_what_was_half_made_is_not_left_beside_the_sources(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_failed_compilation_leaves_no_partial_result(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     spec = importlib.util.spec_from_file_location("compile_module", ROOT / "deploy/compile.py")
     assert spec is not None and spec.loader is not None
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
 
-    def breaks(folder: Path) -> str:
+    def fail_halfway(folder: Path) -> str:
         (folder / "hillmux/decision/gateway.so").touch()
         return "it broke"
 
-    monkeypatch.setattr(module, "compile_in", breaks)
+    monkeypatch.setattr(module, "compile_in", fail_halfway)
     monkeypatch.setattr(sys, "argv", ["compile.py", str(tmp_path / "run")])
     assert module.main() == 0
     assert (
@@ -112,12 +111,12 @@
     assert (tmp_path / "run/compiled.txt").read_text() == "the decision module is not compiled: it broke\n"
 
 
-def test_what_is_up_to_date_is_left_alone(tmp_path: Path) -> None:
+def test_folder_is_rebuilt_only_after_a_source_changes(tmp_path: Path) -> None:
     folder = tmp_path / "run"
-    make(folder, CC="no-such-compiler", PATH="/nonexistent")
+    run_compile(folder, CC="no-such-compiler", PATH="/nonexistent")
     (folder / "mark").touch()
-    make(folder, CC="no-such-compiler", PATH="/nonexistent")
+    run_compile(folder, CC="no-such-compiler", PATH="/nonexistent")
     assert (folder / "mark").exists()
     (folder / "sources.sha256").write_text("of older sources")
-    make(folder, CC="no-such-compiler", PATH="/nonexistent")
+    run_compile(folder, CC="no-such-compiler", PATH="/nonexistent")
     assert not (folder / "mark").exists()
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -1,7 +1,7 @@
-"""What a request costs in things that can be counted: the same on every machine, and no clock.
+"""Costs of a request that are counted, not timed, and so are the same on every machine.
 
-The figures stand for Python 3.11, whose bytecode they count. Whoever makes a request cheaper lowers them; a
-change that exceeds one by a twentieth has to say why. Timings: `make bench`.
+The figures are for the bytecode of Python 3.11. A change that makes a request cheaper lowers them; one that
+raises a count by more than 5% has to give the reason. Timings: `make bench`.
 """
 
 from __future__ import annotations
@@ -16,18 +16,19 @@
 
 from benchmarks.module_worker import Play
 
-OPCODES = 2042  # of the decision module for a request with its outcome, 10 hosts and 200 customers
-SLACK = 1.05
+# Opcodes that the decision module runs for a request and its outcome, with 10 hosts and 200 customers.
+OPCODES_PER_REQUEST = 2042
+SLACK = 1.05  # factor by which a count may differ
 REQUESTS = 300
 
 
-class Opcodes:
-    """Counts the opcodes that the decision module runs."""
+class OpcodeCounter:
+    """Counts the opcodes that the decision module runs within a `with` block."""
 
     def __init__(self) -> None:
         self.count = 0
 
-    def __enter__(self) -> Opcodes:
+    def __enter__(self) -> OpcodeCounter:
         self._before = sys.gettrace()
         sys.settrace(self._frame)
         return self
@@ -36,7 +37,7 @@
         sys.settrace(self._before)
 
     def _frame(self, frame: FrameType, event: str, arg: object) -> Any:
-        if "hillmux" not in frame.f_code.co_filename and "planted" not in frame.f_code.co_name:
+        if "hillmux" not in frame.f_code.co_filename and "slowed" not in frame.f_code.co_name:
             return None
         frame.f_trace_lines, frame.f_trace_opcodes = False, True
         return self._opcode
@@ -46,65 +47,67 @@
         return self._opcode
 
 
-def opcodes(hosts: int, customers: int, planted: int = 0) -> float:
+def opcodes_per_request(hosts: int, customers: int, extra_iterations: int = 0) -> float:
     play = Play(hosts, customers)
     play.run(play.requests(max(2 * customers, 2000), everyone=True))
     handle = play.gateway.handle
 
-    def planted_handle(*args: Any) -> Any:
-        for _ in range(planted):
+    def slowed_handle(*args: Any) -> Any:
+        for _ in range(extra_iterations):
             pass
         return handle(*args)
 
-    if planted:
-        play.gateway.handle = planted_handle  # type: ignore[method-assign]
+    if extra_iterations:
+        play.gateway.handle = slowed_handle  # type: ignore[method-assign]
     requests = play.requests(REQUESTS)
-    with Opcodes() as counted:
+    with OpcodeCounter() as counted:
         play.run(requests)
     return counted.count / REQUESTS
 
 
-needs_311 = pytest.mark.skipif(
-    sys.version_info[:2] != (3, 11), reason="figures stand for the bytecode of 3.11"
-)
+needs_311 = pytest.mark.skipif(sys.version_info[:2] != (3, 11), reason="figures are for the bytecode of 3.11")
 
 
 @needs_311
-def test_a_request_runs_no_more_of_the_module_than_before() -> None:
-    count = opcodes(10, 200)
-    assert count <= SLACK * OPCODES, f"{count:.0f} opcodes a request, {OPCODES} before"
-    assert count >= OPCODES / SLACK, f"{count:.0f} opcodes a request: lower the figure, which is {OPCODES}"
+def test_request_runs_no_more_opcodes_than_before() -> None:
+    count = opcodes_per_request(10, 200)
+    assert count <= SLACK * OPCODES_PER_REQUEST, (
+        f"{count:.0f} opcodes per request, {OPCODES_PER_REQUEST} before"
+    )
+    assert count >= OPCODES_PER_REQUEST / SLACK, (
+        f"{count:.0f} opcodes per request: lower {OPCODES_PER_REQUEST}"
+    )
 
 
 @needs_311
-def test_a_planted_twentieth_is_found() -> None:
-    assert opcodes(10, 200, planted=32) > SLACK * OPCODES
+def test_slowdown_of_a_twentieth_is_detected() -> None:
+    assert opcodes_per_request(10, 200, extra_iterations=32) > SLACK * OPCODES_PER_REQUEST
 
 
 def test_work_does_not_grow_with_hosts_or_customers() -> None:
-    few = opcodes(10, 200)
-    assert opcodes(1000, 200) <= 1.1 * few
-    assert opcodes(10, 4000) <= 1.3 * few
+    base = opcodes_per_request(10, 200)
+    assert opcodes_per_request(1000, 200) <= 1.1 * base
+    assert opcodes_per_request(10, 4000) <= 1.3 * base
 
 
-def test_a_lookup_takes_two_reads_and_two_writes(tmp_path: Path) -> None:
-    """The kernel's own count for the real program: what is read or written more for each request shows."""
+def test_request_takes_two_reads_and_two_writes(tmp_path: Path) -> None:
+    """Counts the system calls of the real process, as the kernel reports them."""
 
     async def scenario() -> None:
         async with Rig(tmp_path, lambda seen: reply()) as rig:
             reader, writer = await rig.connect()
 
-            async def ask(count: int) -> dict[str, int]:
+            async def send_requests(count: int) -> dict[str, int]:
                 for i in range(count):
-                    writer.write(message(rid=b"%016x" % (ask.serial + i)))
+                    writer.write(message(rid=b"%016x" % (send_requests.serial + i)))
                     await read_message(reader, writer)
-                ask.serial += count
+                send_requests.serial += count
                 lines = Path(f"/proc/{rig.process.pid}/io").read_text().splitlines()
                 return {name: int(value) for name, _, value in (line.partition(": ") for line in lines)}
 
-            ask.serial = 1
-            before = await ask(50)
-            after = await ask(400)
+            send_requests.serial = 1
+            before = await send_requests(50)
+            after = await send_requests(400)
             reads, writes = ((after[k] - before[k]) / 400 for k in ("syscr", "syscw"))
             assert 2.0 <= reads <= 2.4 and 2.0 <= writes <= 2.2, (reads, writes)
 
