--- a/hillmux/hot_restart/channel.py
+++ b/hillmux/hot_restart/channel.py
@@ -132,7 +132,7 @@
 
 @contextlib.contextmanager
 def _socket_path(directory: str) -> Iterator[str]:
-    """Yield a short path of the socket: an address is limited to 108 bytes (unix(7)), a path is not."""
+    """Yield a short path of the socket: an address holds 108 bytes (unix(7)), a path may be longer."""
     descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{descriptor}/{SOCKET_NAME}"
--- a/hillmux/hot_restart/server.py
+++ b/hillmux/hot_restart/server.py
@@ -27,7 +27,7 @@
     """What a retiring process transfers before its successor serves."""
 
     listener: int  # a duplicate descriptor of the listening socket, owned by the receiver
-    documents: Iterable[Packet]  # the state, as `state_codec.export` yields it
+    documents: Iterable[Packet]  # the state of the decision module and the hosts that discovery has listed
 
 
 class RetiringProcess(Protocol):
--- a/tests/compatibility/follow_up.py
+++ b/tests/compatibility/follow_up.py
@@ -1,4 +1,4 @@
-"""Requests after a hot restart in the simulator's protocol: recorded from one version, replayed to another."""
+"""Records requests after a hot restart in the simulator's protocol; the other version replays them."""
 
 from __future__ import annotations
 
--- a/tests/recovery/test_snapshot_format.py
+++ b/tests/recovery/test_snapshot_format.py
@@ -37,18 +37,18 @@
 
 
 def test_truncated_file_is_rejected() -> None:
-    whole = encoded()
-    for length in range(len(whole)):
+    complete = encoded()
+    for length in range(len(complete)):
         with pytest.raises(SnapshotError):
-            decode(whole[:length])
+            decode(complete[:length])
     with pytest.raises(SnapshotError):
-        decode(whole + b"{}\n")
+        decode(complete + b"{}\n")
 
 
 def test_file_with_any_flipped_bit_is_rejected() -> None:
-    whole = encoded()
-    for bit in range(8 * len(whole)):
-        corrupt = bytearray(whole)
+    complete = encoded()
+    for bit in range(8 * len(complete)):
+        corrupt = bytearray(complete)
         corrupt[bit // 8] ^= 1 << bit % 8
         with pytest.raises(SnapshotError):
             decode(bytes(corrupt))
