--- a/hillmux/hot_restart/state_codec.py
+++ b/hillmux/hot_restart/state_codec.py
@@ -88,7 +88,7 @@
 INTEGER_KEYS = frozenset(("q_n", "q_seen", "strikes", "fails", "width", "widest", "window"))
 MAX_MAGNITUDE = 1e15  # bound of all other numbers; times in ms have 13 digits
 # A value outside these ranges would make the module fail while it is half restored, or later: it takes the
-# logarithm of a latency ratio, and the time for which it ejects a host is a power of the number of ejections.
+# logarithm of a latency ratio, and doubles the time for which it ejects a host with each ejection.
 RANGES = {
     "f": (0.0, 1.0), "heard": (0.0, 1.0), "luck": (0.0, 1.0),
     "slow": (MIN_LATENCY_RATIO, MAX_LATENCY_RATIO), "fails": (0, 10),
