--- a/tests/quotas/test_lease_records.py
+++ b/tests/quotas/test_lease_records.py
@@ -112,7 +112,7 @@
     fleet = GatewayFleet(3)
     prefetched = fleet.prefetch(0)
     (row,) = next(doc for doc in export(fleet.gateways[0].gateway) if doc["t"] == "customers")["uses"]
-    fields = dict(zip(documents.USE, row[2:], strict=True))
+    fields = dict(zip(documents.QUOTA_STATE_KEYS, row[2:], strict=True))
     due = fields["own"] - fields["added"]
     assert due == pytest.approx(-prefetched)
     assert sum(fleet.totals.values()) + due == pytest.approx(fields["own"])
@@ -125,13 +125,18 @@
         "base_use": 7.0, "base_at": 0.0, "base_left": 15.0, "most": 15.0, "left": 15.0, "left_at": 0.0,
         "others": 0.0005, "luck": 1.0, "seen": 0.0, "ceiling": 0.0, "ceiling_at": 0.0,
     }  # fmt: skip
-    assert tuple(values) == documents.USE
+    assert tuple(values) == documents.QUOTA_STATE_KEYS
     fleet = GatewayFleet(3)
     for name in ("base_at", "left_at", "seen", "ceiling_at"):
         values[name] = fleet.now
     fleet.use_elsewhere(9.0)
     rows = [doc for doc in export(fleet.gateways[0].gateway) if doc["t"] != "customers"]
-    rows.append({"t": "customers", "uses": [[NAME, PLAN.name, *(values[name] for name in documents.USE)]]})
+    rows.append(
+        {
+            "t": "customers",
+            "uses": [[NAME, PLAN.name, *(values[name] for name in documents.QUOTA_STATE_KEYS)]],
+        }
+    )
     restore(fleet.gateways[0].gateway, json.loads(json.dumps(rows)))
     assert fleet.leased_units(0) == 0.0
     assert fleet.send_request(0)
