--- a/hillmux/lab/world.py
+++ b/hillmux/lab/world.py
@@ -16,8 +16,8 @@
 import uvloop
 
 from hillmux.lab.clock import RealClock
+from hillmux.lab.helper_process import begun, tell
 from hillmux.lab.links import EmulatedLink
-from hillmux.lab.pipe import begun, tell
 from hillmux.lab.record import Recorder
 from hillmux.lab.scenario import (
     COUNTER_FAULTS,
