--- a/hillmux/lab/load.py
+++ b/hillmux/lab/load.py
@@ -25,8 +25,8 @@
 
 from hillmux.lab.checks import ANSWER_SLACK_MS
 from hillmux.lab.clock import RealClock
-from hillmux.lab.front import ClientConnection, FrontGateway
 from hillmux.lab.helper_process import begun, tell
+from hillmux.lab.load_balancer import ClientConnection, FrontGateway
 from hillmux.lab.record import Recorder
 from hillmux.lab.scenario import Scenario, schedule
 from hillmux.lab.streams import Stream
--- a/hillmux/lab/unruly.py
+++ b/hillmux/lab/unruly.py
@@ -8,7 +8,7 @@
 import asyncio
 
 from hillmux.lab.checks import ANSWER_SLACK_MS
-from hillmux.lab.front import FrontGateway, Load
+from hillmux.lab.load_balancer import FrontGateway, Load
 from hillmux.lab.streams import Stream
 
 KINDS = ("leave", "halt", "pipeline", "slow", "hurry")
