--- a/hillmux/lab/compare.py
+++ b/hillmux/lab/compare.py
@@ -11,9 +11,9 @@
 import numpy as np
 
 from hillmux.lab.measures import Figures
+from hillmux.lab.random_streams import generator
 from hillmux.lab.run import Result, play
 from hillmux.lab.scenario import Scenario
-from hillmux.lab.streams import generator
 from hillmux.lab.trees import PACKAGES, extract_revision
 
 RESAMPLES = 4000
--- a/hillmux/lab/load.py
+++ b/hillmux/lab/load.py
@@ -27,9 +27,9 @@
 from hillmux.lab.clock import RealClock
 from hillmux.lab.helper_process import begun, tell
 from hillmux.lab.load_balancer import ClientConnection, FrontGateway
+from hillmux.lab.random_streams import Stream
 from hillmux.lab.record import Recorder
 from hillmux.lab.scenario import Scenario, schedule
-from hillmux.lab.streams import Stream
 from hillmux.lab.traffic import PlannedRequest, plan_requests
 from hillmux.lab.unruly import UnrulyClients
 
--- a/hillmux/lab/processes.py
+++ b/hillmux/lab/processes.py
@@ -16,9 +16,9 @@
 
 import orjson
 
+from hillmux.lab.random_streams import generator
 from hillmux.lab.record import Recorder
 from hillmux.lab.scenario import MOST_UNITS, Class, Plan, Scenario, slack, zone_of
-from hillmux.lab.streams import generator
 from hillmux.lab.trees import package_in
 
 READY_TIMEOUT_S = 20.0
--- a/hillmux/lab/scenario.py
+++ b/hillmux/lab/scenario.py
@@ -14,8 +14,8 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
 from hillmux.lab.checks import MIN_KILL_AFTER_TERM_MS, Terms
+from hillmux.lab.random_streams import generator
 from hillmux.lab.rules import CHECKERS, OPTIONAL_RULES
-from hillmux.lab.streams import generator
 from hillmux.lab.traffic import ClassTraffic, PlanTraffic, TrafficModel
 
 Share = Annotated[float, Field(ge=0, le=1)]
--- a/hillmux/lab/soak_draw.py
+++ b/hillmux/lab/soak_draw.py
@@ -11,8 +11,8 @@
 
 import numpy as np
 
+from hillmux.lab.random_streams import generator
 from hillmux.lab.scenario import Scenario
-from hillmux.lab.streams import generator
 
 DEFAULT_LENGTH_S = 10.0
 FIRST_FAULT_S = 1.2  # a gateway may be sent SIGHUP from a second after its start on
--- a/hillmux/lab/standins/alone.py
+++ b/hillmux/lab/standins/alone.py
@@ -7,8 +7,8 @@
 
 from hillmux.lab.clock import RealClock
 from hillmux.lab.links import EmulatedLink
+from hillmux.lab.random_streams import Stream
 from hillmux.lab.standins.host import HostStandIn, IdempotencyKeys
-from hillmux.lab.streams import Stream
 from hillmux.lab.virtual.hosts import HostModel
 
 MAX_QUEUED = 200
--- a/hillmux/lab/standins/exchange.py
+++ b/hillmux/lab/standins/exchange.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 
 from hillmux.lab.clock import Clock
+from hillmux.lab.random_streams import Stream
 from hillmux.lab.record import Note
-from hillmux.lab.streams import Stream
 
 MAX_DATAGRAM_BYTES = 256  # bytes; a longer one voids a run on the platform
 REORDER_DELAY_MS = 50.0  # how much later one comes that others overtake
--- a/hillmux/lab/standins/host.py
+++ b/hillmux/lab/standins/host.py
@@ -12,9 +12,9 @@
 
 from hillmux.lab.clock import Clock
 from hillmux.lab.links import EmulatedConnection, EmulatedLink, GatedListener
+from hillmux.lab.random_streams import Stream
 from hillmux.lab.record import Note
 from hillmux.lab.standins.http import ReceivedRequest, RequestHandler, ServerConnection, response_bytes
-from hillmux.lab.streams import Stream
 from hillmux.lab.virtual.hosts import HostModel, Job, SimulatedHost
 
 MAX_KEYS = 200_000
--- a/hillmux/lab/traffic.py
+++ b/hillmux/lab/traffic.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from hillmux.lab.streams import generator
+from hillmux.lab.random_streams import generator
 
 
 @dataclass(slots=True, frozen=True)
--- a/hillmux/lab/unruly.py
+++ b/hillmux/lab/unruly.py
@@ -9,7 +9,7 @@
 
 from hillmux.lab.checks import ANSWER_SLACK_MS
 from hillmux.lab.load_balancer import FrontGateway, Load
-from hillmux.lab.streams import Stream
+from hillmux.lab.random_streams import Stream
 
 KINDS = ("leave", "halt", "pipeline", "slow", "hurry")
 HALTED_CLIENT_MS = 3000.0  # within which a client that halts gets its error, or a close
--- a/hillmux/lab/virtual/counting.py
+++ b/hillmux/lab/virtual/counting.py
@@ -18,8 +18,8 @@
 from hillmux.counter.store import format_total
 from hillmux.decision.gateway import Gateway
 from hillmux.interface import AttemptResult, ListKind
+from hillmux.lab.random_streams import Stream, generator
 from hillmux.lab.store import TokenBucket
-from hillmux.lab.streams import Stream, generator
 from hillmux.lab.virtual.counter import CounterModel, SimulatedCounter
 from hillmux.lab.virtual.loop import VirtualLoop
 from hillmux.net.counter_channel import request_bytes
--- a/hillmux/lab/virtual/counting_faults.py
+++ b/hillmux/lab/virtual/counting_faults.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from hillmux.interface import AttemptResult
-from hillmux.lab.streams import Stream
+from hillmux.lab.random_streams import Stream
 from hillmux.lab.virtual.counting import (
     START_TIME_MS,
     CounterCall,
--- a/hillmux/lab/virtual/counting_schedules.py
+++ b/hillmux/lab/virtual/counting_schedules.py
@@ -12,7 +12,7 @@
 
 import numpy as np
 
-from hillmux.lab.streams import generator
+from hillmux.lab.random_streams import generator
 from hillmux.lab.virtual.counter import CounterModel
 from hillmux.lab.virtual.counting import UNLIMITED, CountingFleet, CountingGateway, CountingScenario
 from hillmux.lab.virtual.counting_faults import (
--- a/hillmux/lab/virtual/discovery.py
+++ b/hillmux/lab/virtual/discovery.py
@@ -6,7 +6,7 @@
 
 from hillmux import interface as api
 from hillmux.interface import HostStatus
-from hillmux.lab.streams import Stream
+from hillmux.lab.random_streams import Stream
 from hillmux.lab.virtual.loop import VirtualLoop
 from hillmux.lab.virtual.model import START_MS
 
--- a/hillmux/lab/virtual/simulation.py
+++ b/hillmux/lab/virtual/simulation.py
@@ -12,8 +12,8 @@
 
 from hillmux import interface as api
 from hillmux.interface import HostStatus, ListKind
+from hillmux.lab.random_streams import Stream, generator
 from hillmux.lab.record import Note
-from hillmux.lab.streams import Stream, generator
 from hillmux.lab.traffic import PlannedRequest
 from hillmux.lab.virtual.clients import SimulatedClients
 from hillmux.lab.virtual.counter import SimulatedCounter
--- a/hillmux/lab/world.py
+++ b/hillmux/lab/world.py
@@ -18,6 +18,7 @@
 from hillmux.lab.clock import RealClock
 from hillmux.lab.helper_process import begun, tell
 from hillmux.lab.links import EmulatedLink
+from hillmux.lab.random_streams import Stream, generator
 from hillmux.lab.record import Recorder
 from hillmux.lab.scenario import (
     COUNTER_FAULTS,
@@ -33,7 +34,6 @@
 from hillmux.lab.standins.discovery import DiscoveryStandIn
 from hillmux.lab.standins.exchange import Exchange
 from hillmux.lab.standins.host import HostStandIn, IdempotencyKeys
-from hillmux.lab.streams import Stream, generator
 from hillmux.lab.virtual.counter import CounterModel
 from hillmux.lab.virtual.hosts import DRAINING, READY, HostModel
 
