--- a/hillmux/lab/world.py
+++ b/hillmux/lab/environment.py
@@ -1,6 +1,6 @@
 """The process of the stand-ins: all hosts, the counter, an agent for each gateway, and the links to them.
 
-    python -m hillmux.lab.world
+    python -m hillmux.lab.environment
 
 Takes lines of JSON: `{"scenario": ..., "folder": ...}`, then `{"t0": ...}` once the gateways are ready, and
 ends with its standard input. Says `{"ports": ...}` when all of it listens.
--- a/hillmux/lab/run.py
+++ b/hillmux/lab/run.py
@@ -124,7 +124,10 @@
     ) -> None:
         self.scenario, self.folder, self.tree = scenario, folder, tree
         self._report, self._show_progress = say, show
-        self._environment, self._load = HelperProcess("hillmux.lab.world"), HelperProcess("hillmux.lab.load")
+        self._environment, self._load = (
+            HelperProcess("hillmux.lab.environment"),
+            HelperProcess("hillmux.lab.load"),
+        )
         self.gateways: dict[str, GatewayProcess] = {}
         self._tasks: set[asyncio.Task[None]] = set()  # restarts that have not come about yet
         self._timers: list[asyncio.TimerHandle] = []  # of faults, and of the next look at the memory
