--- a/hillmux/lab/__init__.py
+++ b/hillmux/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: many gateways between stand-ins, with faults, a record of all that happened, and checks of it."""
+"""The lab: runs fleets of gateways between stand-ins with injected faults, and checks the recorded events."""
--- a/hillmux/lab/clock.py
+++ b/hillmux/lab/clock.py
@@ -1,4 +1,4 @@
-"""What the models need of a loop, and real time in its shape: one model serves both kinds of time."""
+"""The clock interface of the models, which run in virtual and in real time, and a real-time clock."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 
 class Clock(Protocol):
-    """A clock in milliseconds that calls back; `lab.virtual.loop.Loop` is one."""
+    """A clock in milliseconds that schedules calls; `lab.virtual.loop.VirtualLoop` is one."""
 
     @property
     def now(self) -> float:
-        """Milliseconds since some fixed moment."""
+        """Milliseconds since a fixed, unspecified time."""
 
     def at(self, when_ms: float, call: Callable[..., object], *args: Any) -> None:
-        """Call at a time, or soon if that has passed."""
+        """Call at `when_ms` on this clock, or as soon as possible if that has passed."""
 
     def after(self, in_ms: float, call: Callable[..., object], *args: Any) -> None:
-        """Call after a time."""
+        """Call after `in_ms` milliseconds."""
 
 
 class RealClock:
-    """The machine's monotonic clock, which all processes of a run share (CLOCK_MONOTONIC)."""
+    """The machine's monotonic clock (CLOCK_MONOTONIC), the same in all processes of a run."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
 
     @property
     def now(self) -> float:
-        """Milliseconds of the monotonic clock."""
+        """The monotonic clock in milliseconds."""
         return self._loop.time() * 1000
 
     def at(self, when_ms: float, call: Callable[..., object], *args: Any) -> None:
-        """Call at a time, or soon if that has passed."""
+        """Call at `when_ms` on this clock, or as soon as possible if that has passed."""
         self._loop.call_at(when_ms / 1000, call, *args)
 
     def after(self, in_ms: float, call: Callable[..., object], *args: Any) -> None:
-        """Call after a time."""
+        """Call after `in_ms` milliseconds."""
         self._loop.call_later(in_ms / 1000, call, *args)
--- a/hillmux/lab/environment.py
+++ b/hillmux/lab/environment.py
@@ -1,9 +1,9 @@
-"""The process of the stand-ins: all hosts, the counter, an agent for each gateway, and the links to them.
+"""The stand-in process: all hosts, the counter, a discovery agent for each gateway, and the links to them.
 
     python -m hillmux.lab.environment
 
-Takes lines of JSON: `{"scenario": ..., "folder": ...}`, then `{"t0": ...}` once the gateways are ready, and
-ends with its standard input. Says `{"ports": ...}` when all of it listens.
+Reads JSON lines: `{"scenario": ..., "folder": ...}`, then `{"t0": ...}` once the gateways are ready; exits at
+the end of its standard input. Writes `{"ports": ...}` when every stand-in listens.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 import uvloop
 
 from hillmux.lab.clock import RealClock
-from hillmux.lab.helper_process import begun, tell
+from hillmux.lab.helper_process import connect_to_lab, send_to_lab
 from hillmux.lab.links import EmulatedLink
 from hillmux.lab.random_streams import Stream, generator
 from hillmux.lab.record import Recorder
@@ -41,7 +41,7 @@
 
 
 class LabEnvironment:
-    """Everything around the gateways, and the faults in it."""
+    """All stand-ins of a run and their links to the gateways; applies the faults to them."""
 
     def __init__(self, scenario: Scenario, note: Recorder, loop: asyncio.AbstractEventLoop) -> None:
         fleet = scenario.fleet
@@ -97,7 +97,7 @@
         )
 
     def ports(self) -> dict[str, Any]:
-        """What each gateway is told of: its discovery, its counter, its list."""
+        """By gateway: the ports of its discovery agent and counter, its first endpoint list, its peers."""
         return {
             name: {
                 "discovery": [listener.port for listener in agent.listeners],
@@ -128,14 +128,14 @@
             )
 
     def schedule_faults(self, t0_ms: float) -> None:
-        """Let all that is to happen here happen, reckoned from a moment of the shared clock."""
+        """Schedule the scenario's faults of stand-ins and links, relative to `t0_ms` of the shared clock."""
         for strike in schedule(self.scenario):
-            moved = strike.fault.what == "hup" and strike.fault.how == "moved"
-            if moved or strike.fault.what not in GATEWAY_FAULTS:
+            moves_discovery = strike.fault.what == "hup" and strike.fault.how == "moved"
+            if moves_discovery or strike.fault.what not in GATEWAY_FAULTS:
                 self.clock.at(t0_ms + strike.at_ms, self.apply_fault, strike)
 
     def apply_fault(self, strike: Strike) -> None:
-        """One fault, now."""
+        """Record a fault and apply it now."""
         fault, what = strike.fault, strike.fault.what
         self.note("lab", "fault", what=what, target=strike.target, value=fault.value)
         if what in LINK_FAULTS or what in PEER_FAULTS:
@@ -155,13 +155,13 @@
         else:
             agent = self.agents[strike.target]
             if what == "forget":
-                agent.forget()
+                agent.reset_versions()
             elif what == "hup":
                 agent.change_address()
             elif what == "clock":
                 agent.ahead_ms = 1000 * fault.value
             else:
-                agent.silence(what == "silence")
+                agent.set_silent(what == "silence")
 
     @staticmethod
     def _apply_link_fault(link: EmulatedLink, what: str, value: float) -> None:
@@ -189,7 +189,7 @@
             counter.split(set(target.split(",")) if what == "counter_split" else set())
 
     def _swap_addresses(self, a: HostStandIn, b: HostStandIn) -> None:
-        """Two hosts restart at each other's addresses. A link's faults stay with the address."""
+        """Restart two hosts with their addresses exchanged. Faults of a link stay with the address."""
         a.crash()
         b.crash()
         a.listeners, b.listeners = b.listeners, a.listeners
@@ -225,11 +225,11 @@
 
 async def _main() -> None:
     loop = asyncio.get_running_loop()
-    reader, first, note = await begun("world")
-    world = LabEnvironment(Scenario.model_validate(first["scenario"]), note, loop)
-    tell(ports=world.ports())
+    reader, first_line, note = await connect_to_lab("world")
+    environment = LabEnvironment(Scenario.model_validate(first_line["scenario"]), note, loop)
+    send_to_lab(ports=environment.ports())
     while line := await reader.readline():
-        world.schedule_faults(orjson.loads(line)["t0"])
+        environment.schedule_faults(orjson.loads(line)["t0"])
     note.close()
 
 
--- a/hillmux/lab/helper_process.py
+++ b/hillmux/lab/helper_process.py
@@ -1,4 +1,7 @@
-"""How a helper's process begins: its first line, its clock, its part of the record."""
+"""The side of a helper process in its exchange with the lab.
+
+JSON lines on standard input and output, and the file of its record.
+"""
 
 from __future__ import annotations
 
@@ -12,19 +15,23 @@
 from hillmux.lab.clock import RealClock
 from hillmux.lab.record import Recorder
 
-LONGEST_LINE = 1 << 24
+MAX_LINE_BYTES = 1 << 24
+
 
+async def connect_to_lab(name: str) -> tuple[asyncio.StreamReader, dict[str, Any], Recorder]:
+    """Connect to the lab and open this process's record, `<name>.jsonl` in the run's folder.
 
-async def begun(name: str) -> tuple[asyncio.StreamReader, dict[str, Any], Recorder]:
-    """Standard input, the first line on it, and the record that this process writes."""
+    Returns:
+        A reader of standard input, the parsed first line from it, and the recorder.
+    """
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=LONGEST_LINE)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    first: dict[str, Any] = orjson.loads(await reader.readline())
+    first_line: dict[str, Any] = orjson.loads(await reader.readline())
     clock = RealClock(loop)
-    return reader, first, Recorder(Path(first["folder"]) / f"{name}.jsonl", lambda: clock.now)
+    return reader, first_line, Recorder(Path(first_line["folder"]) / f"{name}.jsonl", lambda: clock.now)
 
 
-def tell(**said: Any) -> None:
-    """One line to the lab."""
-    print(orjson.dumps(said).decode(), flush=True)
+def send_to_lab(**fields: Any) -> None:
+    """Write one JSON line to the lab."""
+    print(orjson.dumps(fields).decode(), flush=True)
--- a/hillmux/lab/links.py
+++ b/hillmux/lab/links.py
@@ -1,13 +1,14 @@
-"""Faults on the way between two actors: what a relay would do, between a socket and the stand-in behind it.
+"""Emulated network links with faults, between the socket of a stand-in and the stand-in's own code.
 
-Theory of operation. Every stand-in listens at one port for each gateway, so a connection's link, the pair
-of its two ends, is known when it comes up. Bytes and endings pass the link in both directions and are held,
-delayed, throttled or lost there. No second socket lies between, so a reset or a FIN can't be hidden by
-accident: the gateway talks to the very socket that the fault acts on.
+Theory of operation. Every stand-in listens on a separate port for each gateway, so the link of a connection
+(its gateway and its stand-in) is known when it is accepted. Bytes, FINs and resets pass the link in both
+directions, which delays, throttles or drops them. There is no relay with a second socket that could hide a
+reset or a FIN: the gateway is connected to the very socket that the fault acts on.
 
-TCP sends again what a cut path lost. So bytes under a cut are dropped and the connection is marked: once the
-path is back it is reset, as the platform's protocol says of a machine that returns. New connections under a
-cut never come up: the listener takes none, and its queue is kept full by a connection of our own.
+TCP would retransmit the bytes lost on a cut path. Bytes under a cut are therefore dropped and the connection
+is marked; it is reset once the path is restored, as the platform's protocol specifies for a machine that
+returns. New connections are never established under a cut: the listener accepts none, and a connection of its
+own keeps its accept queue full.
 """
 
 from __future__ import annotations
@@ -19,16 +20,16 @@
 from collections.abc import Callable
 from typing import Any
 
-LINGER_RESET = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with a time-out of 0: close() sends a reset
 BACKLOG = 256
 
 
 class EmulatedLink:
-    """The way between two actors, with its faults; shared by all connections between them."""
+    """The link between a gateway and a stand-in, with its faults; shared by all connections between them."""
 
     __slots__ = (
-        "a",
-        "b",
+        "gateway",
+        "stand_in",
         "cut_in",
         "cut_out",
         "delay_ms",
@@ -38,54 +39,58 @@
         "listeners",
     )
 
-    def __init__(self, a: str, b: str) -> None:
-        self.a, self.b = a, b
-        self.cut_in = self.cut_out = False  # towards the stand-in; back to the gateway
-        self.delay_ms = 0.0  # on top, each way
-        self.bytes_per_s = 0.0  # towards the gateway; 0: no bound
-        self.reset_after = 0  # bytes of an answer after which its connection is reset; 0: never
+    def __init__(self, gateway: str, stand_in: str) -> None:
+        self.gateway, self.stand_in = gateway, stand_in
+        self.cut_in = self.cut_out = False  # whether the path to the stand-in, or back, is cut
+        self.delay_ms = 0.0  # added latency, in each direction
+        self.bytes_per_s = 0.0  # rate limit towards the gateway; 0: unlimited
+        self.reset_after = 0  # bytes sent to the gateway after which a connection is reset; 0: never
         self.connections: set[EmulatedConnection] = set()
         self.listeners: list[GatedListener] = []
 
     def cut(self, inward: bool, outward: bool) -> None:
-        """Cut one way or both, or heal: what lost bytes is reset then."""
+        """Cut or restore each direction; connections that lost bytes are reset once both are restored."""
         healed = (self.cut_in and not inward) or (self.cut_out and not outward)
         self.cut_in, self.cut_out = inward, outward
         for listener in self.listeners:
             listener.set_blocked(inward or outward)
         if healed and not inward and not outward:
-            for wire in [w for w in self.connections if w.bytes_lost]:
-                wire.path_restored()
+            for connection in [c for c in self.connections if c.bytes_lost]:
+                connection.path_restored()
 
 
 class EmulatedConnection(asyncio.Protocol):
-    """One connection on a link. `made` is called with it, and gives what takes its bytes and its end."""
+    """One accepted connection on a link.
+
+    `make_receiver` is called with the connection once it is established; the Receiver that it returns gets
+    the bytes and the end of the connection.
+    """
 
     def __init__(
         self,
         link: EmulatedLink,
-        made: Callable[[EmulatedConnection], Receiver],
+        make_receiver: Callable[[EmulatedConnection], Receiver],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        self.link, self._make_receiver, self._loop = link, made, loop
+        self.link, self._make_receiver, self._loop = link, make_receiver, loop
         self.bytes_lost = self.closing = False
-        self._socket_closed = self._end_delivered = False  # the socket is closed; the receiver knows
+        self._socket_closed = self._end_delivered = False  # _end_delivered: the receiver was notified
         self._transport: Any = None
-        # What is on its way, and when the last of it is through. Bytes go in their order: two timers that
-        # are due at one moment may be called in any.
-        self._inbound: deque[bytes | None] = deque()  # None: the other side's end
+        # Delayed data in each direction, and when the last of it is due. The queues keep the bytes in order:
+        # two timers that are due at the same time may be called in any order.
+        self._inbound: deque[bytes | None] = deque()  # None: the gateway's end of the connection
         self._outbound: deque[bytes] = deque()
         self._inbound_free_at = self._outbound_free_at = 0.0
         self._bytes_written = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register on the link, and make the receiver."""
+        """Register on the link, and create the receiver."""
         self._transport = transport
         self.link.connections.add(self)
         self._receiver = self._make_receiver(self)
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes on to the receiver; under a cut drop them and mark the connection as lost."""
+        """Pass bytes to the receiver; under a cut drop them and mark the connection."""
         link = self.link
         if link.cut_in or self.bytes_lost:
             self.bytes_lost = True
@@ -93,10 +98,10 @@
         self._deliver(data)
 
     def _deliver(self, data: bytes | None) -> None:
-        """Bytes, or the other side's end, to the receiver, in their order and after the link's delay.
+        """Pass bytes, or with None the gateway's end, to the receiver in order and after the link's delay.
 
-        A gateway that dies under a slow link has sent what is on its way, and the host runs a request that
-        arrives complete. An end of the connection that overtook it would hide such work.
+        Bytes that a gateway sent on a slow link before it died still arrive, and the host runs a request that
+        arrives complete. An end of the connection that overtook those bytes would hide such work.
         """
         due = max(self._loop.time() + self.link.delay_ms / 1000, self._inbound_free_at)
         if not self._inbound and due <= self._loop.time():
@@ -107,7 +112,7 @@
         self._loop.call_at(due, self._deliver_next)
 
     def has_inbound(self) -> bool:
-        """Whether something is on its way to the receiver."""
+        """Whether data for the receiver is delayed on the link."""
         return bool(self._inbound)
 
     def _deliver_next(self) -> None:
@@ -123,7 +128,7 @@
             self._receiver.received(data)
 
     def write(self, data: bytes) -> None:
-        """Towards the gateway."""
+        """Send bytes to the gateway, subject to the link's faults."""
         link = self.link
         if self.closing:
             return
@@ -132,9 +137,9 @@
             return
         self._bytes_written += len(data)
         if link.reset_after and self._bytes_written > link.reset_after:
-            keep = max(len(data) - (self._bytes_written - link.reset_after), 0)
-            self._transport.write(data[:keep])
-            self._loop.call_later(0.005, self.reset)  # the half goes out first
+            sent_bytes = max(len(data) - (self._bytes_written - link.reset_after), 0)
+            self._transport.write(data[:sent_bytes])
+            self._loop.call_later(0.005, self.reset)  # after the bytes before the bound were sent
             self.closing = True
             return
         due = max(self._loop.time() + link.delay_ms / 1000, self._outbound_free_at)
@@ -153,7 +158,7 @@
             self._transport.write(data)
 
     def reset(self) -> None:
-        """End it with a reset, as a process that dies does."""
+        """Close the connection with a TCP reset, as the kernel does for a killed process."""
         self.closing = True
         sock = self._transport.get_extra_info("socket")
         if sock is not None and not self._transport.is_closing():
@@ -161,71 +166,71 @@
         self._transport.abort()
 
     def path_restored(self) -> None:
-        """The path is back, and bytes were lost: it is reset, and its stand-in hears of that only now."""
+        """Reset the connection, which lost bytes; notify the receiver if its socket closed under the cut."""
         self.reset()
         self.link.connections.discard(self)
         if self._socket_closed:
             self._receiver.ended()
 
     def eof_received(self) -> bool:
-        """Pass the other side's end on, unless the way to the stand-in is cut; the transport then closes."""
+        """Pass the gateway's FIN on unless the path to the stand-in is cut; the transport closes itself."""
         if not self.link.cut_in and not self.bytes_lost:
             self._deliver(None)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the receiver that the connection is gone; under a cut only once the path is back."""
-        ours = self.closing  # we have ended it, or are about to
+        """Notify the receiver that the connection was closed; under a cut only once the path is restored."""
+        closed_here = self.closing  # closed by this end, or about to be
         self.closing = self._socket_closed = True
         if self.link.cut_in or self.bytes_lost:
-            self.bytes_lost = True  # nobody at this end can know before the path is back
-            if not ours:
+            self.bytes_lost = True  # this end cannot learn of the close before the path is restored
+            if not closed_here:
                 return
         self.link.connections.discard(self)
-        if ours:
-            self._end_delivered = True  # what is still on its way finds nobody
+        if closed_here:
+            self._end_delivered = True  # drops the data still delayed on the link
             self._receiver.ended()
         else:
             self._deliver(None)
 
 
 class Receiver:
-    """What stands behind a wire."""
+    """Receives the bytes and the end of an EmulatedConnection."""
 
     def received(self, data: bytes) -> None:
-        """Bytes have come."""
+        """Handle bytes that arrived."""
         raise NotImplementedError
 
     def ended(self) -> None:
-        """The other side has ended its sending, or the connection is gone; may be told twice."""
+        """Handle the gateway's FIN or the loss of the connection; may be called twice."""
 
 
 class GatedListener:
-    """A listener whose new connections a cut link keeps from coming up."""
+    """A listener that accepts no new connections while its link is cut."""
 
     def __init__(
         self,
         link: EmulatedLink,
-        made: Callable[[EmulatedConnection], Receiver],
+        make_receiver: Callable[[EmulatedConnection], Receiver],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        self.link, self._make_receiver, self._loop = link, made, loop
+        self.link, self._make_receiver, self._loop = link, make_receiver, loop
         self._socket: socket.socket | None = None
         self._queue_filler: socket.socket | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
-        # Its port stays ours while the stand-in is dead: the system would give it to a connection else.
+        # Keeps the port bound while the stand-in is down: the kernel could assign it to a connection.
         self._port_reservation = socket.socket()
         self._port_reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._port_reservation.bind(("127.0.0.1", 0))
         self.port = int(self._port_reservation.getsockname()[1])
         link.listeners.append(self)
 
-    def set_receiver_factory(self, made: Callable[[EmulatedConnection], Receiver]) -> None:
-        """From now on this stands behind its connections."""
-        self._make_receiver = made
+    def set_receiver_factory(self, make_receiver: Callable[[EmulatedConnection], Receiver]) -> None:
+        """Set what creates the receivers of connections accepted from now on."""
+        self._make_receiver = make_receiver
 
     def open(self) -> None:
-        """Listen at its port, which the system chose."""
+        """Listen on its port, which was chosen by the kernel; no effect while open."""
         if self._socket is not None:
             return
         sock = socket.socket()
@@ -239,7 +244,7 @@
             self.set_blocked(True)
 
     def close(self) -> None:
-        """As a process that dies: new connections are refused."""
+        """Stop listening, so that new connections are refused as after the death of a process."""
         if self._socket is not None:
             self._loop.remove_reader(self._socket.fileno())
             self._socket.close()
@@ -249,13 +254,13 @@
             self._queue_filler = None
 
     def set_blocked(self, on: bool) -> None:
-        """Take no new connection, so that a dial hangs; or take them again."""
+        """Stop accepting connections, so that a dial hangs, or (`on` false) accept them again."""
         sock = self._socket
         if sock is None or on == (self._queue_filler is not None):
             return
         if on:
             self._loop.remove_reader(sock.fileno())
-            sock.listen(0)  # one more fits into the queue: it is ours
+            sock.listen(0)  # the queue still holds one connection, which the filler takes
             self._queue_filler = socket.socket()
             self._queue_filler.setblocking(False)
             self._queue_filler.connect_ex(("127.0.0.1", self.port))
@@ -268,14 +273,14 @@
 
     def _accept(self, sock: socket.socket) -> None:
         try:
-            found, _ = sock.accept()
+            accepted, _ = sock.accept()
         except OSError:
             return
-        found.setblocking(False)
-        found.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        accepted.setblocking(False)
+        accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         task = self._loop.create_task(
             self._loop.connect_accepted_socket(
-                lambda: EmulatedConnection(self.link, self._make_receiver, self._loop), found
+                lambda: EmulatedConnection(self.link, self._make_receiver, self._loop), accepted
             )
         )
         self._tasks.add(task)
--- a/hillmux/lab/processes.py
+++ b/hillmux/lab/processes.py
@@ -1,4 +1,4 @@
-"""The gateways' processes: started, signalled, killed, started again under their names; none left behind."""
+"""Starts, signals, kills and restarts the gateway processes of a run; no process outlives the lab."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from hillmux.lab.trees import package_in
 
 READY_TIMEOUT_S = 20.0
-MAX_KEPT_LINES = 40
+MAX_KEPT_LOG_LINES = 40
 SIGNALS = {
     "kill": signal.SIGKILL,
     "term": signal.SIGTERM,
@@ -32,74 +32,81 @@
 }
 ROOT = Path(__file__).resolve().parents[2]
 
-
-PR_SET_PDEATHSIG = 1
-NICENESS = 5
-RECORDED_LOG_SUBJECTS = ("snapshots", "phase")  # lines of a gateway's log that go into the record
+PR_SET_PDEATHSIG = 1  # option of prctl(2)
+NICENESS = 5  # of the gateways; see _prepare_child
+RECORDED_LOG_SUBJECTS = ("snapshots", "phase")  # log lines with these are recorded as events
 
 
 def die_with_parent() -> None:
-    """Run in a child: it is killed when the lab is gone, however that ended (prctl(2))."""
+    """Have the kernel kill this child process when the lab ends, for whatever reason (prctl(2))."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 def _prepare_child() -> None:
-    """Run in a gateway's child: the stand-ins and the load go before it where cores are short, so that a herd
-    that starts is not seen as clients that come late.
+    """Prepare a gateway's child process: bind its life to the lab's, and lower its priority.
+
+    Stand-ins and load generator take precedence where cores are scarce. Otherwise many gateways that start at
+    once would delay the load generator, and its requests would be sent late.
     """
     die_with_parent()
     os.nice(NICENESS)
 
 
 class NotReadyError(RuntimeError):
-    """A gateway that does not start; the text has its last lines."""
+    """A gateway process ended before it was ready, or did not listen in time; with its last log lines."""
 
 
 @dataclass(slots=True, eq=False)
 class RunningProcess:
-    """One process of a gateway, from its start to its end."""
+    """One process of a gateway, from its start to its exit."""
 
     process: asyncio.subprocess.Process
-    end_requested: bool = False  # it was told to end: that it does is no refusal to start
+    end_requested: bool = False  # SIGTERM or SIGKILL was sent: an exit before it is ready is no failed start
     ready: bool = False
-    killed: bool = False  # SIGKILL went out: whatever it still shows, it takes nothing more
+    killed: bool = False  # SIGKILL was sent: it handles no further signal, although it may not be reaped yet
 
     def alive(self) -> bool:
-        """Whether a signal reaches it."""
+        """Whether the process can still receive a signal."""
         return self.process.returncode is None and not self.killed
 
 
 class GatewayProcess:
-    """One gateway: its name, its port and its folder outlive its processes.
+    """One gateway, whose name, port and folder are the same for all its processes.
 
-    What strikes it takes effect in the order of asking: a signal that finds a start on its way waits for that
-    process, and a start waits for the process before it. On a slow machine a start takes longer than the time
-    to the next strike; a signal that went to the dead process before it would be lost.
+    Faults take effect in the order in which they are requested: a signal during a start is queued for the new
+    process, and a start waits for the exit of the previous process. On a slow machine a start can take longer
+    than the time to the next fault; a signal sent to the previous, dead process would be lost.
     """
 
     def __init__(
-        self, number: int, scenario: Scenario, folder: Path, note: Recorder, tree: Path, told: dict[str, Any]
+        self,
+        number: int,
+        scenario: Scenario,
+        folder: Path,
+        note: Recorder,
+        tree: Path,
+        addresses: dict[str, Any],
     ) -> None:
         self.name, self.number = f"g{number}", number
-        # Its port, held while it is dead, too: a client's connection would be given it by the system else.
+        # Keeps the port bound while no process runs: the kernel could assign it to a client's connection.
         self._port_reservation = socket.socket()
         self._port_reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._port_reservation.bind(("127.0.0.1", 0))
         self.port = int(self._port_reservation.getsockname()[1])
-        self._scenario, self._note, self._tree, self._addresses = scenario, note, tree, told
+        self._scenario, self._note, self._tree, self._addresses = scenario, note, tree, addresses
         self._folder = folder / self.name
         self._folder.mkdir()
         self._starts = self._discovery_moves = 0
         self.current: RunningProcess | None = None
-        self._starting = asyncio.Lock()  # held from a start's turn until its process is there
-        self._pending_starts = 0  # starts asked for whose process is not there yet
-        self._ended = False  # no process of it is started any more
-        self._queued_signals: list[str] = []  # signals for the next process
+        self._starting = asyncio.Lock()  # held by one start at a time, until its process exists
+        self._pending_starts = 0  # requested starts whose process does not exist yet
+        self._ended = False  # after end(): no further process is started
+        self._queued_signals: list[str] = []  # names of signals to send to the next process
         self._readers: set[asyncio.Task[None]] = set()
-        self.lines: list[str] = []
+        self.log_lines: list[str] = []  # the last lines that its processes logged
 
     def _config(self) -> dict[str, Any]:
-        """The configuration file of the next process, in the platform's field names."""
+        """The configuration of the next process, with the platform's field names."""
         seed = int(generator(self._scenario.seed, f"gateway.{self.number}.{self._starts}").integers(1 << 61))
         return {
             "name": self.name,
@@ -148,20 +155,20 @@
         }
 
     def _snapshots(self) -> dict[str, Any]:
-        every = self._scenario.fleet.snapshots_ms
-        if not every:
+        interval_ms = self._scenario.fleet.snapshots_ms
+        if not interval_ms:
             return {}
         return {
             "snapshots": {
                 "folder": str(self.snapshot_directory),
-                "every_ms": every,
+                "every_ms": interval_ms,
                 "fleet": self._scenario.name,
             }
         }
 
     @property
     def snapshot_directory(self) -> Path:
-        """Where its snapshots are, on the disk that lasts."""
+        """The folder of its snapshots, which is kept when a process ends."""
         return self._folder / "kept"
 
     def _write_config(self) -> Path:
@@ -170,23 +177,23 @@
         return path
 
     def discovery_moved(self) -> None:
-        """Its discovery has gone to the other address: the file says so from now on."""
+        """Rewrite the configuration file with the other of the two addresses of its discovery agent."""
         self._discovery_moves += 1
         self._write_config()
 
     def alive(self) -> bool:
-        """Whether a process of it runs."""
+        """Whether its current process runs."""
         return self.current is not None and self.current.alive()
 
     def is_starting(self) -> bool:
-        """Whether its process is not ready yet, or is made next: no process before it has to end."""
+        """Whether its process runs but is not ready, or a start is pending after the last process's end."""
         if self.alive():
             assert self.current is not None
             return not self.current.ready
         return self._pending_starts > 0
 
     def memory_kb(self) -> int:
-        """What it holds now; 0 while it is dead."""
+        """Resident memory of its process in KB; 0 while none runs."""
         if self.current is None or not self.current.alive():
             return 0
         try:
@@ -195,21 +202,29 @@
             return 0
         return pages * os.sysconf("SC_PAGE_SIZE") // 1024
 
-    def request_start(self, how: str = "", twin: Path | None = None) -> Awaitable[None]:
-        """Ask for a start. What is returned must be awaited: it waits until the gateway is ready, and raises
-        NotReadyError where it ended before and nothing had told it to.
+    def request_start(self, how: str = "", twin_directory: Path | None = None) -> Awaitable[None]:
+        """Request a start; the returned awaitable must be awaited.
+
+        Args:
+            how: `twin`, `torn` or `flipped` alter the snapshot before the start; empty deletes the snapshots
+                and temporary files; any other value keeps them.
+            twin_directory: Snapshots of another gateway, copied for `twin`.
+
+        Returns:
+            An awaitable that completes once the gateway is ready. It raises NotReadyError if the process ends
+            before that, or does not listen within READY_TIMEOUT_S, and was sent neither SIGTERM nor SIGKILL.
         """
         self._pending_starts += 1
-        return self._start(how, twin)
+        return self._start(how, twin_directory)
 
-    async def _start(self, how: str, twin: Path | None) -> None:
+    async def _start(self, how: str, twin_directory: Path | None) -> None:
         async with self._starting:
             try:
                 if self.current is not None:
                     await self.current.process.wait()
                 if self._ended:
                     return
-                self._prepare_directories(how, twin)
+                self._prepare_directories(how, twin_directory)
                 started = await self._spawn()
             finally:
                 self._pending_starts -= 1
@@ -223,29 +238,29 @@
             await self._wait_until_ready(started)
         except (TimeoutError, NotReadyError):
             if not started.end_requested:
-                raise NotReadyError(f"{self.name} did not start: {' / '.join(self.lines[-3:])}") from None
+                raise NotReadyError(f"{self.name} did not start: {' / '.join(self.log_lines[-3:])}") from None
 
-    def _prepare_directories(self, how: str, twin: Path | None) -> None:
-        """The folders as a start is to find them."""
-        own, file = self._folder / "tmp", self.snapshot_directory / "snapshot"
+    def _prepare_directories(self, how: str, twin_directory: Path | None) -> None:
+        """Delete, copy or corrupt the folders of snapshots and temporary files, as `how` says."""
+        temp_directory, snapshot = self._folder / "tmp", self.snapshot_directory / "snapshot"
         if not how:
-            shutil.rmtree(own, ignore_errors=True)
+            shutil.rmtree(temp_directory, ignore_errors=True)
             shutil.rmtree(self.snapshot_directory, ignore_errors=True)
-        own.mkdir(exist_ok=True)
-        if how == "twin" and twin is not None:
+        temp_directory.mkdir(exist_ok=True)
+        if how == "twin" and twin_directory is not None:
             shutil.rmtree(self.snapshot_directory, ignore_errors=True)
-            shutil.copytree(twin, self.snapshot_directory)
-        elif how in ("torn", "flipped") and file.exists():
-            data = bytearray(file.read_bytes())
+            shutil.copytree(twin_directory, self.snapshot_directory)
+        elif how in ("torn", "flipped") and snapshot.exists():
+            data = bytearray(snapshot.read_bytes())
             if how == "torn":
                 del data[len(data) // 2 :]
             else:
                 data[len(data) // 2] ^= 1
-            file.write_bytes(data)
+            snapshot.write_bytes(data)
 
     async def _spawn(self) -> RunningProcess:
-        own = self._folder / "tmp"
-        path = self._write_config()
+        temp_directory = self._folder / "tmp"
+        config_path = self._write_config()
         self._starts += 1
         self._note(self.name, "start")
         process = await asyncio.create_subprocess_exec(
@@ -257,14 +272,19 @@
             stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
             preexec_fn=_prepare_child,
-            env={**os.environ, "PYTHONPATH": str(self._tree), "ROUTER_CONFIG": str(path), "TMPDIR": str(own)},
+            env={
+                **os.environ,
+                "PYTHONPATH": str(self._tree),
+                "ROUTER_CONFIG": str(config_path),
+                "TMPDIR": str(temp_directory),
+            },
         )
         self.current = RunningProcess(process)
         if self._ended:
             self._kill()
-        waiting, self._queued_signals = self._queued_signals, []
-        for what in waiting:
-            self._send(self.current, what)
+        queued, self._queued_signals = self._queued_signals, []
+        for signal_name in queued:
+            self._send(self.current, signal_name)
         return self.current
 
     async def _read_log(self, process: asyncio.subprocess.Process, listening: asyncio.Future[int]) -> None:
@@ -273,10 +293,10 @@
             while line := await process.stderr.readline():
                 log.write(line)
                 text = line.decode(errors="replace").strip()
-                for kind in RECORDED_LOG_SUBJECTS:
-                    if f"INFO {kind}: " in text or f"WARNING {kind}: " in text:
-                        self._note(self.name, kind, text=text.partition(f"{kind}: ")[2])
-                self.lines = [*self.lines[1 - MAX_KEPT_LINES :], text]
+                for subject in RECORDED_LOG_SUBJECTS:
+                    if f"INFO {subject}: " in text or f"WARNING {subject}: " in text:
+                        self._note(self.name, subject, text=text.partition(f"{subject}: ")[2])
+                self.log_lines = [*self.log_lines[1 - MAX_KEPT_LOG_LINES :], text]
                 if "listening on" in text and not listening.done():
                     listening.set_result(int(text.rsplit(":", 1)[1]))
         code = await process.wait()
@@ -301,31 +321,35 @@
                 raise NotReadyError
             await asyncio.sleep(0.02)
 
-    def signal(self, what: str) -> None:
-        """A signal, by its name in a scenario; to nobody where no process is there and none is on its way."""
+    def signal(self, signal_name: str) -> None:
+        """Send a signal, or queue it for a pending start; without a process or a start it is dropped.
+
+        Args:
+            signal_name: A key of SIGNALS, as scenarios name it.
+        """
         if self.current is not None and self.current.alive():
-            self._send(self.current, what)
+            self._send(self.current, signal_name)
         elif self._pending_starts:
-            self._queued_signals.append(what)
+            self._queued_signals.append(signal_name)
 
-    def _send(self, started: RunningProcess, what: str) -> None:
-        if not started.alive():
+    def _send(self, target: RunningProcess, signal_name: str) -> None:
+        if not target.alive():
             return
-        self._note(self.name, what)
-        started.end_requested = started.end_requested or what in ("kill", "term")
-        started.killed = started.killed or what == "kill"
-        started.process.send_signal(SIGNALS[what])
+        self._note(self.name, signal_name)
+        target.end_requested = target.end_requested or signal_name in ("kill", "term")
+        target.killed = target.killed or signal_name == "kill"
+        target.process.send_signal(SIGNALS[signal_name])
 
     async def end(self) -> None:
-        """End it whatever it does, and wait for that; starts that were asked for begin no more.
+        """Kill its process and wait for the exit; pending starts spawn no process.
 
-        A start whose process is being made is waited for: asyncio never ends a process whose making was
-        cancelled before its pipes were connected.
+        A start whose process is being spawned is not cancelled but waited for: asyncio does not end a process
+        whose creation was cancelled before its pipes were connected.
         """
         self._ended = True
         self._kill()
         async with self._starting:
-            pass  # what is being made is killed as soon as it is there
+            pass  # waits for a spawn in progress, which kills its new process as _ended is set
         if self.current is not None:
             await self.current.process.wait()
         await asyncio.gather(*self._readers)
--- a/hillmux/lab/standins/__init__.py
+++ b/hillmux/lab/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of what a gateway talks to, written from the platform's protocol page."""
+"""Stand-ins for the services that a gateway talks to, as the platform's protocol specifies them."""
--- a/hillmux/lab/standins/alone.py
+++ b/hillmux/lab/standins/alone.py
@@ -1,4 +1,4 @@
-"""Booking nodes behind a single gateway, without a record: for the demonstration and for benchmarks."""
+"""Host stand-ins for a single gateway, without a record of events, for demonstration and benchmarks."""
 
 from __future__ import annotations
 
@@ -11,22 +11,28 @@
 from hillmux.lab.standins.host import HostStandIn, IdempotencyKeys
 from hillmux.lab.virtual.hosts import HostModel
 
-MAX_QUEUED = 200
-MAX_CONNECTIONS = 10_000
+MAX_QUEUED = 200  # requests queued at a host
+MAX_CONNECTIONS = 10_000  # open connections of a host
 
 
 def _discard_event(who: str, ev: str, **fields: Any) -> None:
-    """A record that nobody keeps."""
+    """Discard an event that a stand-in notes."""
 
 
 def start_host_stand_ins(count: int, work_ms: float, seed: int = 1) -> list[HostStandIn]:
-    """Nodes that listen, each at a port that the system chose, in the running loop; `crash` ends one."""
+    """Start hosts in the running loop, each listening on a port chosen by the kernel; `crash` stops one.
+
+    Args:
+        count: Number of hosts.
+        work_ms: Mean work of a request that does not state its own, in ms of one core.
+        seed: Seed of the hosts' random streams.
+    """
     loop = asyncio.get_running_loop()
     clock, keys = RealClock(loop), IdempotencyKeys()
-    nodes = []
+    hosts = []
     for number in range(count):
         name = f"h{number}"
-        node = HostStandIn(
+        host = HostStandIn(
             clock,
             loop,
             name,
@@ -39,6 +45,6 @@
             MAX_CONNECTIONS,
             work_ms,
         )
-        node.open()
-        nodes.append(node)
-    return nodes
+        host.open()
+        hosts.append(host)
+    return hosts
--- a/hillmux/lab/standins/counter.py
+++ b/hillmux/lab/standins/counter.py
@@ -1,4 +1,4 @@
-"""The quota counter on sockets: the model of `lab.virtual.counter` behind the platform's protocol."""
+"""Stand-in for the quota counter: the model of `lab.virtual.counter`, served by the platform's protocol."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from hillmux.lab.standins.http import ReceivedRequest, RequestHandler, ServerConnection, response_bytes
 from hillmux.lab.virtual.counter import CounterModel, SimulatedCounter
 
-MAX_NAME_LENGTH = 64
+MAX_NAME_LENGTH = 64  # characters of a total's name
 Totals = list[dict[str, tuple[float, float]]]
 
 
 class CounterStandIn(RequestHandler):
-    """One counter, or two copies of it, with a listener for each gateway."""
+    """The counter, or two diverging copies of it after a split, with a listener for each gateway."""
 
     def __init__(
         self,
@@ -28,11 +28,13 @@
     ) -> None:
         self._clock, self._note, self._model = clock, note, model
         self.service = SimulatedCounter(clock, model)
-        self.second: SimulatedCounter | None = None  # what the gateways in `at_second` see
-        self.at_second: set[str] = set()
+        self.second_copy: SimulatedCounter | None = (
+            None  # the copy used by `gateways_at_second_copy`; None: no split
+        )
+        self.gateways_at_second_copy: set[str] = set()
         self._saved_totals: Totals = []
         self._connections: set[ServerConnection] = set()
-        self.listeners = {link.a: GatedListener(link, self._connection_opened, loop) for link in links}
+        self.listeners = {link.gateway: GatedListener(link, self._connection_opened, loop) for link in links}
 
     def _connection_opened(self, transport: EmulatedConnection) -> ServerConnection:
         connection = ServerConnection(transport, self)
@@ -40,7 +42,7 @@
         return connection
 
     def connection_closed(self, connection: ServerConnection) -> None:
-        """Forget a connection that is over."""
+        """Drop a connection that was closed."""
         self._connections.discard(connection)
 
     def open(self) -> None:
@@ -49,11 +51,11 @@
             listener.open()
 
     def save_totals(self) -> None:
-        """Remember what it knows now, for a copy that will be old."""
+        """Save the current totals, for a later start from outdated totals."""
         self._saved_totals = self.service.copy()
 
     def stop(self) -> None:
-        """Its process dies."""
+        """Stop as if its process had died: refuse new connections and reset open ones."""
         self.service.stop()
         for listener in self.listeners.values():
             listener.close()
@@ -61,24 +63,24 @@
             connection.transport.reset()
 
     def start(self, how: str) -> None:
-        """It is back with `all`, `nothing`, or what it knew when `keep` was called (`old`)."""
+        """Start again with its totals (`all`), no totals (`nothing`) or those of save_totals (`old`)."""
         self.service.start(
             None if how == "nothing" else self._saved_totals if how == "old" else self.service.copy()
         )
         self.open()
 
     def split(self, gateways: set[str]) -> None:
-        """From now on these gateways see a second copy, which begins with what the first knows."""
+        """Serve these gateways from a second copy with the current totals; an empty set ends the split."""
         if not gateways:
-            self.second, self.at_second = None, set()
+            self.second_copy, self.gateways_at_second_copy = None, set()
             return
-        self.second = SimulatedCounter(self._clock, self._model)
-        self.second.start(self.service.copy())
-        self.at_second = gateways
+        self.second_copy = SimulatedCounter(self._clock, self._model)
+        self.second_copy.start(self.service.copy())
+        self.gateways_at_second_copy = gateways
 
     def handle_request(self, request: ReceivedRequest) -> None:
-        """Add a call to the copy that its gateway sees; 400 on a bad name, amount or `ttl_ms`."""
-        gateway = request.connection.transport.link.a
+        """Pass a call to the copy that serves its gateway; 400 on an invalid name, amount or `ttl_ms`."""
+        gateway = request.connection.transport.link.gateway
         name = request.path.removeprefix("/v1/count/")
         try:
             amount, ttl = float(request.query["add"]), float(request.query["ttl_ms"])
@@ -92,12 +94,12 @@
         ):
             request.respond(response_bytes(400))
             return
-        second = self.second if gateway in self.at_second else None
-        (second or self.service).call(
-            name, amount, ttl, partial(self._answer, request, name, amount, gateway)
+        second_copy = self.second_copy if gateway in self.gateways_at_second_copy else None
+        (second_copy or self.service).call(
+            name, amount, ttl, partial(self._respond, request, name, amount, gateway)
         )
 
-    def _answer(
+    def _respond(
         self, request: ReceivedRequest, name: str, amount: float, gateway: str, result: str, total: float
     ) -> None:
         self._note("counter", "count", gw=gateway, name=name, amount=amount, result=result, total=total)
--- a/hillmux/lab/standins/exchange.py
+++ b/hillmux/lab/standins/exchange.py
@@ -1,8 +1,9 @@
-"""The platform's datagrams between gateways (`peers`, `peers_all`): late, lost, twice, out of order, or cut.
+"""Relay for the platform's datagrams between gateways (`peers`, `peers_all`), with faults.
 
-An address for each gateway and one for all. What a gateway sends from its `peer_listen` to another's address
-goes on to the other's `peer_listen` from the sender's own address, as the platform's protocol has it. Each
-ordered pair of gateways is a link with faults of its own.
+Datagrams can be delayed, lost, duplicated, reordered or cut. The exchange has an address for each gateway and
+one for all. A datagram from a gateway's `peer_listen` to another's address is relayed to the other's
+`peer_listen` from the address of the sender, as the platform's protocol specifies. Each ordered pair of
+gateways is a link with its own faults.
 """
 
 from __future__ import annotations
@@ -15,51 +16,51 @@
 from hillmux.lab.random_streams import Stream
 from hillmux.lab.record import Note
 
-MAX_DATAGRAM_BYTES = 256  # bytes; a longer one voids a run on the platform
-REORDER_DELAY_MS = 50.0  # how much later one comes that others overtake
-MAX_READS_AT_ONCE = 64  # datagrams read in one go, so that a flood doesn't keep the loop
-MAX_IN_FLIGHT = 100_000  # datagrams in flight in all; beyond that they are lost, as in a full queue
-RECEIVE_BYTES = 1 << 20
+MAX_DATAGRAM_BYTES = 256  # a longer datagram voids a run on the platform
+REORDER_DELAY_MS = 50.0  # added delay of a reordered datagram; that of a duplicate is drawn from 0 to this
+MAX_READS_AT_ONCE = 64  # datagrams read per callback, so that a flood does not block the event loop
+MAX_IN_FLIGHT = 100_000  # datagrams in flight in total; more are dropped, as by a full queue
+RECEIVE_BUFFER_BYTES = 1 << 20
 Address = tuple[str, int]
 
 
 @dataclass(slots=True)
 class PeerLink:
-    """From one gateway to another: faults, and its own random stream."""
+    """The link from one gateway to another, with its faults and its own random stream."""
 
     stream: Stream
     cut: bool = False
     delay_ms: float = 0.0
-    lose: float = 0.0  # shares of the datagrams
-    duplicate: float = 0.0
-    reorder: float = 0.0
+    lose: float = 0.0  # share of the datagrams that are lost
+    duplicate: float = 0.0  # share that are duplicated
+    reorder: float = 0.0  # share that are delayed by REORDER_DELAY_MS
 
     def heal(self) -> None:
-        """As it was at the start."""
+        """Remove all faults."""
         self.cut, self.delay_ms = False, 0.0
         self.lose = self.duplicate = self.reorder = 0.0
 
     def copies(self) -> list[float]:
-        """After how many milliseconds each copy of one datagram comes; none: it is lost."""
+        """Draw the delay in ms of each copy of one datagram; empty if it is lost."""
         if self.cut or (self.lose and self.stream.uniform() < self.lose):
             return []
-        late = self.delay_ms
+        delay_ms = self.delay_ms
         if self.reorder and self.stream.uniform() < self.reorder:
-            late += REORDER_DELAY_MS
-        twice = self.duplicate and self.stream.uniform() < self.duplicate
-        return [late, late + REORDER_DELAY_MS * self.stream.uniform()] if twice else [late]
+            delay_ms += REORDER_DELAY_MS
+        duplicated = self.duplicate and self.stream.uniform() < self.duplicate
+        return [delay_ms, delay_ms + REORDER_DELAY_MS * self.stream.uniform()] if duplicated else [delay_ms]
 
 
-def _bound() -> socket.socket:
+def _bind_socket() -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setblocking(False)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BYTES)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     sock.bind(("127.0.0.1", 0))
     return sock
 
 
 class Exchange:
-    """Takes what gateways send one another, and gives it on."""
+    """Relays datagrams between gateways, subject to the faults of their links."""
 
     def __init__(
         self, clock: Clock, loop: asyncio.AbstractEventLoop, names: list[str], note: Note, seed: int
@@ -67,12 +68,13 @@
         self._clock, self._loop, self._note = clock, loop, note
         self._links: dict[tuple[str, str], PeerLink] = {}
         self._seed, self.in_flight = seed, 0
-        self._sockets = {name: _bound() for name in names}
-        self._all = _bound()
-        # Where each gateway listens: chosen while all of ours are bound, and left for it to bind.
-        spare = {name: _bound() for name in names}
-        self.listens: dict[str, Address] = {name: sock.getsockname() for name, sock in spare.items()}
-        for sock in spare.values():
+        self._sockets = {name: _bind_socket() for name in names}
+        self._all = _bind_socket()
+        # The address where each gateway listens: chosen while all sockets of the exchange are bound, so that
+        # they differ, then released for the gateway to bind.
+        reserved = {name: _bind_socket() for name in names}
+        self.listens: dict[str, Address] = {name: sock.getsockname() for name, sock in reserved.items()}
+        for sock in reserved.values():
             sock.close()
         self._names = {address: name for name, address in self.listens.items()}
         for name, sock in self._sockets.items():
@@ -80,15 +82,15 @@
         loop.add_reader(self._all.fileno(), self._readable, self._all, names)
 
     def addresses_of(self, name: str) -> dict[str, object]:
-        """What a gateway's configuration says of its peers."""
+        """Return the fields of a gateway's configuration about its peers."""
         return {
-            "peer_listen": _text(self.listens[name]),
-            "peers": [_text(sock.getsockname()) for sock in self._sockets.values()],
-            "peers_all": _text(self._all.getsockname()),
+            "peer_listen": _format_address(self.listens[name]),
+            "peers": [_format_address(sock.getsockname()) for sock in self._sockets.values()],
+            "peers_all": _format_address(self._all.getsockname()),
         }
 
     def link(self, sender: str, receiver: str) -> PeerLink:
-        """The link from one gateway to another."""
+        """Return the link from one gateway to another, created on first use."""
         link = self._links.get((sender, receiver))
         if link is None:
             link = PeerLink(Stream(self._seed, f"way.{sender}.{receiver}"))
@@ -96,7 +98,7 @@
         return link
 
     def apply_fault(self, a: str, b: str, what: str, value: float) -> None:
-        """A fault between two; `cut_in` of what `a` sends to `b`, `cut_out` of what comes back."""
+        """Apply a fault in both directions; `cut_in` only from `a` to `b`, `cut_out` only from `b` to `a`."""
         links = [self.link(a, b)] if what != "cut_out" else []
         links += [self.link(b, a)] if what != "cut_in" else []
         for link in links:
@@ -118,40 +120,40 @@
         for _ in range(MAX_READS_AT_ONCE):
             try:
                 data, address = sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
-            except OSError:  # nothing more, or the last one found nobody at its port (ICMP)
+            except OSError:  # queue empty, or an earlier datagram was sent to a closed port (ICMP error)
                 return
             sender = self._names.get(address)
             if sender is None:
-                self._note("exchange", "stranger", address=_text(address))
+                self._note("exchange", "stranger", address=_format_address(address))
                 continue
             self._note(sender, "datagram", size=len(data), to=len(to), long=len(data) > MAX_DATAGRAM_BYTES)
             if len(data) <= MAX_DATAGRAM_BYTES:
                 for name in to:
-                    self._pass_on(sender, name, data)
+                    self._relay(sender, name, data)
 
-    def _pass_on(self, sender: str, receiver: str, data: bytes) -> None:
+    def _relay(self, sender: str, receiver: str, data: bytes) -> None:
         copies = self.link(sender, receiver).copies()
         if not copies:
             self._note(receiver, "unheard", gw=sender)
-        for late in copies:
+        for delay_ms in copies:
             if self.in_flight < MAX_IN_FLIGHT:
                 self.in_flight += 1
-                self._clock.after(late, self._deliver, sender, receiver, data)
+                self._clock.after(delay_ms, self._deliver, sender, receiver, data)
 
     def _deliver(self, sender: str, receiver: str, data: bytes) -> None:
         self.in_flight -= 1
         try:
             self._sockets[sender].sendto(data, self.listens[receiver])
         except OSError:
-            return  # a full queue, or nobody listens: lost
-        self._note(receiver, "passed", gw=sender, size=len(data))  # its own queue may still lose it
+            return  # lost: a full queue, or no gateway listens
+        self._note(receiver, "passed", gw=sender, size=len(data))  # its receive buffer may still drop it
 
     def close(self) -> None:
-        """Close every address."""
+        """Close all sockets."""
         for sock in (*self._sockets.values(), self._all):
             self._loop.remove_reader(sock.fileno())
             sock.close()
 
 
-def _text(address: Address) -> str:
+def _format_address(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
--- a/hillmux/lab/standins/host.py
+++ b/hillmux/lab/standins/host.py
@@ -1,7 +1,7 @@
-"""A booking node on sockets: the model of `lab.virtual.hosts` behind the platform's protocol.
+"""Stand-in for a host (a booking node): the model of `lab.virtual.hosts`, served by the platform's protocol.
 
-How much work a request is, and what kind it is, stands in its query, which gateways pass on unchanged; one
-that doesn't say takes half to one and a half of the node's usual work.
+The query of a request, which gateways forward unchanged, states its work and its kind. The work of a request
+without that field is drawn between 0.5 and 1.5 times the host's usual work.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 from hillmux.lab.standins.http import ReceivedRequest, RequestHandler, ServerConnection, response_bytes
 from hillmux.lab.virtual.hosts import HostModel, Job, SimulatedHost
 
-MAX_KEYS = 200_000
-NOT_RUN = b"X-Not-Run: 1\r\n"
+MAX_KEYS = 200_000  # idempotency keys kept; the oldest is dropped first
+NOT_RUN = b"X-Not-Run: 1\r\n"  # header line: the request was not run and may be sent to another host
 
 
 class IdempotencyKeys:
-    """The keys that hosts remember together, each for its class's window from its first run on."""
+    """Idempotency keys shared by all hosts, each valid for its class's window from the first run."""
 
     def __init__(self) -> None:
         self._seen: OrderedDict[str, float] = OrderedDict()
 
     def register(self, key: str, now_ms: float, window_ms: float) -> bool:
-        """Whether work under this key is new; a repeat inside the window is not."""
-        ends = self._seen.get(key)
-        if ends is not None and now_ms < ends:
+        """Register a key; returns False for a repeat within the window."""
+        expires_ms = self._seen.get(key)
+        if expires_ms is not None and now_ms < expires_ms:
             return False
         self._seen[key] = now_ms + window_ms
         self._seen.move_to_end(key)
@@ -40,16 +40,16 @@
 
 
 class HostConnection(ServerConnection):
-    """A connection at a host; it knows its gateway."""
+    """A connection at a host, with its gateway and the jobs of its requests."""
 
     def __init__(self, connection: EmulatedConnection, handler: HostStandIn) -> None:
         super().__init__(connection, handler)
-        self.gateway = connection.link.a
+        self.gateway = connection.link.gateway
         self.jobs: dict[ReceivedRequest, Job] = {}
 
 
 class HostStandIn(RequestHandler):
-    """One host: a listener for each gateway, one model behind all of them."""
+    """One host, with a listener for each gateway and one model that runs the requests of all."""
 
     def __init__(
         self,
@@ -62,20 +62,20 @@
         links: list[EmulatedLink],
         note: Note,
         stream: Stream,
-        most_connections: int,
+        max_connections: int,
         work_ms: float = 1.0,
     ) -> None:
         self.name, self.zone = name, zone
         self.host = SimulatedHost(clock, name, zone, model)
         self._clock, self._keys, self._note, self._stream = clock, keys, note, stream
-        self._max_connections, self._work_ms = most_connections, work_ms
+        self._max_connections, self._work_ms = max_connections, work_ms
         self._connections: set[HostConnection] = set()
-        self.failing = 0.0  # part of the requests that are answered 500
-        self.hanging = False  # takes requests and says nothing
-        self.listeners = {link.a: GatedListener(link, self.connection_opened, loop) for link in links}
+        self.failing = 0.0  # share of the requests that get status 500
+        self.hanging = False  # accepts requests without responding
+        self.listeners = {link.gateway: GatedListener(link, self.connection_opened, loop) for link in links}
 
     def connection_opened(self, transport: EmulatedConnection) -> ServerConnection:
-        """A connection of a gateway has come up."""
+        """Register and record a new connection from a gateway."""
         connection = HostConnection(transport, self)
         self._connections.add(connection)
         self.host.connection_opened()
@@ -83,11 +83,11 @@
         return connection
 
     def connection_closed(self, connection: ServerConnection) -> None:
-        """A connection is over: nobody waits for its jobs, those that run go on."""
+        """Mark the jobs of a closed connection as done: a job that is running still uses its core."""
         assert isinstance(connection, HostConnection)
         self._connections.discard(connection)
         for job in connection.jobs.values():
-            job.done = True  # nobody waits for it; what runs goes on running
+            job.done = True  # its result is discarded
 
     def open(self) -> None:
         """Open every listener."""
@@ -96,12 +96,12 @@
 
     @property
     def port(self) -> int:
-        """Where it listens, of a node that one gateway alone talks to."""
+        """The port of a host with a single listener."""
         (listener,) = self.listeners.values()
         return listener.port
 
     def crash(self) -> None:
-        """The process dies: what is open is reset, new connections are refused."""
+        """Stop as if the process had died: open connections are reset, new ones are refused."""
         self.host.stop()
         for listener in self.listeners.values():
             listener.close()
@@ -110,13 +110,13 @@
         self._note(self.name, "died")
 
     def restart(self) -> None:
-        """It is back, cold, at its addresses."""
+        """Start again at the same addresses, at the capacity of a cold host."""
         self.host.start()
         self.open()
         self._note(self.name, "up", started=True)
 
     def handle_request(self, request: ReceivedRequest) -> None:
-        """Run the request as a job of the model, or answer a health check, a fault or a lack of room."""
+        """Run a request as a job of the model, or answer a health check, an injected fault or an overload."""
         connection = request.connection
         assert isinstance(connection, HostConnection)
         if request.path == "/health":
@@ -125,7 +125,7 @@
             return
         rid, key = request.headers.get("x-request-id", ""), request.headers.get("idempotency-key", "")
         query = request.query
-        fell = self.host.overloaded
+        was_overloaded = self.host.overloaded
         self._note(
             self.name,
             "got",
@@ -142,29 +142,29 @@
         if self.hanging:
             return
         if len(self._connections) > self._max_connections:
-            self._end(request, rid, "full")
+            self._finish_request(request, rid, "full")
             return
         if self.failing and self._stream.uniform() < self.failing:
-            self._end(request, rid, "error")
+            self._finish_request(request, rid, "error")
             return
         work = float(query["work"]) if "work" in query else self._work_ms * self._stream.uniform(0.5, 1.5)
-        job = Job(rid, work, partial(self._end, request, rid))
+        job = Job(rid, work, partial(self._finish_request, request, rid))
         connection.jobs[request] = job
         if key and not self._keys.register(key, self._clock.now, float(query.get("window", 0))):
             self._note(self.name, "dropped", rid=rid, key=key)
         self.host.attempt_arrived(job)
-        if self.host.overloaded and not fell:
+        if self.host.overloaded and not was_overloaded:
             self._note(self.name, "fell")
 
-    def _end(self, request: ReceivedRequest, rid: str, result: str) -> None:
+    def _finish_request(self, request: ReceivedRequest, rid: str, result: str) -> None:
         connection = request.connection
         assert isinstance(connection, HostConnection)
         connection.jobs.pop(request, None)
         self._note(self.name, "end", rid=rid, result=result, gw=connection.gateway)
         if result == "ok":
-            more = b"Billed-Units: %b\r\n" % request.query.get("true", "1").encode()
-            request.respond(response_bytes(200, rid.encode(), more))
+            billed_units = b"Billed-Units: %b\r\n" % request.query.get("true", "1").encode()
+            request.respond(response_bytes(200, rid.encode(), billed_units))
         elif result == "error":
             request.respond(response_bytes(500))
-        elif result != "reset":  # a process that dies resets its connections itself
+        elif result != "reset":  # on a crash the connection is reset without a response
             request.respond(response_bytes(503, b"", NOT_RUN))
--- a/hillmux/lab/standins/http.py
+++ b/hillmux/lab/standins/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as the stand-ins read it: httptools behind a wire, requests one behind another."""
+"""HTTP/1.1 server side of the stand-ins, parsed by httptools on emulated connections; supports pipelining."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 500: b"Error", 503: b"Unavailable"}
 
 
-def response_bytes(status: int, body: bytes = b"", more: bytes = b"") -> bytes:
-    """An answer as bytes; `more` are further header lines."""
+def response_bytes(status: int, body: bytes = b"", extra_headers: bytes = b"") -> bytes:
+    """Serialize a response; `extra_headers` are complete header lines, each with its CRLF."""
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n\r\n%b" % (
         status,
         REASONS[status],
-        more,
+        extra_headers,
         len(body),
         body,
     )
 
 
 class ReceivedRequest:
-    """One request that has come whole, and the place of its answer."""
+    """A complete request, and its response once there is one."""
 
     __slots__ = ("method", "path", "query", "headers", "connection", "response")
 
@@ -36,74 +36,74 @@
         self.response: bytes | None = None
 
     def respond(self, data: bytes) -> None:
-        """Answer; answers of a connection go out in the order of its requests."""
+        """Set the response; the responses of a connection are written in the order of its requests."""
         self.response = data
-        self.connection.write_ready()
+        self.connection.write_ready_responses()
 
 
 class ServerConnection(Receiver):
-    """One connection of a gateway at a stand-in."""
+    """A connection from a gateway to a stand-in; queues its requests until they have been answered."""
 
     def __init__(self, transport: EmulatedConnection, handler: RequestHandler) -> None:
         self.transport, self.handler = transport, handler
-        self.over = False
-        self.waiting: deque[ReceivedRequest] = deque()
+        self.closed = False
+        self.unanswered: deque[ReceivedRequest] = deque()
         self._parser = httptools.HttpRequestParser(self)
         self._url = b""
         self._headers: dict[str, str] = {}
 
     def received(self, data: bytes) -> None:
-        """Parse bytes; what is no HTTP request resets the connection."""
+        """Parse bytes; malformed HTTP resets the connection."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self.handler.garbled(self)
+            self.handler.malformed_received(self)
             self.transport.reset()
 
     def ended(self) -> None:
-        """The other side has ended: tell the owner once, and reset the connection."""
-        if not self.over:
-            self.over = True
+        """Notify the handler once that the gateway closed the connection, and reset it."""
+        if not self.closed:
+            self.closed = True
             self.handler.connection_closed(self)
             if not self.transport.closing:
                 self.transport.reset()
 
-    def write_ready(self) -> None:
-        """Write what is answered, in order."""
-        while self.waiting and (data := self.waiting[0].response) is not None:
-            self.waiting.popleft()
+    def write_ready_responses(self) -> None:
+        """Write the responses that are due, in the order of the requests."""
+        while self.unanswered and (data := self.unanswered[0].response) is not None:
+            self.unanswered.popleft()
             self.transport.write(data)
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Reset the state of the parsed request."""
         self._url, self._headers = b"", {}
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the request target."""
+        """Append a piece of the request target."""
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header under its name in lower case."""
+        """Keep a header field under its lower-case name."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
-        """Queue the whole request for its answer, and hand it to the owner."""
+        """Queue the complete request for its response, and pass it to the handler."""
         request = ReceivedRequest(
             self._parser.get_method().decode(), httptools.parse_url(self._url), self._headers, self
         )
-        self.waiting.append(request)
+        self.unanswered.append(request)
         self.handler.handle_request(request)
 
 
 class RequestHandler:
-    """A stand-in that takes requests."""
+    """Interface of a stand-in that handles requests."""
 
     def handle_request(self, request: ReceivedRequest) -> None:
-        """A request has come whole."""
+        """Handle a complete request; `request.respond` may be called later."""
         raise NotImplementedError
 
     def connection_closed(self, connection: ServerConnection) -> None:
-        """A connection is over."""
+        """Handle the close of a connection; called once for each."""
 
-    def garbled(self, connection: ServerConnection) -> None:
-        """A connection brought what is no request."""
+    def malformed_received(self, connection: ServerConnection) -> None:
+        """Handle malformed input; the connection is reset afterwards."""
--- a/hillmux/lab/traffic.py
+++ b/hillmux/lab/traffic.py
@@ -1,6 +1,7 @@
-"""Who asks, when, and through which gateway: first tries drawn ahead from a seed, the same for every program.
+"""Plans the load: customers, and the time and gateway of each first attempt, drawn from a seed.
 
-Drawn ahead and never held back by answers (an open loop), so that a slow gateway cannot lower its own load.
+The plan is the same for every program under test. It is an open loop: drawn in advance and never delayed by
+responses, so that a slow gateway cannot lower its own load.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PlanTraffic:
-    """A plan, and its part of the load. Rates in units a second for each customer."""
+    """A plan and its share of the load. Rates are in units per second, bursts in units, for each customer."""
 
     name: str
     share: float
@@ -23,13 +24,13 @@
     worth: float = 1.0
     over_worth: float = 0.0
     over_cost: float = 0.0
-    ceiling: float = 0.0  # times rate and burst; 0: none
-    width: int = 4  # gateways that a customer's requests come through
+    ceiling: float = 0.0  # the ceiling as a multiple of rate and burst; 0: no ceiling
+    width: int = 4  # number of gateways that receive a customer's requests
 
 
 @dataclass(slots=True, frozen=True)
 class ClassTraffic:
-    """A class, and its part of the requests. Work in milliseconds of one core."""
+    """A class and its share of the requests. Work is in milliseconds of one core."""
 
     name: str
     share: float
@@ -43,40 +44,40 @@
 
 @dataclass(slots=True, frozen=True)
 class TrafficModel:
-    """How many ask how much."""
+    """Parameters of the load: its rate and length, plans, classes and the spread over customers."""
 
-    per_s: float  # first tries a second that are inside the quotas, roughly
+    per_s: float  # approximate first attempts per second within the quotas
     length_s: float
     plans: tuple[PlanTraffic, ...]
     classes: tuple[ClassTraffic, ...]
-    most_units: int = 4
-    calm_use: float = 0.35  # of the rate, for most customers
-    full: float = 0.15  # part of the customers that use nearly all
-    heavy: float = 0.1  # part that ask for `heavy_x` times their rate
+    most_units: int = 4  # maximum units of a request
+    calm_use: float = 0.35  # mean share of its rate that a typical customer uses
+    full: float = 0.15  # share of the customers that use 0.85 to 1.0 of their rate
+    heavy: float = 0.1  # share of the customers that request `heavy_x` times their rate
     heavy_x: float = 3.5
     skew: float = 0.6  # spread of a customer's weights over its gateways (sigma of a lognormal)
-    busy: float = 0.0  # part of the tries of customers with the widest sets that come through gateway 0
-    shift_s: float = 15.0  # the weights are drawn anew so often
-    work_cv: float = 0.8
-    guess_cv: float = 0.5  # of the units that an answer reveals, against the guess
-    burst: float = 1.0  # times as much is asked for in the burst
-    burst_s: tuple[float, float] = (0.0, 0.0)  # its begin and end
+    busy: float = 0.0  # share of first attempts sent to gateway 0, for customers that use all gateways
+    shift_s: float = 15.0  # period after which the weights are redrawn
+    work_cv: float = 0.8  # coefficient of variation of a request's work
+    guess_cv: float = 0.5  # the same of the actual units (in the response) relative to the units requested
+    burst: float = 1.0  # factor of the request rate during the burst
+    burst_s: tuple[float, float] = (0.0, 0.0)  # start and end of the burst, in seconds of the run
 
 
 @dataclass(slots=True, frozen=True)
 class Customer:
-    """One partner."""
+    """One customer: its plan, its set of gateways (consecutive numbers) and its request rate."""
 
     name: str
     plan: PlanTraffic
     first_gateway: int
     replicas: int
-    units_per_s: float  # units a second that it asks for
+    units_per_s: float  # units per second that it requests
 
 
 @dataclass(slots=True)
 class PlannedRequest:
-    """One first try of a client."""
+    """The planned first attempt of a client's request."""
 
     at_ms: float
     customer: Customer
@@ -85,75 +86,81 @@
     actual_units: float
     work_ms: float
     gateway: int
-    client_draw: float  # a uniform draw of the client's own, for what it decides later
+    client_draw: float  # uniform draw on [0, 1) that decides how the client retries
 
 
 def plan_customers(model: TrafficModel, gateways: int, seed: int) -> list[Customer]:
-    """Partners enough to ask for `per_s` requests inside their quotas."""
-    draw = generator(seed, "customers")
+    """Draw customers until their requests within their quotas reach `per_s` in total."""
+    rng = generator(seed, "customers")
     mean_units = (1 + model.most_units) / 2
-    found: list[Customer] = []
+    customers: list[Customer] = []
     shares = sum(plan.share for plan in model.plans)
     for plan in model.plans:
-        wanted, inside = model.per_s * mean_units * plan.share / shares, 0.0
-        while inside < wanted:
-            luck = draw.random()
-            if luck < model.heavy:
-                part = model.heavy_x
-            elif luck < model.heavy + model.full:
-                part = draw.uniform(0.85, 1.0)
+        target_units_per_s, units_per_s = model.per_s * mean_units * plan.share / shares, 0.0
+        while units_per_s < target_units_per_s:
+            usage_draw = rng.random()
+            if usage_draw < model.heavy:
+                rate_share = model.heavy_x
+            elif usage_draw < model.heavy + model.full:
+                rate_share = rng.uniform(0.85, 1.0)
             else:
-                part = model.calm_use * draw.uniform(0.5, 1.5)
-            inside += min(part, 1.0) * plan.rate
-            first = int(draw.integers(gateways))
-            width = min(plan.width, gateways)
-            found.append(Customer(f"{len(found):016x}", plan, first, width, part * plan.rate))
-    return found
+                rate_share = model.calm_use * rng.uniform(0.5, 1.5)
+            units_per_s += min(rate_share, 1.0) * plan.rate
+            first_gateway = int(rng.integers(gateways))
+            replicas = min(plan.width, gateways)
+            customers.append(
+                Customer(f"{len(customers):016x}", plan, first_gateway, replicas, rate_share * plan.rate)
+            )
+    return customers
 
 
 def plan_requests(model: TrafficModel, gateways: int, seed: int) -> list[PlannedRequest]:
-    """All first tries, in the order of their times."""
-    found: list[PlannedRequest] = []
+    """Draw all first attempts of a run, sorted by time."""
+    requests: list[PlannedRequest] = []
     shares = np.array([c.share for c in model.classes])
     for customer in plan_customers(model, gateways, seed):
-        draw = generator(seed, f"customer.{customer.name}")
-        units_mean = (1 + model.most_units) / 2
-        more = (model.burst - 1) * (model.burst_s[1] - model.burst_s[0])  # seconds' worth of requests
-        rate = customer.units_per_s / units_mean
-        usual = draw.random(int(draw.poisson(rate * model.length_s))) * model.length_s
-        extra = draw.uniform(*model.burst_s, size=int(draw.poisson(rate * max(more, 0.0))))
-        times = np.sort(np.concatenate((usual, extra)))
+        rng = generator(seed, f"customer.{customer.name}")
+        mean_units = (1 + model.most_units) / 2
+        # The requests that the burst adds, in seconds of the usual rate.
+        burst_extra_s = (model.burst - 1) * (model.burst_s[1] - model.burst_s[0])
+        rate = customer.units_per_s / mean_units
+        regular_times = rng.random(int(rng.poisson(rate * model.length_s))) * model.length_s
+        burst_times = rng.uniform(*model.burst_s, size=int(rng.poisson(rate * max(burst_extra_s, 0.0))))
+        times = np.sort(np.concatenate((regular_times, burst_times)))
         count = len(times)
-        classes = draw.choice(len(model.classes), size=count, p=shares / shares.sum())
-        units = draw.integers(1, model.most_units + 1, size=count)
+        class_numbers = rng.choice(len(model.classes), size=count, p=shares / shares.sum())
+        units = rng.integers(1, model.most_units + 1, size=count)
         sigma = np.sqrt(np.log1p(model.guess_cv**2))
-        true = units * np.exp(sigma * draw.standard_normal(count) - sigma**2 / 2)
+        actual_units = units * np.exp(sigma * rng.standard_normal(count) - sigma**2 / 2)
         sigma = np.sqrt(np.log1p(model.work_cv**2))
-        work = np.exp(sigma * draw.standard_normal(count) - sigma**2 / 2)
-        luck = draw.random(count)
-        spells = int(model.length_s / model.shift_s) + 1
-        weights = np.exp(model.skew * draw.standard_normal((spells, customer.replicas)))
-        sums = np.cumsum(weights / weights.sum(axis=1, keepdims=True), axis=1)
-        picks = draw.random(count)
-        busy = draw.random(count) < model.busy if model.busy and customer.replicas == gateways else None
+        work_factors = np.exp(sigma * rng.standard_normal(count) - sigma**2 / 2)
+        client_draws = rng.random(count)
+        periods = int(model.length_s / model.shift_s) + 1
+        weights = np.exp(model.skew * rng.standard_normal((periods, customer.replicas)))
+        cumulative_weights = np.cumsum(weights / weights.sum(axis=1, keepdims=True), axis=1)
+        replica_draws = rng.random(count)
+        at_busy_gateway = (
+            rng.random(count) < model.busy if model.busy and customer.replicas == gateways else None
+        )
         for i in range(count):
-            cls = model.classes[int(classes[i])]
-            at = min(
-                int(np.searchsorted(sums[int(times[i] / model.shift_s)], picks[i])), customer.replicas - 1
+            request_class = model.classes[int(class_numbers[i])]
+            replica = min(
+                int(np.searchsorted(cumulative_weights[int(times[i] / model.shift_s)], replica_draws[i])),
+                customer.replicas - 1,
             )
-            if busy is not None and busy[i]:
-                at = -customer.first_gateway % gateways
-            found.append(
+            if at_busy_gateway is not None and at_busy_gateway[i]:
+                replica = -customer.first_gateway % gateways
+            requests.append(
                 PlannedRequest(
                     1000 * float(times[i]),
                     customer,
-                    cls,
+                    request_class,
                     float(units[i]),
-                    min(float(true[i]), 4.0 * model.most_units),
-                    cls.work_ms * float(work[i]),
-                    (customer.first_gateway + at) % gateways,
-                    float(luck[i]),
+                    min(float(actual_units[i]), 4.0 * model.most_units),
+                    request_class.work_ms * float(work_factors[i]),
+                    (customer.first_gateway + replica) % gateways,
+                    float(client_draws[i]),
                 )
             )
-    found.sort(key=lambda t: (t.at_ms, t.customer.name))
-    return found
+    requests.sort(key=lambda request: (request.at_ms, request.customer.name))
+    return requests
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -103,7 +103,7 @@
                 await gateway.request_start()
         assert not gateway.alive()
         again = asyncio.create_task(gateway.request_start())  # type: ignore[arg-type]
-        while not any("listening on" in line for line in gateway.lines):  # free: it starts at the same port
+        while not any("listening on" in line for line in gateway.log_lines):  # the port is free again
             await asyncio.sleep(0.01)
         await gateway.end()
         await asyncio.gather(again, return_exceptions=True)
