--- a/hillmux/lab/standins/counter.py
+++ b/hillmux/lab/standins/counter.py
@@ -28,10 +28,8 @@
     ) -> None:
         self._clock, self._note, self._model = clock, note, model
         self.service = SimulatedCounter(clock, model)
-        self.second_copy: SimulatedCounter | None = (
-            None  # the copy used by `gateways_at_second_copy`; None: no split
-        )
-        self.gateways_at_second_copy: set[str] = set()
+        self.second_copy: SimulatedCounter | None = None  # None: not split
+        self.gateways_at_second_copy: set[str] = set()  # the gateways that it serves
         self._saved_totals: Totals = []
         self._connections: set[ServerConnection] = set()
         self.listeners = {link.gateway: GatedListener(link, self._connection_opened, loop) for link in links}
--- a/hillmux/lab/standins/instant.py
+++ b/hillmux/lab/standins/instant.py
@@ -36,10 +36,10 @@
         return asdict(self)
 
 
-Responder = Callable[[bytes, "InstantServer"], bytes | None]
+Responder = Callable[[bytes, "InstantServerConnection"], bytes | None]
 
 
-class InstantServer(asyncio.Protocol):
+class InstantServerConnection(asyncio.Protocol):
     """A server connection: `answer` returns the response to a request target, or None to write it later."""
 
     def __init__(self, answer: Responder, traffic: Traffic) -> None:
@@ -82,7 +82,9 @@
     loop = asyncio.get_running_loop()
     ports = []
     for _ in range(count):
-        server = await loop.create_server(lambda: InstantServer(answer, traffic), LOOP, 0, backlog=512)
+        server = await loop.create_server(
+            lambda: InstantServerConnection(answer, traffic), LOOP, 0, backlog=512
+        )
         ports.append(server.sockets[0].getsockname()[1])
     return ports
 
@@ -91,7 +93,7 @@
     """Start hosts that respond at once; one in `full_every` requests is refused unrun, and so retried."""
     request = 0
 
-    def answer(url: bytes, connection: InstantServer) -> bytes:
+    def answer(url: bytes, connection: InstantServerConnection) -> bytes:
         nonlocal request
         request += 1
         return NOT_RUN_RESPONSE if full_every and request % full_every == 0 else OK_RESPONSE
@@ -104,7 +106,7 @@
     totals: OrderedDict[str, float] = OrderedDict()
     traffic = Traffic()
 
-    def answer(url: bytes, connection: InstantServer) -> bytes:
+    def answer(url: bytes, connection: InstantServerConnection) -> bytes:
         name, _, query = url.decode().removeprefix("/v1/count/").partition("?")
         total = totals.get(name, 0.0) + float(query.split("&")[0].removeprefix("add="))
         totals[name] = total
@@ -125,7 +127,7 @@
     traffic = Traffic()
     loop = asyncio.get_running_loop()
 
-    def answer(url: bytes, connection: InstantServer) -> bytes | None:
+    def answer(url: bytes, connection: InstantServerConnection) -> bytes | None:
         if b"after=" not in url:
             return complete_list
         if watched:
--- a/tests/lab/test_exchange.py
+++ b/tests/lab/test_exchange.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways through the lab's exchange, with each of its faults."""
+"""Datagrams between gateways, relayed by the lab's exchange with each of its faults."""
 
 from __future__ import annotations
 
@@ -15,59 +15,61 @@
 from hillmux.lab.standins.exchange import Exchange
 
 NAMES = ["g0", "g1", "g2"]
-SENT = 400  # in flights of this many: what a share of them is, is the seed's, the same each time
-FLIGHT = 50
+SENT = 400  # datagrams sent by send_all; the seed determines which of them a fault affects
+BATCH = 50  # datagrams sent before waiting for their arrival
 
 
 class Peers:
-    """Three scripted gateways at an exchange."""
+    """Three simulated gateways connected to an exchange."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
-        self.noted: list[tuple[str, str]] = []
+        self.events: list[tuple[str, str]] = []
         self.exchange = Exchange(RealClock(loop), loop, NAMES, self._note, seed=3)
-        self.told = {name: self.exchange.addresses_of(name) for name in NAMES}
-        self.got: dict[str, list[bytes]] = {name: [] for name in NAMES}
-        self.froms: set[tuple[str, int]] = set()
-        self.socks = {}
+        self.addresses = {name: self.exchange.addresses_of(name) for name in NAMES}
+        self.received: dict[str, list[bytes]] = {name: [] for name in NAMES}
+        self.senders: set[tuple[str, int]] = set()
+        self.sockets = {}
         for name in NAMES:
-            sock = self.socks[name] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            sock = self.sockets[name] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sock.setblocking(False)
-            sock.bind(address(self.told[name]["peer_listen"]))
+            sock.bind(address(self.addresses[name]["peer_listen"]))
             loop.add_reader(sock.fileno(), self._read, name, sock)
 
     def _note(self, who: str, ev: str, **fields: Any) -> None:
-        self.noted.append((who, ev))
+        self.events.append((who, ev))
 
     def _read(self, name: str, sock: socket.socket) -> None:
         data, sender = sock.recvfrom(2048)
-        self.got[name].append(data)
-        self.froms.add(sender)
+        self.received[name].append(data)
+        self.senders.add(sender)
 
     def send(self, sender: str, data: bytes, to: str) -> None:
-        """To one, or to `all`."""
-        told = self.told[sender]
-        target = told["peers_all"] if to == "all" else told["peers"][NAMES.index(to)]  # type: ignore[index]
-        self.socks[sender].sendto(data, address(target))
+        """Send a datagram to one gateway, or to `all`."""
+        addresses = self.addresses[sender]
+        target = addresses["peers_all"] if to == "all" else addresses["peers"][NAMES.index(to)]  # type: ignore[index]
+        self.sockets[sender].sendto(data, address(target))
 
-    async def flights(self, sender: str, to: str) -> list[bytes]:
-        """Send many, a flight at a time; what came."""
+    async def send_all(self, sender: str, to: str) -> list[bytes]:
+        """Send SENT numbered datagrams in batches; returns those that were received."""
         for number in range(SENT):
             self.send(sender, b"%d" % number, to)
-            if number % FLIGHT == FLIGHT - 1:
-                # The receiver's own queue holds some hundreds: more at once would be lost there.
-                while self.told_of("datagram") <= number or len(self.got[to]) < self.told_of("passed"):
+            if number % BATCH == BATCH - 1:
+                # The receive buffer holds a few hundred datagrams and would drop more.
+                while self.count_events("datagram") <= number or len(self.received[to]) < self.count_events(
+                    "passed"
+                ):
                     await asyncio.sleep(0.001)
-        while self.exchange.in_flight or len(self.got[to]) < self.told_of("passed"):
+        while self.exchange.in_flight or len(self.received[to]) < self.count_events("passed"):
             await asyncio.sleep(0.005)
-        return self.got[to]
+        return self.received[to]
 
-    def told_of(self, ev: str) -> int:
-        return sum(event == ev for _, event in self.noted)
+    def count_events(self, ev: str) -> int:
+        return sum(event == ev for _, event in self.events)
 
     def close(self) -> None:
         self.exchange.close()
-        for sock in self.socks.values():
+        for sock in self.sockets.values():
             asyncio.get_running_loop().remove_reader(sock.fileno())
             sock.close()
 
@@ -77,82 +79,82 @@
     return host, int(port)
 
 
-def playing(scenario: Callable[[Peers], Coroutine[Any, Any, None]]) -> None:
-    async def whole() -> None:
+def run_scenario(scenario: Callable[[Peers], Coroutine[Any, Any, None]]) -> None:
+    async def run() -> None:
         peers = Peers()
         try:
             await scenario(peers)
         finally:
             peers.close()
 
-    on_loop(whole)
+    on_loop(run)
 
 
-def test_one_and_all_come_from_the_senders_address_among_the_peers() -> None:
+def test_datagrams_arrive_from_the_address_of_the_sender_in_the_peer_list() -> None:
     async def scenario(peers: Peers) -> None:
         peers.send("g0", b"one", "g1")
         peers.send("g2", b"all", "all")
-        while sum(map(len, peers.got.values())) < 4:
+        while sum(map(len, peers.received.values())) < 4:
             await asyncio.sleep(0.001)
-        assert peers.got == {"g0": [b"all"], "g1": [b"one", b"all"], "g2": [b"all"]}
-        listed = peers.told["g0"]["peers"]
-        assert peers.froms == {address(listed[0]), address(listed[2])}  # type: ignore[index]
+        assert peers.received == {"g0": [b"all"], "g1": [b"one", b"all"], "g2": [b"all"]}
+        peer_list = peers.addresses["g0"]["peers"]
+        assert peers.senders == {address(peer_list[0]), address(peer_list[2])}  # type: ignore[index]
 
-    playing(scenario)
+    run_scenario(scenario)
 
 
-def test_a_cut_of_one_direction_loses_that_one_alone_until_it_heals() -> None:
+def test_cut_of_one_direction_drops_only_its_datagrams_until_healed() -> None:
     async def scenario(peers: Peers) -> None:
         peers.exchange.apply_fault("g0", "g1", "cut_in", 0.0)
         peers.send("g0", b"lost", "g1")
         peers.send("g0", b"other", "g2")
         peers.send("g1", b"back", "g0")
-        while not (peers.got["g0"] and peers.got["g2"] and peers.told_of("unheard")):
+        while not (peers.received["g0"] and peers.received["g2"] and peers.count_events("unheard")):
             await asyncio.sleep(0.001)
         peers.exchange.apply_fault("g0", "g1", "heal", 0.0)
         peers.send("g0", b"now", "g1")
-        while not peers.got["g1"]:
+        while not peers.received["g1"]:
             await asyncio.sleep(0.001)
-        assert peers.got == {"g0": [b"back"], "g1": [b"now"], "g2": [b"other"]}
+        assert peers.received == {"g0": [b"back"], "g1": [b"now"], "g2": [b"other"]}
 
-    playing(scenario)
+    run_scenario(scenario)
 
 
-def test_shares_of_what_is_sent_are_lost_doubled_and_overtaken() -> None:
+def test_configured_share_of_datagrams_is_lost_duplicated_or_reordered() -> None:
     async def lossy(peers: Peers) -> None:
         peers.exchange.apply_fault("g0", "g1", "lose", 0.25)
-        got = await peers.flights("g0", "g1")
-        assert len(set(got)) == len(got) == SENT - peers.told_of("unheard")
-        assert 0.15 * SENT < peers.told_of("unheard") < 0.35 * SENT
+        received = await peers.send_all("g0", "g1")
+        assert len(set(received)) == len(received) == SENT - peers.count_events("unheard")
+        assert 0.15 * SENT < peers.count_events("unheard") < 0.35 * SENT
 
-    async def twice(peers: Peers) -> None:
+    async def duplicated(peers: Peers) -> None:
         peers.exchange.apply_fault("g0", "g1", "duplicate", 0.25)
-        times = Counter(Counter(await peers.flights("g0", "g1")).values())
-        assert set(times) == {1, 2} and 0.15 * SENT < times[2] < 0.35 * SENT
+        copies = Counter(Counter(await peers.send_all("g0", "g1")).values())
+        assert set(copies) == {1, 2} and 0.15 * SENT < copies[2] < 0.35 * SENT
 
-    async def overtaken(peers: Peers) -> None:
+    async def reordered(peers: Peers) -> None:
         peers.exchange.apply_fault("g0", "g1", "reorder", 0.25)
-        got = [int(data) for data in await peers.flights("g0", "g1")]
-        assert sorted(got) == list(range(SENT)) and got != sorted(got)
+        received = [int(data) for data in await peers.send_all("g0", "g1")]
+        assert sorted(received) == list(range(SENT)) and received != sorted(received)
 
-    for scenario in (lossy, twice, overtaken):
-        playing(scenario)
+    for scenario in (lossy, duplicated, reordered):
+        run_scenario(scenario)
 
 
-def test_what_is_too_long_or_from_nobodys_address_is_noted_and_not_passed_on() -> None:
+def test_oversized_datagrams_and_those_of_unknown_senders_are_not_relayed() -> None:
     async def scenario(peers: Peers) -> None:
         peers.send("g0", b"x" * 257, "g1")
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-            stranger.sendto(b"x", address(peers.told["g0"]["peers"][1]))  # type: ignore[index]
+            stranger.sendto(b"x", address(peers.addresses["g0"]["peers"][1]))  # type: ignore[index]
         peers.send("g0", b"good", "g1")
-        while not peers.got["g1"]:
+        while not peers.received["g1"]:
             await asyncio.sleep(0.001)
-        assert peers.got["g1"] == [b"good"] and peers.told_of("stranger") == 1
+        assert peers.received["g1"] == [b"good"] and peers.count_events("stranger") == 1
 
-    playing(scenario)
+    run_scenario(scenario)
 
 
-def test_a_fault_between_gateways_wants_a_fleet_that_has_datagrams_and_a_share(tmp_path: Any) -> None:
+def test_invalid_faults_between_gateways_are_rejected_with_the_value_expected(tmp_path: Any) -> None:
     path = tmp_path / "day.toml"
     path.write_text(
         'name = "x"\nlength_s = 4\nfleet = {gateways = 2, hosts = 2}\n'
@@ -166,8 +168,8 @@
     try:
         load(path)
     except ScenarioError as error:
-        said = str(error)
-    assert "faults.0.what: found a fault between gateways, expected fleet.peers = true" in said
-    assert "faults.0.value: found 2.0, expected a share" in said
-    assert "faults.1.other: found 'host:*', expected gateways" in said
-    assert "faults.2.other: found 'gateways in a', expected hosts" in said
+        message = str(error)
+    assert "faults.0.what: found a fault between gateways, expected fleet.peers = true" in message
+    assert "faults.0.value: found 2.0, expected a share" in message
+    assert "faults.1.other: found 'host:*', expected gateways" in message
+    assert "faults.2.other: found 'gateways in a', expected hosts" in message
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -1,4 +1,4 @@
-"""Faults on a link, seen from the gateway's end of real connections."""
+"""Faults of an emulated link, observed at the gateway's end of real connections."""
 
 from __future__ import annotations
 
@@ -14,174 +14,178 @@
 
 
 class Echo(Receiver):
-    """Gives back what comes."""
+    """Sends back all bytes that it receives."""
 
-    def __init__(self, wire: EmulatedConnection) -> None:
-        self.wire, self.over = wire, False
-        self.seen = b""
+    def __init__(self, connection: EmulatedConnection) -> None:
+        self.connection, self.closed = connection, False
+        self.received_bytes = b""
 
     def received(self, data: bytes) -> None:
-        self.seen += data
-        self.wire.write(data)
+        self.received_bytes += data
+        self.connection.write(data)
 
     def ended(self) -> None:
-        self.over = True
+        self.closed = True
 
 
-class Way:
-    """A link with a door behind it."""
+class EchoLink:
+    """A link with a listener whose connections are echoed."""
 
     def __init__(self) -> None:
         self.link = EmulatedLink("g0", "h0")
         self.echoes: list[Echo] = []
-        self.door = GatedListener(self.link, self._made, asyncio.get_running_loop())
-        self.door.open()
+        self.listener = GatedListener(self.link, self._new_echo, asyncio.get_running_loop())
+        self.listener.open()
 
-    def _made(self, wire: EmulatedConnection) -> Echo:
-        self.echoes.append(Echo(wire))
+    def _new_echo(self, connection: EmulatedConnection) -> Echo:
+        self.echoes.append(Echo(connection))
         return self.echoes[-1]
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        return await asyncio.open_connection("127.0.0.1", self.door.port)
+        return await asyncio.open_connection("127.0.0.1", self.listener.port)
 
 
-def playing(scenario: Callable[[Way], Coroutine[Any, Any, None]]) -> None:
-    async def whole() -> None:
-        way = Way()
+def run_scenario(scenario: Callable[[EchoLink], Coroutine[Any, Any, None]]) -> None:
+    async def run() -> None:
+        echo_link = EchoLink()
         try:
-            await scenario(way)
+            await scenario(echo_link)
         finally:
-            way.door.close()
-            for wire in list(way.link.connections):
-                wire.reset()
+            echo_link.listener.close()
+            for connection in list(echo_link.link.connections):
+                connection.reset()
 
-    on_loop(whole)
+    on_loop(run)
 
 
-async def silent(work: Coroutine[Any, Any, Any]) -> None:
-    """Nothing comes of it in a while."""
+async def assert_pending(operation: Coroutine[Any, Any, Any]) -> None:
+    """Check that an operation neither completes nor fails within 0.1 s."""
     with pytest.raises(TimeoutError):
-        await asyncio.wait_for(work, 0.1)
+        await asyncio.wait_for(operation, 0.1)
 
 
 @pytest.mark.parametrize("inward", [True, False])
-def test_a_cut_is_silent_and_what_lost_bytes_is_reset_when_it_heals(inward: bool) -> None:
-    async def scenario(way: Way) -> None:
-        reader, writer = await way.connect()
+def test_cut_drops_bytes_silently_and_healing_resets_the_connections_that_lost_some(inward: bool) -> None:
+    async def scenario(echo_link: EchoLink) -> None:
+        reader, writer = await echo_link.connect()
         writer.write(b"a")
         assert await reader.readexactly(1) == b"a"
-        other, _ = await way.connect()
-        way.link.cut(inward, not inward)
+        other, _ = await echo_link.connect()
+        echo_link.link.cut(inward, not inward)
         writer.write(b"b")
-        await silent(reader.read(1))
-        assert way.echoes[0].seen == (b"a" if inward else b"ab")
-        way.link.cut(False, False)
+        await assert_pending(reader.read(1))
+        assert echo_link.echoes[0].received_bytes == (b"a" if inward else b"ab")
+        echo_link.link.cut(False, False)
         with pytest.raises(ConnectionResetError):
             await reader.read(1)
-        await silent(other.read(1))  # nothing of it was lost: it stays
+        await assert_pending(other.read(1))  # it lost no bytes, so it is not reset
 
-    playing(scenario)
+    run_scenario(scenario)
 
 
-def test_a_dial_under_a_cut_never_comes_up_and_does_after_it() -> None:
-    async def scenario(way: Way) -> None:
-        way.link.cut(True, True)
+def test_dial_hangs_during_cut_and_succeeds_after_it() -> None:
+    async def scenario(echo_link: EchoLink) -> None:
+        echo_link.link.cut(True, True)
         for _ in range(3):
-            await silent(way.connect())
-        way.link.cut(False, False)
-        reader, writer = await asyncio.wait_for(way.connect(), 5)
+            await assert_pending(echo_link.connect())
+        echo_link.link.cut(False, False)
+        reader, writer = await asyncio.wait_for(echo_link.connect(), 5)
         writer.write(b"a")
         assert await reader.readexactly(1) == b"a"
 
-    playing(scenario)
+    run_scenario(scenario)
 
 
-def test_a_stand_in_that_dies_resets_and_refuses_and_is_back_at_its_port() -> None:
-    async def scenario(way: Way) -> None:
-        reader, writer = await way.connect()
+def test_closed_listener_refuses_connections_and_reopens_on_the_same_port() -> None:
+    async def scenario(echo_link: EchoLink) -> None:
+        reader, writer = await echo_link.connect()
         writer.write(b"a")
         await reader.readexactly(1)
-        port = way.door.port
-        way.door.close()
-        way.echoes[0].wire.reset()
+        port = echo_link.listener.port
+        echo_link.listener.close()
+        echo_link.echoes[0].connection.reset()
         with pytest.raises(ConnectionResetError):
             await reader.read(1)
         with pytest.raises(ConnectionRefusedError):
-            await way.connect()
-        way.door.open()
-        assert way.door.port == port
-        await way.connect()
+            await echo_link.connect()
+        echo_link.listener.open()
+        assert echo_link.listener.port == port
+        await echo_link.connect()
 
-    playing(scenario)
+    run_scenario(scenario)
 
 
-def test_a_reset_in_the_middle_of_an_answer_lets_its_half_through() -> None:
-    async def scenario(way: Way) -> None:
-        way.link.reset_after = 3
-        reader, writer = await way.connect()
+def test_reset_within_response_delivers_the_bytes_before_it() -> None:
+    async def scenario(echo_link: EchoLink) -> None:
+        echo_link.link.reset_after = 3
+        reader, writer = await echo_link.connect()
         writer.write(b"abcdef")
         assert await reader.readexactly(3) == b"abc"
         with pytest.raises(ConnectionResetError):
             await reader.read(1)
 
-    playing(scenario)
+    run_scenario(scenario)
 
 
-def test_the_ends_of_a_connection_are_not_hidden() -> None:
-    async def scenario(way: Way) -> None:
-        reader, writer = await way.connect()
+def test_end_of_connection_is_passed_on_in_both_directions() -> None:
+    async def scenario(echo_link: EchoLink) -> None:
+        reader, writer = await echo_link.connect()
         writer.write(b"a")
         await reader.readexactly(1)
         writer.write_eof()
-        while not way.echoes[0].over:
+        while not echo_link.echoes[0].closed:
             await asyncio.sleep(0.005)
         assert await reader.read(1) == b""
 
-    playing(scenario)
+    run_scenario(scenario)
 
 
-def test_a_delay_keeps_the_order_of_bytes_also_when_it_shrinks() -> None:
-    async def scenario(way: Way) -> None:
-        way.link.delay_ms = 60
-        reader, writer = await way.connect()
+def test_bytes_stay_in_order_when_delay_is_reduced() -> None:
+    async def scenario(echo_link: EchoLink) -> None:
+        echo_link.link.delay_ms = 60
+        reader, writer = await echo_link.connect()
         writer.write(b"a")
-        while not way.link.connections:
+        while not echo_link.link.connections:
             await asyncio.sleep(0.001)
         await asyncio.sleep(0.02)
-        way.link.delay_ms = 0
+        echo_link.link.delay_ms = 0
         writer.write(b"b")
         assert await reader.readexactly(2) == b"ab"
 
-    playing(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("cut", [False, True])
-def test_what_a_peer_sent_before_it_died_comes_before_its_end(cut: bool) -> None:
-    """Half of a message is on its way when its sender is killed; a cut loses both until the path is back."""
+def test_bytes_sent_before_sender_died_arrive_before_the_end_of_connection(cut: bool) -> None:
+    """Guards against an end of connection that overtakes delayed bytes when the sender is killed.
 
-    async def scenario(way: Way) -> None:
-        reader, writer = await way.connect()
+    Under a cut, bytes and end are lost; the end is delivered once the path is restored.
+    """
+
+    async def scenario(echo_link: EchoLink) -> None:
+        reader, writer = await echo_link.connect()
         writer.write(b"a")
         assert await reader.readexactly(1) == b"a"
-        (echo,) = way.echoes
-        way.link.delay_ms = 1000  # a stall of this test must not outlast it
+        (echo,) = echo_link.echoes
+        echo_link.link.delay_ms = 1000  # longer than any stall of this test
         writer.write(b"half")
-        while not echo.wire.has_inbound():
+        while not echo.connection.has_inbound():
             await asyncio.sleep(0.001)
         if cut:
-            way.link.cut(True, True)
+            echo_link.link.cut(True, True)
             writer.write(b"lost")
         sock = writer.get_extra_info("socket")
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)  # as a process that is killed
+        # A reset, as the kernel sends for the connections of a killed process.
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         writer.transport.abort()
         if cut:
             await asyncio.sleep(0.1)
-            assert not echo.over  # nobody can know
-            way.link.cut(False, False)
+            assert not echo.closed  # the cut hides the reset
+            echo_link.link.cut(False, False)
         else:
-            assert not echo.over
-        while not echo.over:
+            assert not echo.closed
+        while not echo.closed:
             await asyncio.sleep(0.005)
-        assert echo.seen == (b"a" if cut else b"ahalf")
+        assert echo.received_bytes == (b"a" if cut else b"ahalf")
 
-    playing(scenario)
+    run_scenario(scenario)
