--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -21,7 +21,7 @@
 import httptools
 import uvloop
 
-from hillmux.lab.standins.instant import LOOP, counter, hosts, registry
+from hillmux.lab.standins.instant import LOOPBACK, counter, hosts, registry
 
 FRESH_S = 1.5  # a connection unused for longer may be closed by the other side just as we write to it
 MOST_WAITING = 10_000  # requests of an open loop that wait for a connection
@@ -78,7 +78,7 @@
             connection.transport.close()
         self._free = fresh
         while len(self._free) < self._count:
-            _, connection = await loop.create_connection(lambda: Asking(self), LOOP, self._port)
+            _, connection = await loop.create_connection(lambda: Asking(self), LOOPBACK, self._port)
             self._free.append(connection)
 
     def _request(self) -> bytes:
@@ -205,7 +205,7 @@
 
     async def _dial(self, i: int, data: bytes) -> None:
         loop = asyncio.get_running_loop()
-        _, upstream = await loop.create_connection(lambda: Upstream(self._free[i]), LOOP, self._ports[i])
+        _, upstream = await loop.create_connection(lambda: Upstream(self._free[i]), LOOPBACK, self._ports[i])
         upstream.client = self.transport
         upstream.transport.write(data)
 
@@ -213,7 +213,7 @@
 async def bare(ports: list[int]) -> dict[str, Any]:
     free: list[list[Upstream]] = [[] for _ in ports]
     turn = [0]
-    server = await asyncio.get_running_loop().create_server(lambda: Bare(free, ports, turn), LOOP, 0)
+    server = await asyncio.get_running_loop().create_server(lambda: Bare(free, ports, turn), LOOPBACK, 0)
     return {"ports": [server.sockets[0].getsockname()[1]]}
 
 
@@ -227,7 +227,7 @@
     async def passed_on(request: web.Request) -> web.Response:
         nonlocal turn
         turn = (turn + 1) % len(ports)
-        url = f"http://{LOOP}:{ports[turn]}{request.raw_path}"
+        url = f"http://{LOOPBACK}:{ports[turn]}{request.raw_path}"
         async with session.request(
             request.method, url, headers=request.headers, data=await request.read()
         ) as got:
@@ -237,7 +237,7 @@
     app.router.add_route("*", "/{path:.*}", passed_on)
     runner = web.AppRunner(app, access_log=None)
     await runner.setup()
-    site = web.TCPSite(runner, LOOP, 0)
+    site = web.TCPSite(runner, LOOPBACK, 0)
     await site.start()
     return {"ports": [site._server.sockets[0].getsockname()[1]]}
 
--- a/hillmux/lab/standins/instant.py
+++ b/hillmux/lab/standins/instant.py
@@ -17,7 +17,7 @@
 
 from hillmux.lab.standins.http import response_bytes
 
-LOOP = "127.0.0.1"
+LOOPBACK = "127.0.0.1"
 OK_RESPONSE = response_bytes(200, b'{"slots":[' + b"1" * 50 + b"]}", b"Content-Type: application/json\r\n")
 NOT_RUN_RESPONSE = response_bytes(503, b"", b"X-Not-Run: 1\r\n")
 MAX_NAMES = 400_000  # totals that the counter keeps
@@ -83,7 +83,7 @@
     ports = []
     for _ in range(count):
         server = await loop.create_server(
-            lambda: InstantServerConnection(answer, traffic), LOOP, 0, backlog=512
+            lambda: InstantServerConnection(answer, traffic), LOOPBACK, 0, backlog=512
         )
         ports.append(server.sockets[0].getsockname()[1])
     return ports
