--- a/hillmux/lab/helper_process.py
+++ b/hillmux/lab/helper_process.py
@@ -1,6 +1,6 @@
-"""The side of a helper process in its exchange with the lab.
+"""Connects a helper process of a run to the lab.
 
-JSON lines on standard input and output, and the file of its record.
+The process exchanges JSON lines with the lab on standard input and output, and writes its own record file.
 """
 
 from __future__ import annotations
--- a/hillmux/lab/standins/host.py
+++ b/hillmux/lab/standins/host.py
@@ -116,7 +116,10 @@
         self._note(self.name, "up", started=True)
 
     def handle_request(self, request: ReceivedRequest) -> None:
-        """Run a request as a job of the model, or answer a health check, an injected fault or an overload."""
+        """Run a request as a job of the model.
+
+        Health checks, injected faults and requests beyond the connection limit are handled without a job.
+        """
         connection = request.connection
         assert isinstance(connection, HostConnection)
         if request.path == "/health":
--- a/hillmux/lab/standins/instant.py
+++ b/hillmux/lab/standins/instant.py
@@ -90,7 +90,7 @@
 
 
 async def hosts(ports: int = 8, full_every: int = 0) -> dict[str, Any]:
-    """Start hosts that respond at once; one in `full_every` requests is refused unrun, and so retried."""
+    """Start hosts that respond at once; one in `full_every` requests gets X-Not-Run, so it is retried."""
     request = 0
 
     def answer(url: bytes, connection: InstantServerConnection) -> bytes:
