--- a/benchmarks/trees.py
+++ b/benchmarks/trees.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from hillmux.lab.trees import PACKAGES, extract_revision, package_in
+from hillmux.lab.source_trees import PACKAGES, extract_revision, package_in
 
 ROOT = Path(__file__).resolve().parents[1]
 
--- a/hillmux/lab/commands.py
+++ b/hillmux/lab/commands.py
@@ -235,7 +235,7 @@
     from hillmux.lab.processes import NotReadyError
     from hillmux.lab.record import free_folder
     from hillmux.lab.run import RunError
-    from hillmux.lab.trees import TreeError
+    from hillmux.lab.source_trees import TreeError
 
     scenario = _scenario(path)
     folder = free_folder(out, f"compare-{scenario.name}")
--- a/hillmux/lab/compare.py
+++ b/hillmux/lab/compare.py
@@ -13,8 +13,8 @@
 from hillmux.lab.measures import Figures
 from hillmux.lab.run import Result, play
 from hillmux.lab.scenario import Scenario
+from hillmux.lab.source_trees import PACKAGES, extract_revision
 from hillmux.lab.streams import generator
-from hillmux.lab.trees import PACKAGES, extract_revision
 
 RESAMPLES = 4000
 FIGURES: dict[str, Callable[[Figures], float | None]] = {
--- a/hillmux/lab/processes.py
+++ b/hillmux/lab/processes.py
@@ -18,8 +18,8 @@
 
 from hillmux.lab.record import Recorder
 from hillmux.lab.scenario import MOST_UNITS, Class, Plan, Scenario, slack, zone_of
+from hillmux.lab.source_trees import package_in
 from hillmux.lab.streams import generator
-from hillmux.lab.trees import package_in
 
 READY_TIMEOUT_S = 20.0
 MAX_KEPT_LINES = 40
--- a/tests/lab/test_compare.py
+++ b/tests/lab/test_compare.py
@@ -9,7 +9,7 @@
 
 from hillmux.lab.compare import interval, paired, tree
 from hillmux.lab.measures import Figures
-from hillmux.lab.trees import TreeError
+from hillmux.lab.source_trees import TreeError
 
 
 def figures(served: float, full: float | None = None) -> Figures:
