--- a/benchmarks/coming_back.py
+++ b/benchmarks/coming_back.py
@@ -62,7 +62,7 @@
     figures = [f for _, f in plays]
     broken = [v.rule for verdicts, _ in plays for v in verdicts if v.broken]
     print(f"| {name} | {back[len(back) // 2]:.0f}, {back[-1]:.0f} "
-          f"| {max(f.attempts_a_try() for f in figures):.2f} "
+          f"| {max(f.attempts_per_request() for f in figures):.2f} "
           f"| {max(f.most_dials_s for f in figures)} ({max(f.usual_dials_s for f in figures):.0f}) "
           f"| {max(f.most_counter_s for f in figures)} | {sum(f.fell for f in figures)} "
           f"| {sum(f.second_wave_s is not None for f in figures)} of {len(plays)} "
--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -237,11 +237,11 @@
                     update={"hold": planted.scenario.hold.model_copy(update={"rules": (planted.rule,)})}
                 )
                 said[which] = play(scenario, folder, tree).verdicts[0]
-            found = said["planted"].says() == "broken" and said["as it is"].says() == "held"
+            found = said["planted"].status() == "broken" and said["as it is"].status() == "held"
             missed += not found
             print(
                 f"{'found ' if found else 'MISSED'}  {planted.rule:9} {planted.name}: "
-                f"{said['as it is'].says()} of {said['as it is'].exercised}, "
+                f"{said['as it is'].status()} of {said['as it is'].exercised}, "
                 f"planted: {said['planted'].broken} broken of {said['planted'].exercised}",
                 flush=True,
             )
--- a/benchmarks/snapshots.py
+++ b/benchmarks/snapshots.py
@@ -161,7 +161,7 @@
                     "before": round(statistics.mean(share[3:9]), 3),
                     "counter_s": figures.most_counter_s, "dials_s": figures.most_dials_s,
                     "fell": figures.fell, "gateways_full": len(own),
-                    "rules": {v.rule: v.says() for v in result.verdicts},
+                    "rules": {v.rule: v.status() for v in result.verdicts},
                     "late_p99_ms": round(result.late_ms[1], 1)}).decode(), flush=True)  # fmt: skip
 
 
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -78,7 +78,7 @@
             f"({end / middle - 1:+.2%})"
         )
     print(
-        f"{result.figures.first} first tries; " + ", ".join(f"{v.rule} {v.says()}" for v in result.verdicts)
+        f"{result.figures.first} first tries; " + ", ".join(f"{v.rule} {v.status()}" for v in result.verdicts)
     )
     return 0 if worst <= GROWTH and result.holds() else 1
 
--- a/hillmux/lab/checks.py
+++ b/hillmux/lab/checks.py
@@ -30,11 +30,11 @@
     broken: int = 0
     chains: list[list[Event]] = field(default_factory=list)  # the first few
 
-    def says(self) -> str:
+    def status(self) -> str:
         """held, broken or not exercised."""
         return "broken" if self.broken else "held" if self.exercised else "not exercised"
 
-    def show(self, chain: Iterable[Event]) -> None:
+    def add_violation(self, chain: Iterable[Event]) -> None:
         """Note one violation with the events that show it."""
         self.broken += 1
         if len(self.chains) < MOST_SHOWN:
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class Criteria:
     """What the rules are judged by."""
 
     drain_grace_ms: float
@@ -50,7 +50,7 @@
     ceilings: dict[str, tuple[float, float, float]]  # by plan: rate in units a second, store, slack
     quotas: dict[str, tuple[float, float]]  # by plan: rate, burst
     earliest_kill_ms: float = 3700.0  # after SIGTERM: the longest deadline, 3 s at most, and 0.7 s
-    timed: bool = True  # the load itself was in time, so that lateness is the program's
+    judge_times: bool = True  # the load itself was in time, so that lateness is the program's
 
 
 class _Outages:
@@ -81,7 +81,7 @@
         return any(e["t"] >= asked["t"] - SLACK_MS and e["ev"] != "start" for e in self._events)
 
 
-def answered(events: Iterable[Event], timed: bool = True) -> Verdict:
+def answered(events: Iterable[Event], judge_times: bool = True) -> Verdict:
     """One final answer for each request that a running gateway took, and none after it.
 
     A try whose connection broke under it, or that came too late, is excused where its gateway was killed or
@@ -92,7 +92,7 @@
     """
     verdict = Verdict("answered")
     events = list(events)
-    came = set() if timed else {event["rid"] for event in events if event["ev"] == "came"}
+    came = set() if judge_times else {event["rid"] for event in events if event["ev"] == "came"}
     wrote: dict[str, Event] = {}
     outages: dict[str, _Outages] = defaultdict(_Outages)
     for event in events:
@@ -102,15 +102,15 @@
             case "kill" | "stop" | "cont" | "start" | "term":
                 outages[event["who"]].note(event)
             case "second" | "foreign":  # one more answer, or one that no host made for this request
-                verdict.show([event])
+                verdict.add_violation([event])
             case "answer" if event["rid"] in wrote:
                 verdict.exercised += 1
                 asked = wrote.pop(event["rid"])
                 owed = event["result"] in ("late", "reset") and event["rid"] not in came
                 if owed and not outages[event["gw"]].excuse(asked):
-                    verdict.show([asked, event])
+                    verdict.add_violation([asked, event])
     for asked in wrote.values():
-        verdict.show([asked])
+        verdict.add_violation([asked])
     return verdict
 
 
@@ -123,9 +123,9 @@
             verdict.exercised += 1
             before = out.setdefault(event["rid"], [])
             if before and event["kind"] == "unsafe":
-                verdict.show([*before, event])
+                verdict.add_violation([*before, event])
             elif before and event["t"] - before[0]["t"] > event["window"] + SLACK_MS:
-                verdict.show([before[0], event])
+                verdict.add_violation([before[0], event])
             before.append(event)
         elif event["ev"] == "end" and event["result"] in TURNED_AWAY and event["rid"] in out:
             held = out[event["rid"]]
@@ -156,7 +156,7 @@
                 verdict.exercised += len(due)
                 word = told.get((event["gw"], event["who"]))
                 if word is not None and event["t"] > word["t"] + grace_ms + SLACK_MS:
-                    verdict.show([word, event])
+                    verdict.add_violation([word, event])
     return verdict
 
 
@@ -182,7 +182,7 @@
                 pushed = recent[who]
                 knew = sum(e["gw"] in told[who] for e in pushed)
                 if 3 * knew > 2 * len(pushed):
-                    verdict.show([*list(pushed)[-5:], event])
+                    verdict.add_violation([*list(pushed)[-5:], event])
     return verdict
 
 
@@ -203,7 +203,7 @@
         stores[event["customer"]] = left, event["t"]
         last[event["customer"]].append(event)
         if left < -slack - 0.15 * rate:
-            verdict.show(last[event["customer"]])
+            verdict.add_violation(last[event["customer"]])
     return verdict
 
 
@@ -229,7 +229,7 @@
     if lost:
         verdict.exercised = 0
     elif told > 1.25 * sent + 20:
-        verdict.show([{"ev": "units", "told": told, "sent": sent}])
+        verdict.add_violation([{"ev": "units", "told": told, "sent": sent}])
     return verdict
 
 
@@ -240,7 +240,7 @@
         if event["ev"] == "datagram":
             verdict.exercised += 1
             if event["long"]:
-                verdict.show([event])
+                verdict.add_violation([event])
         elif event["ev"] == "stranger":
-            verdict.show([event])
+            verdict.add_violation([event])
     return verdict
--- a/hillmux/lab/commands.py
+++ b/hillmux/lab/commands.py
@@ -122,13 +122,14 @@
         "rule", "says", "judged", "broken", title=f"{result.scenario.name}, seed {result.scenario.seed}"
     )
     for verdict in result.verdicts:
-        table.add_row(verdict.rule, verdict.says(), str(verdict.exercised), str(verdict.broken))
+        table.add_row(verdict.rule, verdict.status(), str(verdict.exercised), str(verdict.broken))
     console.print(table)
     f = result.figures
     back = "-" if f.full_service_s is None else f"{f.full_service_s:.0f} s"
     for line in (
         f"worth served in time: {f.served_share:.3f}; latency p50 {f.p50_ms:.0f} ms, p99 {f.p99_ms:.0f} ms",
-        f"first tries {f.first}, tries {f.tries}, attempts {f.attempts} ({f.attempts_a_try():.2f} a first)",
+        f"first tries {f.first}, tries {f.tries}, attempts {f.attempts} "
+        f"({f.attempts_per_request():.2f} a first)",
         f"tries ended: {', '.join(f'{k} {n}' for k, n in sorted(f.results.items()))}",
         f"dials {f.dials}, at a host in 1 s at most {f.most_dials_s} (before: {f.usual_dials_s:g})",
         f"counter calls {f.counter_calls}, {f.most_counter_s} a second at most, turned away {f.turned_away}",
@@ -137,7 +138,7 @@
         f"the load's own lateness, ms: p50 {result.late_ms[0]:.1f}, p99 {result.late_ms[1]:.1f}",
     ):
         console.print(line, highlight=False)
-    for text in result.unmet:
+    for text in result.unmet_requirements:
         console.print(f"not met: {text}", style="red")
     console.print(f"record: {result.folder}", highlight=False)
 
@@ -146,10 +147,10 @@
 @click.argument("path", type=click.Path(path_type=Path), metavar="FILE")
 def check(path: Path) -> None:
     """Tell every fault of a scenario's file, and what playing it takes, without starting anything."""
-    from hillmux.lab.scenario import needs, schedule
+    from hillmux.lab.scenario import resource_needs, schedule
 
     scenario = _scenario(path)
-    processes, megabytes, files = needs(scenario)
+    processes, megabytes, files = resource_needs(scenario)
     click.echo(
         f"{path}: sound: {len(schedule(scenario))} strikes in {scenario.length_s:g} s; takes "
         f"{processes} processes, {megabytes} MB, {files} descriptors"
@@ -188,7 +189,9 @@
     """The events that show what a run broke: the shortest chain for each violation."""
     result = _judged(folder)
     for verdict in result.verdicts:
-        click.echo(f"{verdict.rule}: {verdict.says()} ({verdict.exercised} judged, {verdict.broken} broken)")
+        click.echo(
+            f"{verdict.rule}: {verdict.status()} ({verdict.exercised} judged, {verdict.broken} broken)"
+        )
         for chain in verdict.chains:
             for event in chain:
                 click.echo("  " + _line(event, result.t0))
@@ -274,6 +277,6 @@
     scenario = result.scenario
     series = Series(record.read(folder), result.t0, scenario.length_s)
     title = f"{scenario.name}, seed {scenario.seed}"
-    text = page(title, scenario.about, series, result.figures, result.verdicts, result.unmet)
+    text = page(title, scenario.about, series, result.figures, result.verdicts, result.unmet_requirements)
     (folder / "report.html").write_text(text, encoding="utf-8")
     click.echo(folder / "report.html")
--- a/hillmux/lab/compare.py
+++ b/hillmux/lab/compare.py
@@ -19,7 +19,7 @@
 RESAMPLES = 4000
 FIGURES: dict[str, Callable[[Figures], float | None]] = {
     "worth served": lambda f: f.served_share,
-    "attempts a first try": Figures.attempts_a_try,
+    "attempts a first try": Figures.attempts_per_request,
     "p99, ms": lambda f: f.p99_ms,
     "dials": lambda f: float(f.dials),
     "dials at a host in 1 s": lambda f: float(f.most_dials_s),
--- a/hillmux/lab/lifecycle_checks.py
+++ b/hillmux/lab/lifecycle_checks.py
@@ -36,11 +36,11 @@
                 begun = term.get(who)
                 if begun is not None and who not in stopped and event["t"] - begun["t"] >= earliest_kill_ms:
                     verdict.exercised += 1
-                    verdict.show([begun, event])  # it had not ended by then
+                    verdict.add_violation([begun, event])  # it had not ended by then
             case "ended" if who not in killed and event["code"] != -9:
                 verdict.exercised += 1
                 if who not in term or event["code"] != 0:
-                    verdict.show([*([term[who]] if who in term else []), event])
+                    verdict.add_violation([*([term[who]] if who in term else []), event])
     return verdict
 
 
@@ -65,26 +65,26 @@
                 if event["t"] - started["t"] > READY_AGAIN_MS:
                     late += [started, event]
     if len(late) // 2 > (1 - MIN_READY_SHARE) * verdict.exercised:
-        verdict.show(late)
+        verdict.add_violation(late)
     return verdict
 
 
-def departures(events: Iterable[Event], timed: bool = True) -> Verdict:
+def departures(events: Iterable[Event], judge_times: bool = True) -> Verdict:
     """No attempt begins more than SEND_AFTER_LEAVE_MS after its client has left; judged where `timed`."""
     verdict = Verdict("departures")
     left: dict[str, Event] = {}
     for event in events:
         if event["ev"] == "left":
             left[event["rid"]] = event
-            verdict.exercised += timed
+            verdict.exercised += judge_times
         elif event["ev"] == "got" and event["rid"] in left:
             gone = left[event["rid"]]
-            if timed and event["t"] > gone["t"] + SEND_AFTER_LEAVE_MS + SLACK_MS:
-                verdict.show([gone, event])
+            if judge_times and event["t"] > gone["t"] + SEND_AFTER_LEAVE_MS + SLACK_MS:
+                verdict.add_violation([gone, event])
     return verdict
 
 
-def unruly(events: Iterable[Event], timed: bool = True) -> Verdict:
+def unruly(events: Iterable[Event], judge_times: bool = True) -> Verdict:
     """A client that halts is ended in time, and each that sends much, slowly or in a hurry is answered once.
 
     What a gateway owed that was killed or stopped meanwhile is not judged; nor is a time where not `timed`.
@@ -101,8 +101,8 @@
                 sent = owed.pop(event["rid"])
                 verdict.exercised += 1
                 late = event["t"] > sent["t"] + sent["allowed_ms"] + SLACK_MS
-                if event.get("result") in ("reset", "foreign", "rejected") or (late and timed):
-                    verdict.show([sent, event])
+                if event.get("result") in ("reset", "foreign", "rejected") or (late and judge_times):
+                    verdict.add_violation([sent, event])
     for sent in owed.values():
-        verdict.show([sent])
+        verdict.add_violation([sent])
     return verdict
--- a/hillmux/lab/measures.py
+++ b/hillmux/lab/measures.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from hillmux.lab.checks import Event, Terms
+from hillmux.lab.checks import Criteria, Event
 from hillmux.lab.store import TokenBucket
 from hillmux.recovery import full_service as full
 
@@ -37,12 +37,12 @@
     full_after_ready_s: float | None = None  # after the last gateway was ready
     second_wave_s: float | None = None
 
-    def attempts_a_try(self) -> float:
+    def attempts_per_request(self) -> float:
         """Attempts at hosts for each first try."""
         return self.attempts / max(self.first, 1)
 
 
-def measure(events: Iterable[Event], t0: float, length_s: float, terms: Terms) -> Figures:
+def measure(events: Iterable[Event], t0: float, length_s: float, criteria: Criteria) -> Figures:
     """The figures of a run that began at `t0`, in ms of its clock."""
     figures = Figures()
     asked: dict[int, float] = defaultdict(float)
@@ -59,7 +59,7 @@
         match event["ev"]:
             case "first":
                 figures.first += 1
-                rate, burst = terms.quotas[event["plan"]]
+                rate, burst = criteria.quotas[event["plan"]]
                 quota = quotas.setdefault(event["customer"], TokenBucket(rate, burst, event["due"]))
                 inside = quota.refill(event["due"]) >= event["units"]
                 quota.available -= event["true"] if inside else 0.0
--- a/hillmux/lab/processes.py
+++ b/hillmux/lab/processes.py
@@ -17,7 +17,7 @@
 import orjson
 
 from hillmux.lab.record import Recorder
-from hillmux.lab.scenario import MOST_UNITS, Class, Plan, Scenario, slack, zone_of
+from hillmux.lab.scenario import MAX_REQUEST_UNITS, Class, Plan, Scenario, slack, zone_of
 from hillmux.lab.source_trees import package_in
 from hillmux.lab.streams import generator
 
@@ -143,7 +143,7 @@
                 "may_count": True,
                 "count_wait_ms": fleet.counter_wait_ms,
                 "trued_up": True,
-                "most_units": MOST_UNITS,
+                "most_units": MAX_REQUEST_UNITS,
             },
         }
 
--- a/hillmux/lab/report.py
+++ b/hillmux/lab/report.py
@@ -111,10 +111,11 @@
 
 
 def page(title: str, about: str, series: Series, figures: Figures, verdicts: list[Verdict],
-         unmet: list[str]) -> str:  # fmt: skip
+         unmet_requirements: list[str]) -> str:  # fmt: skip
     """The whole page."""
     rows = "".join(
-        f'<tr class="{v.says()}"><td>{v.rule}<td>{v.says()}<td>{v.exercised}<td>{v.broken}' for v in verdicts
+        f'<tr class="{v.status()}"><td>{v.rule}<td>{v.status()}<td>{v.exercised}<td>{v.broken}'
+        for v in verdicts
     )
     faults = "".join(
         f"<li>{at:g} s: {html.escape(what)} ({count})" for (at, what), count in sorted(series.faults.items())
@@ -124,11 +125,11 @@
         for v in verdicts
         if v.chains
     )
-    missed = "".join(f"<li>{html.escape(text)}" for text in unmet)
+    missed = "".join(f"<li>{html.escape(text)}" for text in unmet_requirements)
     body = (
         f"<table><tr><th>rule<th>says<th>judged<th>broken{rows}</table>"
         f"<p>Worth served in time {figures.served_share:.3f}; attempts a first try "
-        f"{figures.attempts_a_try():.2f}; p99 {figures.p99_ms:.0f} ms; dials {figures.dials}; "
+        f"{figures.attempts_per_request():.2f}; p99 {figures.p99_ms:.0f} ms; dials {figures.dials}; "
         f"counter calls {figures.counter_calls}; hosts that fell {figures.fell}; "
         f"memory {figures.memory_mb:.0f} MB at most.</p>"
         f"{f'<h2>Not met</h2><ul>{missed}</ul>' if missed else ''}{figure(series, figures)}"
--- a/hillmux/lab/run.py
+++ b/hillmux/lab/run.py
@@ -24,7 +24,15 @@
     die_with_parent,
 )
 from hillmux.lab.record import Recorder
-from hillmux.lab.scenario import GATEWAY_FAULTS, Scenario, Strike, free_mb, schedule, terms, too_much
+from hillmux.lab.scenario import (
+    GATEWAY_FAULTS,
+    Scenario,
+    ScheduledFault,
+    criteria,
+    free_mb,
+    resource_shortages,
+    schedule,
+)
 from hillmux.lab.virtual import play as virtual
 
 LEAD_TIME_S = 0.5  # between the last gateway's readiness and the first try
@@ -48,15 +56,15 @@
     verdicts: list[checks.Verdict]
     figures: Figures
     late_ms: list[float]
-    unmet: list[str]
+    unmet_requirements: list[str]
 
-    def is_timed(self) -> bool:
+    def times_judged(self) -> bool:
         """Whether times were judged: the load itself was in time."""
         return self.late_ms[1] <= MAX_LOAD_LATENESS_MS
 
     def holds(self) -> bool:
         """Whether every rule was exercised and held, and every figure asked for was met."""
-        return not self.unmet and all(v.says() == "held" for v in self.verdicts)
+        return not self.unmet_requirements and all(v.status() == "held" for v in self.verdicts)
 
 
 class HelperProcess:
@@ -135,7 +143,7 @@
         """Play it whole; RunError where it can't be. Ctrl-C ends all that was started, too."""
         files = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (files[1], files[1]))
-        wrong = too_much(self.scenario, free_mb(), files[1])
+        wrong = resource_shortages(self.scenario, free_mb(), files[1])
         if wrong:
             raise RunError("\n".join(wrong))
         self.folder.mkdir(parents=True)
@@ -170,10 +178,10 @@
         self._load.send({"t0": t0})
         self._report("playing")
         loop = asyncio.get_running_loop()
-        for strike in schedule(scenario):
-            if strike.fault.what in GATEWAY_FAULTS:
-                delay_s = (t0 + strike.at_ms) / 1000 - time.monotonic()
-                self._timers.append(loop.call_later(delay_s, self._apply_fault, strike))
+        for scheduled in schedule(scenario):
+            if scheduled.fault.what in GATEWAY_FAULTS:
+                delay_s = (t0 + scheduled.at_ms) / 1000 - time.monotonic()
+                self._timers.append(loop.call_later(delay_s, self._apply_fault, scheduled))
         self._sample_memory()
         over = await asyncio.wait_for(
             self._receive_until_over(), scenario.length_s + LEAD_TIME_S + OVERRUN_TIMEOUT_S
@@ -193,17 +201,19 @@
         timer = asyncio.get_running_loop().call_later(MEMORY_SAMPLE_INTERVAL_S, self._sample_memory)
         self._timers.append(timer)
 
-    def _apply_fault(self, strike: Strike) -> None:
-        gateway, what = self.gateways[strike.target], strike.fault.what
+    def _apply_fault(self, scheduled: ScheduledFault) -> None:
+        gateway, what = self.gateways[scheduled.target], scheduled.fault.what
         if what == "start":
             task = asyncio.get_running_loop().create_task(
-                self._await_restart(gateway.request_start(strike.fault.how, self._twin_snapshots(gateway))),
+                self._await_restart(
+                    gateway.request_start(scheduled.fault.how, self._twin_snapshots(gateway))
+                ),
                 name=gateway.name,
             )
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         else:
-            if strike.fault.how == "moved":
+            if scheduled.fault.how == "moved":
                 gateway.discovery_moved()
             gateway.signal(what)
 
@@ -242,18 +252,18 @@
 ) -> Result:
     """The verdicts and figures of a record; `wrong`: what else the run did not come to."""
     events = list(record.read(folder))
-    given = replace(terms(scenario), timed=late_ms[1] <= MAX_LOAD_LATENESS_MS)
+    given = replace(criteria(scenario), judge_times=late_ms[1] <= MAX_LOAD_LATENESS_MS)
     verdicts = rules.judge(events, given, scenario.hold.rules)
     figures = measure(events, t0, scenario.length_s, given)
-    missed = [*wrong, *unmet(scenario, figures, late_ms)]
+    missed = [*wrong, *unmet_requirements(scenario, figures, late_ms)]
     result = Result(scenario, folder, t0, verdicts, figures, late_ms, missed)
     if any(event["ev"] == "cut" for event in events):
-        result.unmet.append("the record was cut at its bound: nothing after that was judged")
+        result.unmet_requirements.append("the record was cut at its bound: nothing after that was judged")
     said = {
         "t0": t0,
         "late_ms": late_ms,
-        "unmet": result.unmet,
-        "verdicts": {v.rule: [v.says(), v.exercised, v.broken] for v in verdicts},
+        "unmet": result.unmet_requirements,
+        "verdicts": {v.rule: [v.status(), v.exercised, v.broken] for v in verdicts},
         "figures": asdict(figures)
         | {"windows": [[w.offered_weight, w.served_weight] for w in figures.windows]},
     }
@@ -261,7 +271,7 @@
     return result
 
 
-def unmet(scenario: Scenario, figures: Figures, late_ms: list[float]) -> list[str]:
+def unmet_requirements(scenario: Scenario, figures: Figures, late_ms: list[float]) -> list[str]:
     """What a scenario asks for and the run did not show. Times are judged only by a load that was in time."""
     hold = scenario.hold
     wrong: list[str] = []
@@ -271,8 +281,10 @@
         elif figures.full_service_s is None or figures.full_service_s > hold.full_service_s:
             seen = "never" if figures.full_service_s is None else f"after {figures.full_service_s:.0f} s"
             wrong.append(f"full service: {seen}, {hold.full_service_s:g} s were asked for")
-    if hold.attempts_a_try and figures.attempts_a_try() > hold.attempts_a_try:
-        wrong.append(f"attempts a first try: {figures.attempts_a_try():.2f}, at most {hold.attempts_a_try:g}")
+    if hold.attempts_a_try and figures.attempts_per_request() > hold.attempts_a_try:
+        wrong.append(
+            f"attempts a first try: {figures.attempts_per_request():.2f}, at most {hold.attempts_a_try:g}"
+        )
     if hold.served and figures.served_share < hold.served:
         wrong.append(f"served: {figures.served_share:.3f} of the worth, at least {hold.served:g}")
     return wrong
--- a/hillmux/lab/scenario.py
+++ b/hillmux/lab/scenario.py
@@ -13,7 +13,7 @@
 import tomli
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-from hillmux.lab.checks import MIN_KILL_AFTER_TERM_MS, Terms
+from hillmux.lab.checks import MIN_KILL_AFTER_TERM_MS, Criteria
 from hillmux.lab.rules import CHECKERS, OPTIONAL_RULES
 from hillmux.lab.streams import generator
 from hillmux.lab.traffic import ClassTraffic, PlanTraffic, TrafficModel
@@ -23,7 +23,7 @@
 NotNegative = Annotated[float, Field(ge=0)]
 PROCESS_MB, PROCESS_FILES = 40, 64  # of a gateway's process at rest
 SPARE_MB = 512
-MOST_UNITS = 4  # of a request
+MAX_REQUEST_UNITS = 4  # of a request
 GATEWAY_FAULTS = ("kill", "term", "hup", "stop", "cont", "start")
 HOST_FAULTS = ("crash", "restart", "drain", "remove", "ready", "hang", "slow", "failing", "well", "swap")
 LINK_FAULTS = ("cut", "cut_in", "cut_out", "heal", "delay", "throttle", "reset_after")
@@ -272,16 +272,16 @@
         raise ScenarioError("\n".join(f"{path}: {line}" for line in lines)) from None
 
 
-def needs(scenario: Scenario) -> tuple[int, int, int]:
+def resource_needs(scenario: Scenario) -> tuple[int, int, int]:
     """Processes, megabytes and descriptors of one process that a run takes, roughly."""
     fleet = scenario.fleet
     doors = fleet.gateways * (fleet.hosts + 2)
     return fleet.gateways + 3, SPARE_MB + PROCESS_MB * fleet.gateways, 3 * doors + PROCESS_FILES
 
 
-def too_much(scenario: Scenario, memory_mb: int, files: int) -> list[str]:
+def resource_shortages(scenario: Scenario, memory_mb: int, files: int) -> list[str]:
     """Why this machine can't bear a run; nothing where it can."""
-    _, megabytes, descriptors = needs(scenario)
+    _, megabytes, descriptors = resource_needs(scenario)
     wrong = []
     if megabytes > memory_mb:
         wrong.append(f"memory: {megabytes} MB are needed, {memory_mb} MB are free")
@@ -300,13 +300,13 @@
 
 def slack(most: float) -> float:
     """A ceiling's slack in units: a tenth of its store, or one of the largest requests."""
-    return max(0.1 * most, float(MOST_UNITS))
+    return max(0.1 * most, float(MAX_REQUEST_UNITS))
 
 
-def terms(scenario: Scenario) -> Terms:
+def criteria(scenario: Scenario) -> Criteria:
     """What a scenario's record is judged by."""
     plans = scenario.traffic.plans
-    return Terms(
+    return Criteria(
         scenario.fleet.drain_grace_ms,
         scenario.fleet.fall_ms,
         {
@@ -322,7 +322,7 @@
 # --- The schedule: who is hit when, from the seed ---
 
 
-class Strike(_Model):
+class ScheduledFault(_Model):
     """One fault at one target."""
 
     at_ms: float
@@ -360,10 +360,10 @@
     return hosts if rest == "*" else [h for h in hosts if h == rest]
 
 
-def schedule(scenario: Scenario) -> list[Strike]:
+def schedule(scenario: Scenario) -> list[ScheduledFault]:
     """Every fault at every target, in the order of their times. A scenario and its seed give the same."""
     named: dict[str, list[str]] = {}
-    strikes = []
+    scheduled = []
     for index, fault in enumerate(scenario.faults):
         if fault.what in COUNTER_FAULTS and fault.what != "counter_split":
             targets = ["counter"]
@@ -377,7 +377,8 @@
                 others = _resolve(fault.other, scenario, named, index)
                 targets = [f"{a}>{b}" for a in targets for b in others if a != b]
         step = 1000 * fault.over_s / max(len(targets), 1)
-        strikes += [
-            Strike(at_ms=1000 * fault.at_s + i * step, target=t, fault=fault) for i, t in enumerate(targets)
+        scheduled += [
+            ScheduledFault(at_ms=1000 * fault.at_s + i * step, target=t, fault=fault)
+            for i, t in enumerate(targets)
         ]
-    return sorted(strikes, key=lambda s: s.at_ms)
+    return sorted(scheduled, key=lambda s: s.at_ms)
--- a/hillmux/lab/soak.py
+++ b/hillmux/lab/soak.py
@@ -88,7 +88,7 @@
     result.judged = sum(verdict.exercised for verdict in played.verdicts)
     results = played.figures.results
     result.untold = results.get("reset", 0) + results.get("shut", 0)
-    result.timed = played.is_timed()
+    result.timed = played.times_judged()
     return result
 
 
--- a/hillmux/lab/virtual/play.py
+++ b/hillmux/lab/virtual/play.py
@@ -10,7 +10,7 @@
 
 from hillmux.lab import checks, measures, rules
 from hillmux.lab.checks import Event
-from hillmux.lab.scenario import Scenario, Strike, schedule, terms
+from hillmux.lab.scenario import Scenario, ScheduledFault, criteria, schedule
 from hillmux.lab.virtual.counter import CounterModel
 from hillmux.lab.virtual.hosts import READY, HostModel
 from hillmux.lab.virtual.model import START_MS, SimulationFigures, SimulationModel
@@ -71,14 +71,14 @@
     """Play it, and judge the record as that of a run of real processes is judged."""
     events: list[Event] = []
     play(scenario, events)
-    given = terms(scenario)
+    given = criteria(scenario)
     return (
         rules.judge(events, given, scenario.hold.rules),
         measures.measure(events, START_MS, scenario.length_s, given),
     )
 
 
-def _strike(played: Simulation, strike: Strike) -> None:
+def _strike(played: Simulation, strike: ScheduledFault) -> None:
     what, target = strike.fault.what, strike.target
     match what:
         case "kill" | "term":  # a drain that goes well ends what is open; here it is reset
--- a/hillmux/lab/world.py
+++ b/hillmux/lab/world.py
@@ -25,7 +25,7 @@
     LINK_FAULTS,
     PEER_FAULTS,
     Scenario,
-    Strike,
+    ScheduledFault,
     schedule,
     zone_of,
 )
@@ -134,7 +134,7 @@
             if moved or strike.fault.what not in GATEWAY_FAULTS:
                 self.clock.at(t0_ms + strike.at_ms, self.apply_fault, strike)
 
-    def apply_fault(self, strike: Strike) -> None:
+    def apply_fault(self, strike: ScheduledFault) -> None:
         """One fault, now."""
         fault, what = strike.fault, strike.fault.what
         self.note("lab", "fault", what=what, target=strike.target, value=fault.value)
--- a/tests/lab/test_checks.py
+++ b/tests/lab/test_checks.py
@@ -86,16 +86,16 @@
 def test_a_checker_tells_the_record_that_breaks_its_rule(case: str) -> None:
     check, holds, breaks = CASES[case]
     verdict: Verdict = check(holds)
-    assert (verdict.says(), verdict.broken) == ("held", 0), verdict.chains
+    assert (verdict.status(), verdict.broken) == ("held", 0), verdict.chains
     verdict = check(breaks)
-    assert verdict.says() == "broken" and verdict.chains
+    assert verdict.status() == "broken" and verdict.chains
     # The chain ends with the event at which the rule is broken.
     assert verdict.chains[0][-1] in breaks or verdict.rule == "units"
 
 
 @pytest.mark.parametrize("case", CASES)
 def test_a_checker_with_nothing_to_judge_does_not_say_held(case: str) -> None:
-    assert CASES[case][0]([at(0, "lab", "fault", what="x")]).says() == "not exercised"
+    assert CASES[case][0]([at(0, "lab", "fault", what="x")]).status() == "not exercised"
 
 
 UNJUDGED: dict[str, tuple[Any, list[dict[str, Any]]]] = {
@@ -112,21 +112,21 @@
 @pytest.mark.parametrize("case", UNJUDGED)
 def test_what_shows_nothing_of_a_rule_does_not_say_held(case: str) -> None:
     check, events = UNJUDGED[case]
-    assert check(events).says() == "not exercised"
+    assert check(events).status() == "not exercised"
 
 
 def test_on_a_machine_too_busy_for_times_a_late_answer_breaks_nothing_and_a_lost_one_does() -> None:
     late = [wrote(0, "a"), answer(5, "a", "late"), at(9, "client", "came", rid="a", gw="g0", status=200)]
     lost = [wrote(0, "a"), answer(5, "a", "late")]
-    assert [answered(late, timed).says() for timed in (True, False)] == ["broken", "held"]
-    assert [answered(lost, timed).says() for timed in (True, False)] == ["broken", "broken"]
+    assert [answered(late, timed).status() for timed in (True, False)] == ["broken", "held"]
+    assert [answered(lost, timed).status() for timed in (True, False)] == ["broken", "broken"]
 
 
 def test_an_answer_that_no_host_made_for_this_request_breaks_the_rule() -> None:
     foreign = at(4, "client", "foreign", rid="a", gw="g0")
-    assert answered([wrote(0, "a"), foreign, answer(5, "a")]).says() == "broken"
+    assert answered([wrote(0, "a"), foreign, answer(5, "a")]).status() == "broken"
 
 
 def test_a_ceiling_takes_each_request_once_however_often_it_is_sent() -> None:
     events = [got(i, "a", f"h{i}") for i in range(9)]
-    assert checks.ceilings(events, CEILING).says() == "held"
+    assert checks.ceilings(events, CEILING).status() == "held"
--- a/tests/lab/test_lifecycle_checks.py
+++ b/tests/lab/test_lifecycle_checks.py
@@ -17,7 +17,7 @@
 
 
 def says(verdict: Verdict) -> str:
-    return verdict.says()
+    return verdict.status()
 
 
 def life(*later: Event) -> list[Event]:
@@ -58,7 +58,7 @@
 def test_attempt_for_a_client_that_has_left_breaks_the_rule(after_ms: float, said: str) -> None:
     events = [event(0, "client", "left", rid="a"), event(after_ms, "h0", "got", rid="a", gw="g0")]
     assert says(departures(events)) == said
-    assert says(departures(events, timed=False)) == "not exercised"
+    assert says(departures(events, judge_times=False)) == "not exercised"
 
 
 def sent(kind: str = "unruly_wrote", allowed_ms: float = 3000.0) -> Event:
--- a/tests/lab/test_report.py
+++ b/tests/lab/test_report.py
@@ -5,11 +5,11 @@
 from html.parser import HTMLParser
 from typing import Any
 
-from hillmux.lab.checks import Terms, Verdict, answered
+from hillmux.lab.checks import Criteria, Verdict, answered
 from hillmux.lab.measures import measure
 from hillmux.lab.report import Series, page
 
-TERMS = Terms(1000.0, 1500.0, {}, {"p": (10.0, 100.0)})
+CRITERIA = Criteria(1000.0, 1500.0, {}, {"p": (10.0, 100.0)})
 
 
 def record() -> list[dict[str, Any]]:
@@ -44,7 +44,7 @@
 
 def test_a_page_is_whole_and_tells_what_was_broken() -> None:
     events = record()
-    figures = measure(events, 0.0, 5.0, TERMS)
+    figures = measure(events, 0.0, 5.0, CRITERIA)
     verdicts: list[Verdict] = [answered(events)]
     text = page("day <1>", "x", Series(events, 0.0, 5.0), figures, verdicts, ["served: too little"])
     outside = Outside()
@@ -56,7 +56,7 @@
 
 
 def test_figures_of_the_record() -> None:
-    figures = measure(record(), 0.0, 5.0, TERMS)
+    figures = measure(record(), 0.0, 5.0, CRITERIA)
     assert (figures.first, figures.attempts, figures.results) == (40, 40, {"served": 39})
     assert figures.served_share == 39 / 40
     assert [w.offered_weight for w in figures.windows] == [10, 10, 10, 10, 0]
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -19,7 +19,7 @@
 from hillmux.lab.checks import Verdict
 from hillmux.lab.measures import Figures
 from hillmux.lab.processes import GatewayProcess, NotReadyError
-from hillmux.lab.run import Result, Run, play, unmet
+from hillmux.lab.run import Result, Run, play, unmet_requirements
 from hillmux.lab.scenario import Hold, Scenario
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -40,7 +40,7 @@
 
 def held(result: Result) -> None:
     """Every rule asked for was exercised and held; what broke is shown."""
-    said = {v.rule: (v.says(), v.chains[:1]) for v in result.verdicts}
+    said = {v.rule: (v.status(), v.chains[:1]) for v in result.verdicts}
     assert all(says == "held" for says, _ in said.values()) and len(said) > 2, said
 
 
@@ -85,7 +85,7 @@
         {"at_s": 0.7, "what": "start", "who": "gateway:2"},
         rules=("answered",), length_s=2.0,
     ), tmp_path / "run")  # fmt: skip
-    assert result.unmet == ["g2: a start had not come about by the end"] and not result.holds()
+    assert result.unmet_requirements == ["g2: a start had not come about by the end"] and not result.holds()
     assert (count(result, "ended", code=-signal.SIGKILL), count(result, "start")) == (4, 4)
 
 
@@ -174,11 +174,12 @@
 def test_what_was_not_exercised_or_not_judged_does_not_pass(tmp_path: Path) -> None:
     asked = day(rules=("cold",)).model_copy(update={"hold": Hold(rules=("cold",), full_service_s=3)})
     quick, none = Figures(full_service_s=1.0), Figures()
-    assert unmet(asked, quick, [0.5, 1.0, 9.0]) == []
-    assert "not judged" in unmet(asked, quick, [0.5, 5.1, 9.0])[0]  # the load was late: no verdict on times
-    assert "never" in unmet(asked, none, [0.5, 1.0, 9.0])[0]
+    assert unmet_requirements(asked, quick, [0.5, 1.0, 9.0]) == []
+    # the load was late: no verdict on times
+    assert "not judged" in unmet_requirements(asked, quick, [0.5, 5.1, 9.0])[0]
+    assert "never" in unmet_requirements(asked, none, [0.5, 1.0, 9.0])[0]
     result = Result(asked, tmp_path, 0.0, [Verdict("cold")], quick, [0.5, 1.0, 9.0], [])
-    assert result.verdicts[0].says() == "not exercised" and not result.holds()
+    assert result.verdicts[0].status() == "not exercised" and not result.holds()
 
 
 def test_a_run_that_is_broken_off_leaves_no_process(tmp_path: Path) -> None:
@@ -265,7 +266,7 @@
         {"at_s": 1.8, "what": "start", "who": "gateway:1"},
         rules=("answered",), length_s=1.9,
     ), tmp_path / "run")  # fmt: skip
-    assert result.unmet == [] and count(result, "ready", who="g1") == 2
+    assert result.unmet_requirements == [] and count(result, "ready", who="g1") == 2
 
 
 def test_interrupted_run_applies_no_further_fault(tmp_path: Path) -> None:
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -75,5 +75,5 @@
 
 def test_a_run_that_the_machine_cannot_bear_is_told_before_it_starts() -> None:
     day = sc.load(ROOT / "examples/lab/herd.toml")
-    assert sc.too_much(day, 100_000, 100_000) == []
-    assert [text.split(":")[0] for text in sc.too_much(day, 100, 100)] == ["memory", "descriptors"]
+    assert sc.resource_shortages(day, 100_000, 100_000) == []
+    assert [text.split(":")[0] for text in sc.resource_shortages(day, 100, 100)] == ["memory", "descriptors"]
