--- a/hillmux/lab/checks.py
+++ b/hillmux/lab/checks.py
@@ -1,7 +1,7 @@
-"""The rules over a record: what was broken, by the shortest chain of events that shows it. Free of I/O.
+"""Rules that judge a run's record; each violation is shown by the shortest chain of events. Free of I/O.
 
-Each checker reads events in the order of their times. One that saw no event of its kind says `not exercised`,
-which does not count as held: a check that cannot fail shows nothing.
+Each checker reads the events in the order of their times. A checker that found no event to judge reports
+`not exercised`, which does not count as held: such a run is no evidence that the rule holds.
 """
 
 from __future__ import annotations
@@ -12,195 +12,230 @@
 from typing import Any
 
 Event = dict[str, Any]
-SLACK_MS = 50.0  # the protocol's, on sockets
-ANSWER_SLACK_MS = 500.0  # an answer so long after its client gave up is late, not lost
-MAX_PAUSE_MS = 160.0  # 0.15 s, for which deadlines allow, and what the lab's own signals are late
-MIN_KILL_AFTER_TERM_MS = 700.0  # what an earlier SIGKILL finds unanswered is not lost
-MOST_SHOWN = 20
-LOSES_CALLS = frozenset(("counter_stop", "counter_split", "cut", "cut_in", "cut_out", "reset_after"))
-TURNED_AWAY = frozenset(("full", "draining"))  # proves that a request did not run
+SLACK_MS = 50.0  # allowed error of a time on sockets, as the protocol defines it
+ANSWER_SLACK_MS = 500.0  # an answer up to this long after its client gave up counts as late, not as lost
+MAX_PAUSE_MS = 160.0  # the 0.15 s that deadlines allow for, and the delay of the lab's own signals
+MIN_KILL_AFTER_TERM_MS = 700.0  # requests that are open at an earlier SIGKILL do not count as lost
+MAX_CHAINS = 20  # violations of one rule that are kept with their events
+CALL_LOSING_FAULTS = frozenset(("counter_stop", "counter_split", "cut", "cut_in", "cut_out", "reset_after"))
+NOT_EXECUTED_RESULTS = frozenset(("full", "draining"))  # results that prove that a request did not run
 
 
 @dataclass(slots=True)
 class Verdict:
-    """What one checker found."""
+    """Result of one checker.
+
+    Attributes:
+        rule: name of the rule.
+        exercised: number of times that the checker had something to judge.
+        broken: number of violations.
+        chains: events of the first violations, at most MAX_CHAINS of them.
+    """
 
     rule: str
-    exercised: int = 0  # times that it had something to judge
+    exercised: int = 0
     broken: int = 0
-    chains: list[list[Event]] = field(default_factory=list)  # the first few
+    chains: list[list[Event]] = field(default_factory=list)
 
     def status(self) -> str:
-        """held, broken or not exercised."""
+        """`held`, `broken` or `not exercised`."""
         return "broken" if self.broken else "held" if self.exercised else "not exercised"
 
     def add_violation(self, chain: Iterable[Event]) -> None:
-        """Note one violation with the events that show it."""
+        """Count one violation, with the events that show it."""
         self.broken += 1
-        if len(self.chains) < MOST_SHOWN:
+        if len(self.chains) < MAX_CHAINS:
             self.chains.append(list(chain))
 
 
 @dataclass(slots=True, frozen=True)
 class Criteria:
-    """What the rules are judged by."""
+    """Bounds that the rules judge by.
+
+    Attributes:
+        drain_grace_ms: time for which a gateway may still send to a host after the notice of its drain.
+        fall_ms: a cold host is overloaded by the attempts that arrive within this time.
+        ceilings: rate in units a second, burst and slack in units, by plan.
+        quotas: rate in units a second and burst in units, by plan.
+        earliest_kill_ms: time from SIGTERM to the earliest SIGKILL: the longest deadline, at most 3 s,
+            plus 0.7 s.
+        judge_times: whether times are judged: the load was sent on time, so that lateness is the gateways'.
+    """
 
     drain_grace_ms: float
-    fall_ms: float  # a cold host falls by what comes in so long
-    ceilings: dict[str, tuple[float, float, float]]  # by plan: rate in units a second, store, slack
-    quotas: dict[str, tuple[float, float]]  # by plan: rate, burst
-    earliest_kill_ms: float = 3700.0  # after SIGTERM: the longest deadline, 3 s at most, and 0.7 s
-    judge_times: bool = True  # the load itself was in time, so that lateness is the program's
+    fall_ms: float
+    ceilings: dict[str, tuple[float, float, float]]
+    quotas: dict[str, tuple[float, float]]
+    earliest_kill_ms: float = 3700.0
+    judge_times: bool = True
 
 
-class _Outages:
-    """What befell one gateway, as far as it excuses what the gateway owed."""
+class _Interruptions:
+    """Signals to one gateway and its starts, as far as they account for requests without an answer."""
 
     def __init__(self) -> None:
         self._events: list[Event] = []
-        self._term: Event | None = None  # SIGTERM to the present process
+        self._term: Event | None = None  # first SIGTERM to the current process
 
     def note(self, event: Event) -> None:
         """Add a signal or a start."""
-        what, last = event["ev"], self._events[-1] if self._events else None
-        if what == "term":
+        kind, last = event["ev"], self._events[-1] if self._events else None
+        if kind == "term":
             self._term = self._term or event
-        elif what == "kill" and self._term and event["t"] >= self._term["t"] + MIN_KILL_AFTER_TERM_MS:
+        elif kind == "kill" and self._term and event["t"] >= self._term["t"] + MIN_KILL_AFTER_TERM_MS:
             return
-        elif what == "cont" and last and last["ev"] == "stop" and event["t"] <= last["t"] + MAX_PAUSE_MS:
+        elif kind == "cont" and last and last["ev"] == "stop" and event["t"] <= last["t"] + MAX_PAUSE_MS:
             self._events.pop()
         else:
-            if what == "start":
+            if kind == "start":
                 self._term = None
             self._events.append(event)
 
-    def excuse(self, asked: Event) -> bool:
-        """Whether an answer to a request of this moment is not owed."""
+    def account_for(self, request: Event) -> bool:
+        """Whether a request that was sent at this time may stay without an answer."""
         if self._events and self._events[-1]["ev"] in ("stop", "kill"):
             return True
-        return any(e["t"] >= asked["t"] - SLACK_MS and e["ev"] != "start" for e in self._events)
+        return any(e["t"] >= request["t"] - SLACK_MS and e["ev"] != "start" for e in self._events)
 
 
 def answered(events: Iterable[Event], judge_times: bool = True) -> Verdict:
-    """One final answer for each request that a running gateway took, and none after it.
-
-    A try whose connection broke under it, or that came too late, is excused where its gateway was killed or
-    stopped meanwhile, and so is one that was never written. A gateway that ended by itself, or in its drain,
-    has lost what it had taken; a pause of up to MAX_PAUSE_MS excuses nothing, nor does a SIGKILL later
-    than MIN_KILL_AFTER_TERM_MS after SIGTERM. Where the machine was too busy for times (not `timed`), an
-    answer that came late breaks nothing; one that never came does.
+    """Each request that a running gateway accepted gets exactly one final answer.
+
+    A request whose connection was reset, or whose answer came too late, is exempt if its gateway was killed
+    or stopped while the request was open, and so is a request that was never written. A gateway that exits
+    by itself, or while it drains, has lost the requests that it had accepted. A pause of up to MAX_PAUSE_MS
+    exempts nothing, nor does a SIGKILL later than MIN_KILL_AFTER_TERM_MS after SIGTERM. Where the machine was
+    too busy to judge times (not `judge_times`), an answer that came late is no violation; an answer that
+    never came is.
     """
     verdict = Verdict("answered")
     events = list(events)
-    came = set() if judge_times else {event["rid"] for event in events if event["ev"] == "came"}
-    wrote: dict[str, Event] = {}
-    outages: dict[str, _Outages] = defaultdict(_Outages)
+    arrived = set() if judge_times else {event["rid"] for event in events if event["ev"] == "came"}
+    pending: dict[str, Event] = {}
+    interruptions: dict[str, _Interruptions] = defaultdict(_Interruptions)
     for event in events:
         match event["ev"]:
             case "wrote":
-                wrote[event["rid"]] = event
+                pending[event["rid"]] = event
             case "kill" | "stop" | "cont" | "start" | "term":
-                outages[event["who"]].note(event)
-            case "second" | "foreign":  # one more answer, or one that no host made for this request
+                interruptions[event["who"]].note(event)
+            case "second" | "foreign":  # a further answer, or an answer that no host made for this request
                 verdict.add_violation([event])
-            case "answer" if event["rid"] in wrote:
+            case "answer" if event["rid"] in pending:
                 verdict.exercised += 1
-                asked = wrote.pop(event["rid"])
-                owed = event["result"] in ("late", "reset") and event["rid"] not in came
-                if owed and not outages[event["gw"]].excuse(asked):
-                    verdict.add_violation([asked, event])
-    for asked in wrote.values():
-        verdict.add_violation([asked])
+                request = pending.pop(event["rid"])
+                lost = event["result"] in ("late", "reset") and event["rid"] not in arrived
+                if lost and not interruptions[event["gw"]].account_for(request):
+                    verdict.add_violation([request, event])
+    for request in pending.values():
+        verdict.add_violation([request])
     return verdict
 
 
 def effects(events: Iterable[Event]) -> Verdict:
-    """A request that might have run goes out again only within what its class allows."""
+    """A request that may have run is sent again only as its class allows.
+
+    An unsafe request is not sent again; a keyed request is sent again only within its class's window.
+    """
     verdict = Verdict("effects")
-    out: dict[str, list[Event]] = {}  # what may have run, by request
+    executions: dict[str, list[Event]] = {}  # attempts that may have run, by request
     for event in events:
         if event["ev"] == "got" and event["kind"] != "safe":
             verdict.exercised += 1
-            before = out.setdefault(event["rid"], [])
-            if before and event["kind"] == "unsafe":
-                verdict.add_violation([*before, event])
-            elif before and event["t"] - before[0]["t"] > event["window"] + SLACK_MS:
-                verdict.add_violation([before[0], event])
-            before.append(event)
-        elif event["ev"] == "end" and event["result"] in TURNED_AWAY and event["rid"] in out:
-            held = out[event["rid"]]
-            for i, sent in enumerate(held):
-                if sent["who"] == event["who"] and sent["gw"] == event["gw"]:
-                    del held[i]
+            earlier = executions.setdefault(event["rid"], [])
+            if earlier and event["kind"] == "unsafe":
+                verdict.add_violation([*earlier, event])
+            elif earlier and event["t"] - earlier[0]["t"] > event["window"] + SLACK_MS:
+                verdict.add_violation([earlier[0], event])
+            earlier.append(event)
+        elif event["ev"] == "end" and event["result"] in NOT_EXECUTED_RESULTS and event["rid"] in executions:
+            attempts = executions[event["rid"]]
+            for i, attempt in enumerate(attempts):
+                if attempt["who"] == event["who"] and attempt["gw"] == event["gw"]:
+                    del attempts[i]
                     break
     return verdict
 
 
 def drains(events: Iterable[Event], grace_ms: float) -> Verdict:
-    """Nothing new reaches a host later than the grace after its gateway's agent was told that it drains."""
+    """A gateway sends a host no new attempt later than `grace_ms` after the notice that the host drains.
+
+    A host that has left the endpoint list is judged in the same way. The time of the notice is the time at
+    which the gateway's agent received it.
+    """
     verdict = Verdict("drains")
-    told: dict[tuple[str, str], Event] = {}
-    judged: dict[str, dict[str, Event]] = defaultdict(dict)  # by gateway, hosts it has not sent on since
+    notices: dict[tuple[str, str], Event] = {}  # by gateway and host
+    unjudged: dict[str, dict[str, Event]] = defaultdict(dict)  # notices by gateway and host
     for event in events:
         match event["ev"]:
             case "told" if event["state"] == "ready":
-                told.pop((event["who"], event["host"]), None)
-                judged[event["who"]].pop(event["host"], None)
+                notices.pop((event["who"], event["host"]), None)
+                unjudged[event["who"]].pop(event["host"], None)
             case "told":
-                told[event["who"], event["host"]] = judged[event["who"]][event["host"]] = event
+                notices[event["who"], event["host"]] = unjudged[event["who"]][event["host"]] = event
             case "got":
-                # Only a gateway that still sends, to whomever, shows that it does not send there.
-                due = [h for h, word in judged[event["gw"]].items() if event["t"] > word["t"] + grace_ms]
+                # Only a gateway that still sends attempts, to any host, shows that it avoids this host.
+                due = [
+                    h for h, notice in unjudged[event["gw"]].items() if event["t"] > notice["t"] + grace_ms
+                ]
                 for host in due:
-                    del judged[event["gw"]][host]
+                    del unjudged[event["gw"]][host]
                 verdict.exercised += len(due)
-                word = told.get((event["gw"], event["who"]))
-                if word is not None and event["t"] > word["t"] + grace_ms + SLACK_MS:
-                    verdict.add_violation([word, event])
+                notice = notices.get((event["gw"], event["who"]))
+                if notice is not None and event["t"] > notice["t"] + grace_ms + SLACK_MS:
+                    verdict.add_violation([notice, event])
     return verdict
 
 
 def cold(events: Iterable[Event], span_ms: float) -> Verdict:
-    """No cold host falls by what gateways send it that were told of its start."""
+    """No cold host is overloaded by gateways that were notified of its start.
+
+    Broken where such gateways sent more than two thirds of the attempts in the last `span_ms`.
+    """
     verdict = Verdict("cold")
-    told: dict[str, set[str]] = defaultdict(set)
-    recent: dict[str, deque[Event]] = defaultdict(deque)
+    notified: dict[str, set[str]] = defaultdict(set)  # gateways, by host
+    recent: dict[str, deque[Event]] = defaultdict(deque)  # attempts within `span_ms`, by host
     for event in events:
         who = event["who"]
         match event["ev"]:
             case "up":
-                told[who].clear()
+                notified[who].clear()
                 recent[who].clear()
             case "told" if event["state"] == "ready" and event["started"]:
-                told[event["host"]].add(who)
+                notified[event["host"]].add(who)
             case "got" if event["cold"]:
                 verdict.exercised += 1
                 recent[who].append(event)
                 while recent[who][0]["t"] < event["t"] - span_ms:
                     recent[who].popleft()
             case "fell":
-                pushed = recent[who]
-                knew = sum(e["gw"] in told[who] for e in pushed)
-                if 3 * knew > 2 * len(pushed):
-                    verdict.add_violation([*list(pushed)[-5:], event])
+                attempts = recent[who]
+                from_notified = sum(e["gw"] in notified[who] for e in attempts)
+                if 3 * from_notified > 2 * len(attempts):
+                    verdict.add_violation([*list(attempts)[-5:], event])
     return verdict
 
 
-def ceilings(events: Iterable[Event], terms: dict[str, tuple[float, float, float]]) -> Verdict:
-    """What all gateways first send on for a customer stays within its plan's ceiling and slack."""
+def ceilings(events: Iterable[Event], limits: dict[str, tuple[float, float, float]]) -> Verdict:
+    """The first attempts of all gateways for a customer stay within its plan's ceiling and slack.
+
+    Args:
+        events: the record.
+        limits: rate in units a second, burst and slack in units, by plan.
+    """
     verdict = Verdict("ceilings")
-    stores: dict[str, tuple[float, float]] = {}  # by customer: left, as of when
-    sent: set[str] = set()
+    buckets: dict[str, tuple[float, float]] = {}  # by customer: units left, and the time in ms of that figure
+    forwarded: set[str] = set()
     last: dict[str, deque[Event]] = defaultdict(lambda: deque(maxlen=5))
     for event in events:
-        if event["ev"] != "got" or event["plan"] not in terms or event["rid"] in sent:
+        if event["ev"] != "got" or event["plan"] not in limits or event["rid"] in forwarded:
             continue
-        sent.add(event["rid"])
+        forwarded.add(event["rid"])
         verdict.exercised += 1
-        rate, most, slack = terms[event["plan"]]
-        left, at = stores.get(event["customer"], (most, event["t"]))
-        left = min(most, left + rate * (event["t"] - at) / 1000) - event["units"]
-        stores[event["customer"]] = left, event["t"]
+        rate, burst, slack = limits[event["plan"]]
+        left, updated_ms = buckets.get(event["customer"], (burst, event["t"]))
+        left = min(burst, left + rate * (event["t"] - updated_ms) / 1000) - event["units"]
+        buckets[event["customer"]] = left, event["t"]
         last[event["customer"]].append(event)
         if left < -slack - 0.15 * rate:
             verdict.add_violation(last[event["customer"]])
@@ -208,33 +243,33 @@
 
 
 def units(events: Iterable[Event]) -> Verdict:
-    """What the counter was told stays within what gateways sent on: no unit is told twice.
+    """The units reported to the counter stay within the units forwarded by gateways: none is reported twice.
 
-    Told more than was sent by a quarter is taken for a count that was added again and again. Where calls may
-    have been added and never answered, what is told anew is no fault: nothing is judged then.
+    A total that exceeds the forwarded units by a quarter shows that a count was added repeatedly. Where calls
+    may have been added without an answer, a repeated report is correct: nothing is judged then.
     """
     verdict = Verdict("units")
-    told = sent = 0.0
+    reported = forwarded = 0.0
     seen: set[str] = set()
     lost = False
     for event in events:
         if event["ev"] == "count" and event["result"] == "ok":
-            told += event["amount"]
+            reported += event["amount"]
             verdict.exercised += 1
         elif event["ev"] == "got" and event["rid"] not in seen:
             seen.add(event["rid"])
-            sent += event["units"]
-        elif event["ev"] == "fault" and event["what"] in LOSES_CALLS:
+            forwarded += event["units"]
+        elif event["ev"] == "fault" and event["what"] in CALL_LOSING_FAULTS:
             lost = True
     if lost:
         verdict.exercised = 0
-    elif told > 1.25 * sent + 20:
-        verdict.add_violation([{"ev": "units", "told": told, "sent": sent}])
+    elif reported > 1.25 * forwarded + 20:
+        verdict.add_violation([{"ev": "units", "told": reported, "sent": forwarded}])
     return verdict
 
 
 def datagrams(events: Iterable[Event]) -> Verdict:
-    """What gateways send one another goes from their own addresses, and is short enough."""
+    """Gateways send each other datagrams from their own addresses only, and none is too long."""
     verdict = Verdict("datagrams")
     for event in events:
         if event["ev"] == "datagram":
--- a/hillmux/lab/lifecycle_checks.py
+++ b/hillmux/lab/lifecycle_checks.py
@@ -1,4 +1,4 @@
-"""The rules on the life of a gateway's process, and on clients that misbehave. Free of I/O."""
+"""Rules on the life of a gateway's process, and on misbehaving clients. Free of I/O."""
 
 from __future__ import annotations
 
@@ -6,18 +6,22 @@
 
 from hillmux.lab.checks import SLACK_MS, Event, Verdict
 
-READY_AGAIN_MS = 10_000.0  # within which nine in ten restarted gateways are ready
-MIN_READY_SHARE = 0.9
-SEND_AFTER_LEAVE_MS = 100.0  # no attempt begins later than this after its client has left
+READY_AGAIN_MS = 10_000.0  # time from a restart to readiness
+MIN_READY_SHARE = 0.9  # least share of restarts that are ready within READY_AGAIN_MS
+SEND_AFTER_LEAVE_MS = 100.0  # no attempt begins later than this after its client disconnected
 
 
 def exits(events: Iterable[Event], earliest_kill_ms: float) -> Verdict:
-    """A gateway ends by itself only after SIGTERM, with 0, and before the platform may kill it.
+    """A gateway exits only after SIGTERM, with status 0, and before the platform may kill it.
 
-    One that was stopped meanwhile may be killed in its shutdown.
+    A gateway that was stopped (SIGSTOP) since its start may be killed during its shutdown.
+
+    Args:
+        events: the record.
+        earliest_kill_ms: time from SIGTERM to the earliest SIGKILL of the platform.
     """
     verdict = Verdict("exits")
-    term: dict[str, Event] = {}
+    term: dict[str, Event] = {}  # first SIGTERM, by gateway
     stopped: set[str] = set()
     killed: dict[str, Event] = {}
     for event in events:
@@ -33,10 +37,14 @@
                 stopped.add(who)
             case "kill":
                 killed[who] = event
-                begun = term.get(who)
-                if begun is not None and who not in stopped and event["t"] - begun["t"] >= earliest_kill_ms:
+                sigterm = term.get(who)
+                if (
+                    sigterm is not None
+                    and who not in stopped
+                    and event["t"] - sigterm["t"] >= earliest_kill_ms
+                ):
                     verdict.exercised += 1
-                    verdict.add_violation([begun, event])  # it had not ended by then
+                    verdict.add_violation([sigterm, event])  # still running at that time
             case "ended" if who not in killed and event["code"] != -9:
                 verdict.exercised += 1
                 if who not in term or event["code"] != 0:
@@ -45,23 +53,26 @@
 
 
 def restarts(events: Iterable[Event]) -> Verdict:
-    """Nine in ten restarted gateways are ready within READY_AGAIN_MS, but for those signalled before."""
+    """MIN_READY_SHARE of the restarted gateways are ready within READY_AGAIN_MS.
+
+    A restart that is followed by a signal before the gateway is ready is not judged.
+    """
     verdict = Verdict("restarts")
-    begun: dict[str, Event] = {}
+    starting: dict[str, Event] = {}  # restarts that are not ready yet, by gateway
     seen: set[str] = set()
-    late: list[Event] = []
+    late: list[Event] = []  # the start and the readiness of each late restart
     for event in events:
         who = event["who"]
         match event["ev"]:
             case "start":
                 if who in seen:
-                    begun[who] = event
+                    starting[who] = event
                 seen.add(who)
             case "kill" | "term" | "stop":
-                begun.pop(who, None)
-            case "ready" if who in begun:
+                starting.pop(who, None)
+            case "ready" if who in starting:
                 verdict.exercised += 1
-                started = begun.pop(who)
+                started = starting.pop(who)
                 if event["t"] - started["t"] > READY_AGAIN_MS:
                     late += [started, event]
     if len(late) // 2 > (1 - MIN_READY_SHARE) * verdict.exercised:
@@ -70,7 +81,10 @@
 
 
 def departures(events: Iterable[Event], judge_times: bool = True) -> Verdict:
-    """No attempt begins more than SEND_AFTER_LEAVE_MS after its client has left; judged where `timed`."""
+    """No attempt begins more than SEND_AFTER_LEAVE_MS after its client disconnected.
+
+    Judged only with `judge_times`.
+    """
     verdict = Verdict("departures")
     left: dict[str, Event] = {}
     for event in events:
@@ -78,31 +92,33 @@
             left[event["rid"]] = event
             verdict.exercised += judge_times
         elif event["ev"] == "got" and event["rid"] in left:
-            gone = left[event["rid"]]
-            if judge_times and event["t"] > gone["t"] + SEND_AFTER_LEAVE_MS + SLACK_MS:
-                verdict.add_violation([gone, event])
+            departure = left[event["rid"]]
+            if judge_times and event["t"] > departure["t"] + SEND_AFTER_LEAVE_MS + SLACK_MS:
+                verdict.add_violation([departure, event])
     return verdict
 
 
 def unruly(events: Iterable[Event], judge_times: bool = True) -> Verdict:
-    """A client that halts is ended in time, and each that sends much, slowly or in a hurry is answered once.
+    """Each misbehaving client is handled in time.
 
-    What a gateway owed that was killed or stopped meanwhile is not judged; nor is a time where not `timed`.
+    A client that stops sending within a request is disconnected in time. A client that pipelines, sends
+    slowly or sets a very short deadline gets exactly one answer, in time. A request that is open at a gateway
+    when the gateway is killed or stopped is not judged, nor are times without `judge_times`.
     """
     verdict = Verdict("unruly")
-    owed: dict[str, Event] = {}
+    pending: dict[str, Event] = {}
     for event in events:
         match event["ev"]:
             case "kill" | "stop":
-                owed = {rid: sent for rid, sent in owed.items() if sent["gw"] != event["who"]}
+                pending = {rid: sent for rid, sent in pending.items() if sent["gw"] != event["who"]}
             case "halted" | "unruly_wrote":
-                owed[event["rid"]] = event
-            case "released" | "unruly_answer" if event["rid"] in owed:
-                sent = owed.pop(event["rid"])
+                pending[event["rid"]] = event
+            case "released" | "unruly_answer" if event["rid"] in pending:
+                sent = pending.pop(event["rid"])
                 verdict.exercised += 1
                 late = event["t"] > sent["t"] + sent["allowed_ms"] + SLACK_MS
                 if event.get("result") in ("reset", "foreign", "rejected") or (late and judge_times):
                     verdict.add_violation([sent, event])
-    for sent in owed.values():
+    for sent in pending.values():
         verdict.add_violation([sent])
     return verdict
--- a/hillmux/lab/record.py
+++ b/hillmux/lab/record.py
@@ -1,7 +1,7 @@
-"""The record of a run: what each actor saw, as JSON lines with one clock, a file for each process.
+"""The record of a run: the events seen by each actor, as JSON lines on one clock, in a file for each process.
 
-An event is an object with `t` (milliseconds of the machine's monotonic clock), `who` (the actor), `ev` (what
-happened) and fields of its kind, which `checks` names where it reads them.
+An event is an object with `t` (milliseconds of the machine's monotonic clock), `who` (the actor), `ev` (the
+kind of event) and the fields of that kind. The module `checks` shows the fields that the rules use.
 """
 
 from __future__ import annotations
@@ -16,45 +16,49 @@
 
 from hillmux.lab.checks import Event
 
-Note = Callable[..., None]  # who, what happened, fields by name
-AT_ONCE = 1 << 16  # bytes held back before a write: a write for each event would slow the actors
-MOST_BYTES = 1 << 30  # a run that would fill the disk stops being recorded, and says so
+Note = Callable[..., None]  # (actor, kind of event, **fields)
+WRITE_BUFFER_BYTES = 1 << 16  # events are written in blocks: a write for each event would slow the actors
+MAX_RECORD_BYTES = 1 << 30  # protects the disk: beyond this the record ends with a `cut` event
 
 
 class Recorder:
-    """One process's part of a record."""
+    """Writes the events of one process to its file.
+
+    Attributes:
+        full: the file reached MAX_RECORD_BYTES; further events are dropped.
+    """
 
     def __init__(self, path: Path, clock: Callable[[], float]) -> None:
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o644)
-        self._clock, self._held, self._written = clock, bytearray(), 0
+        self._clock, self._buffer, self._written = clock, bytearray(), 0
         self.full = False
 
     def __call__(self, who: str, ev: str, **fields: Any) -> None:
-        """Note one event, now."""
+        """Record one event at the current time; it may stay in the buffer until `flush`."""
         if self.full:
             return
-        self._held += orjson.dumps({"t": self._clock(), "who": who, "ev": ev, **fields}) + b"\n"
-        if len(self._held) >= AT_ONCE:
+        self._buffer += orjson.dumps({"t": self._clock(), "who": who, "ev": ev, **fields}) + b"\n"
+        if len(self._buffer) >= WRITE_BUFFER_BYTES:
             self.flush()
 
     def flush(self) -> None:
-        """Write what is held back."""
-        if self._written + len(self._held) > MOST_BYTES:
+        """Write the buffered events; beyond MAX_RECORD_BYTES, drop them and write a `cut` event instead."""
+        if self._written + len(self._buffer) > MAX_RECORD_BYTES:
             self.full = True
-            self._held = bytearray(orjson.dumps({"t": self._clock(), "who": "record", "ev": "cut"}) + b"\n")
-        while self._held:
-            count = os.write(self._file, self._held)
+            self._buffer = bytearray(orjson.dumps({"t": self._clock(), "who": "record", "ev": "cut"}) + b"\n")
+        while self._buffer:
+            count = os.write(self._file, self._buffer)
             self._written += count
-            del self._held[:count]
+            del self._buffer[:count]
 
     def close(self) -> None:
-        """Write the rest."""
+        """Write the buffered events and close the file."""
         self.flush()
         os.close(self._file)
 
 
 def free_folder(out: Path, name: str) -> Path:
-    """The first folder of this name and a number that does not exist."""
+    """Return the first path `out/name-1`, `out/name-2`, ... that does not exist."""
     serial = 1
     while (out / f"{name}-{serial}").exists():
         serial += 1
@@ -64,23 +68,23 @@
 def _lines(path: Path) -> Iterator[Event]:
     with path.open("rb") as file:
         for line in file:
-            if line.endswith(b"\n"):  # the last one of a process that was killed may be torn
+            if line.endswith(b"\n"):  # a killed process may leave an incomplete last line
                 yield orjson.loads(line)
 
 
 def read(folder: Path) -> Iterator[Event]:
-    """All events of a run, in the order of their times."""
+    """Yield all events of a run, in the order of their times."""
     return merge(_lines(path) for path in sorted(folder.glob("*.jsonl")))
 
 
 def merge(parts: Iterable[Iterable[Event]]) -> Iterator[Event]:
-    """Parts that are each in order, as one that is."""
+    """Merge parts that are each sorted by time into one sorted sequence."""
     return heapq.merge(*parts, key=lambda event: event["t"])
 
 
 def follow(events: Iterable[Event], rid: str) -> list[Event]:
-    """What happened to one request: to each try of the first one that it belongs to, at every actor."""
-    held = list(events)
-    first = next((e["first"] for e in held if e.get("rid") == rid and "first" in e), rid)
-    tries = {e["rid"] for e in held if e.get("first") == first} | {first, rid}
-    return [e for e in held if e.get("rid") in tries]
+    """Return the events of a request, its first request and all retries of it, from every actor."""
+    all_events = list(events)
+    first = next((e["first"] for e in all_events if e.get("rid") == rid and "first" in e), rid)
+    tries = {e["rid"] for e in all_events if e.get("first") == first} | {first, rid}
+    return [e for e in all_events if e.get("rid") in tries]
--- a/hillmux/lab/rules.py
+++ b/hillmux/lab/rules.py
@@ -1,4 +1,4 @@
-"""The rules that a record may be judged by, by name. Free of I/O."""
+"""The checkers of the rules, by the name of the rule. Free of I/O."""
 
 from __future__ import annotations
 
@@ -21,10 +21,14 @@
     "unruly": lambda events, criteria: lifecycle_checks.unruly(events, criteria.judge_times),
 }
 
-# Judged where a scenario names them: most runs have nothing that exercises them.
+# Judged only where a scenario lists them: most runs have no event that exercises them.
 OPTIONAL_RULES = ("datagrams", "exits", "restarts", "departures", "unruly")
 
 
 def judge(events: list[Event], criteria: Criteria, rules: Iterable[str]) -> list[Verdict]:
-    """The verdicts of the named rules."""
+    """Return the verdicts of the named rules, in their order.
+
+    Raises:
+        KeyError: a rule is not in CHECKERS.
+    """
     return [CHECKERS[rule](events, criteria) for rule in rules]
--- a/hillmux/lab/store.py
+++ b/hillmux/lab/store.py
@@ -1,10 +1,17 @@
-"""A store of units, as quotas and ceilings are defined: what the lab judges by. Free of I/O."""
+"""Token bucket by which the lab judges quotas and ceilings. Free of I/O."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """A store of units that starts full and fills at a rate."""
+    """Token bucket that starts full.
+
+    Attributes:
+        rate: refill, in units a second.
+        burst: capacity, in units.
+        available: units in the bucket at the time `at`; negative after an overdraft.
+        at: time in ms of the last refill.
+    """
 
     __slots__ = ("rate", "burst", "available", "at")
 
@@ -12,7 +19,7 @@
         self.rate, self.burst, self.available, self.at = rate, burst, burst, now
 
     def refill(self, now: float) -> float:
-        """What is in it now."""
+        """Refill up to `now`, in ms, and return the available units."""
         self.available = min(self.burst, self.available + (now - self.at) * self.rate / 1000)
         self.at = now
         return self.available
