--- a/hillmux/lab/soak.py
+++ b/hillmux/lab/soak.py
@@ -1,4 +1,4 @@
-"""The soak: scenarios drawn from seeds, played with real processes, judged, and told with what broke."""
+"""Soak test: scenarios are drawn from seeds, played with real processes and judged."""
 
 from __future__ import annotations
 
@@ -17,45 +17,63 @@
 from hillmux.lab.scenario import Scenario
 from hillmux.lab.soak_draw import draw_scenario
 
-MAX_SEEDS = 10_000  # of one soak
+MAX_SEEDS = 10_000  # in one soak test
 
 
 class SeedRangeError(ValueError):
-    """A text that names no seeds; says what was found and what may stand there."""
+    """A text is no valid list of seeds; the message has the part found and the form expected."""
 
 
 @dataclass(slots=True, frozen=True)
 class BrokenRule:
-    """A rule that a seed broke."""
+    """A rule that was broken while a seed was played.
+
+    Attributes:
+        rule: name of the rule.
+        times: number of violations.
+        request_id: request of the first violation; empty if that has no request.
+    """
 
     rule: str
     times: int
-    request_id: str  # of the first violation; "" where it is about no request
+    request_id: str
 
 
 @dataclass(slots=True)
 class SeedResult:
-    """What playing one seed came to."""
+    """Result of playing one seed.
+
+    Attributes:
+        seed: the seed.
+        about: kinds of faults in the drawn scenario.
+        folder: the run's folder.
+        broken: the rules that were broken.
+        judged: number of times that a rule had something to judge.
+        inconclusive: clients' requests whose end is no evidence: the gateway was killed, or idle connections
+            took all its descriptors.
+        times_judged: whether times were judged, which needs a load that was sent on time.
+        error: why the run failed; empty if it ended normally.
+    """
 
     seed: int
     about: str
     folder: Path
     broken: list[BrokenRule] = field(default_factory=list)
     judged: int = 0
-    untold: int = 0  # tries whose end says nothing: their gateway was killed, or a crowd stood before it
-    timed: bool = True  # times were judged: the load itself was in time
-    error: str = ""  # why the run did not come about
+    inconclusive: int = 0
+    times_judged: bool = True
+    error: str = ""
 
     def verdict(self) -> str:
-        """One word for the table."""
+        """`held`, `broken` or `no run`."""
         return "no run" if self.error else "broken" if self.broken else "held"
 
 
 def parse_seeds(text: str) -> list[int]:
-    """The seeds in a text such as `1-50` or `3,17,40-42`.
+    """Return the seeds in a text such as `1-50` or `3,17,40-42`.
 
     Raises:
-        SeedRangeError: it names none, or more than MAX_SEEDS.
+        SeedRangeError: the text is no such list, or has more than MAX_SEEDS seeds.
     """
     seeds: list[int] = []
     for part in text.split(","):
@@ -70,12 +88,18 @@
 
 
 def as_toml(scenario: Scenario) -> str:
-    """A scenario as the file that `hillmux lab run` plays."""
+    """Return the text of the file with which `hillmux lab run` plays the scenario."""
     return tomli_w.dumps(scenario.model_dump(mode="json"))
 
 
 def play_seed(seed: int, length_s: float, out: Path) -> SeedResult:
-    """Draw, play and judge one seed."""
+    """Draw the scenario of a seed, play it and judge its record.
+
+    Args:
+        seed: the seed.
+        length_s: length of the run.
+        out: folder for the run's folder.
+    """
     scenario = draw_scenario(seed, length_s)
     folder = free_folder(out, f"soak-{seed}")
     result = SeedResult(seed, scenario.about, folder)
@@ -87,8 +111,8 @@
     result.broken = [_broken_rule(verdict) for verdict in played.verdicts if verdict.broken]
     result.judged = sum(verdict.exercised for verdict in played.verdicts)
     results = played.figures.results
-    result.untold = results.get("reset", 0) + results.get("shut", 0)
-    result.timed = played.times_judged()
+    result.inconclusive = results.get("reset", 0) + results.get("shut", 0)
+    result.times_judged = played.times_judged()
     return result
 
 
@@ -100,7 +124,7 @@
 def play_seeds(
     seeds: Iterable[int], length_s: float, out: Path, jobs: int, show: Callable[[SeedResult], None]
 ) -> list[SeedResult]:
-    """Play seeds, `jobs` at a time; `show` is given each result as it is there."""
+    """Play seeds, `jobs` at a time; `show` is called with each result, in the order of the seeds."""
     results = []
     for result in _played(list(seeds), length_s, out, jobs):
         show(result)
--- a/hillmux/lab/soak_command.py
+++ b/hillmux/lab/soak_command.py
@@ -1,4 +1,4 @@
-"""`hillmux lab soak`: drawn scenarios by seed, with a table of what each came to."""
+"""`hillmux lab soak`: plays drawn scenarios by seed, and prints the result of each."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from hillmux.lab.soak import SeedResult
 
-BROKEN = 1  # exit status where a rule broke
-NO_RUN = 2  # exit status for seeds that are no seeds, or a run that did not come about
+EXIT_BROKEN = 1  # exit status if a rule was broken
+EXIT_NO_RUN = 2  # exit status for invalid seeds or a failed run
 
 
 @click.command(epilog="Example: hillmux lab soak --seeds 1-50 --jobs 2")
@@ -38,26 +38,28 @@
     from hillmux.lab.soak_draw import draw_scenario
 
     try:
-        numbers = parse_seeds(seeds)
+        seed_numbers = parse_seeds(seeds)
     except SeedRangeError as error:
         click.echo(str(error), err=True)
-        sys.exit(NO_RUN)
+        sys.exit(EXIT_NO_RUN)
     if show:
-        for number in numbers:
+        for number in seed_numbers:
             click.echo(as_toml(draw_scenario(number, seconds)))
         return
-    results = play_seeds(numbers, seconds, out, jobs, lambda result: click.echo(_line(result)))
+    results = play_seeds(seed_numbers, seconds, out, jobs, lambda result: click.echo(_line(result)))
     for result in results:
         _show_failure(result, seconds)
-    broken, missing = sum(bool(r.broken) for r in results), sum(bool(r.error) for r in results)
-    untold = sum(r.untold for r in results)
-    click.echo(f"{len(results)} seeds, {broken} broken, {missing} did not come about; {untold} tries untold")
-    sys.exit(NO_RUN if missing else BROKEN if broken else 0)
+    broken, failed = sum(bool(r.broken) for r in results), sum(bool(r.error) for r in results)
+    inconclusive = sum(r.inconclusive for r in results)
+    click.echo(
+        f"{len(results)} seeds, {broken} broken, {failed} did not come about; {inconclusive} tries untold"
+    )
+    sys.exit(EXIT_NO_RUN if failed else EXIT_BROKEN if broken else 0)
 
 
 def _line(result: SeedResult) -> str:
-    times = "" if result.timed else ", times not judged"
-    counts = f"{result.judged:>5} judged, {result.untold:>3} untold{times}"
+    times = "" if result.times_judged else ", times not judged"
+    counts = f"{result.judged:>5} judged, {result.inconclusive:>3} untold{times}"
     return f"seed {result.seed:<6} {result.verdict():<7} {counts}  {result.about}"
 
 
