--- a/hillmux/lab/commands.py
+++ b/hillmux/lab/commands.py
@@ -1,4 +1,4 @@
-"""`hillmux lab`: scenarios of many processes with faults between them."""
+"""`hillmux lab`: commands that play scenarios with many processes and injected faults."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
     from hillmux.lab.run import Result
     from hillmux.lab.scenario import Scenario
 
-FAULT = 2  # exit status for a file that is no good, or a run that did not come about
-SHIPPED = Path("examples/lab")
-SHOWN = ("served", "refused", "failed", "reset", "late")
-LAST_SECONDS = 15
+EXIT_ERROR = 2  # exit status for an invalid file or a failed run
+SCENARIO_FOLDER = Path("examples/lab")
+SHOWN_RESULTS = ("served", "refused", "failed", "reset", "late")
+LIVE_ROWS = 15  # rows of the live table, one for each second
 
 
 @click.group()
@@ -38,7 +38,7 @@
         return load(path)
     except ScenarioError as error:
         click.echo(str(error), err=True)
-        sys.exit(FAULT)
+        sys.exit(EXIT_ERROR)
 
 
 @lab.command(epilog="Example: hillmux lab run examples/lab/herd.toml")
@@ -72,48 +72,48 @@
         show(result)
         sys.exit(0 if result.holds() else 1)
     try:
-        with _live(scenario) as shown:
+        with _live_table(scenario) as show_progress:
             result = play(
-                scenario, folder, (tree or ROOT).resolve(), lambda t: click.echo(t, err=True), shown
+                scenario, folder, (tree or ROOT).resolve(), lambda t: click.echo(t, err=True), show_progress
             )
     except (RunError, NotReadyError, TimeoutError) as error:
         click.echo(f"{path}: {error or 'the run did not end in its time'}", err=True)
-        sys.exit(FAULT)
+        sys.exit(EXIT_ERROR)
     show(result)
     sys.exit(0 if result.holds() else 1)
 
 
 @contextmanager
-def _live(scenario: Scenario) -> Iterator[Callable[[dict[str, float]], None]]:
-    """A table of the last seconds on a terminal; nothing where there is none."""
+def _live_table(scenario: Scenario) -> Iterator[Callable[[dict[str, float]], None]]:
+    """Show a live table of the last seconds; without a terminal, show nothing."""
     if not sys.stdout.isatty():
         yield lambda progress: None
         return
     from rich.live import Live
     from rich.table import Table
 
-    rows: deque[tuple[str, ...]] = deque(maxlen=LAST_SECONDS)
+    rows: deque[tuple[str, ...]] = deque(maxlen=LIVE_ROWS)
 
     with Live(refresh_per_second=4) as live:
 
-        def shown(progress: dict[str, float]) -> None:
-            at = progress["at_s"]
-            struck = [f.what for f in scenario.faults if at - 1 < f.at_s <= at]
+        def show_progress(progress: dict[str, float]) -> None:
+            at_s = progress["at_s"]
+            recent_faults = [f.what for f in scenario.faults if at_s - 1 < f.at_s <= at_s]
             rows.append((
-                f"{at:.0f} of {scenario.length_s:g}", f"{progress['alive']:.0f}", f"{progress['out']:.0f}",
-                *(f"{progress.get(name, 0):.0f}" for name in SHOWN), f"{progress['open']:.0f}",
-                ", ".join(struck),
+                f"{at_s:.0f} of {scenario.length_s:g}", f"{progress['alive']:.0f}", f"{progress['out']:.0f}",
+                *(f"{progress.get(name, 0):.0f}" for name in SHOWN_RESULTS), f"{progress['open']:.0f}",
+                ", ".join(recent_faults),
             ))  # fmt: skip
-            table = Table("s", "alive", "front: out", *SHOWN, "open", "faults", title=scenario.name)
+            table = Table("s", "alive", "front: out", *SHOWN_RESULTS, "open", "faults", title=scenario.name)
             for row in rows:
                 table.add_row(*row)
             live.update(table)
 
-        yield shown
+        yield show_progress
 
 
 def show(result: Result) -> None:
-    """A run as tables."""
+    """Print the result of a run."""
     from rich.console import Console
     from rich.table import Table
 
@@ -125,7 +125,7 @@
         table.add_row(verdict.rule, verdict.status(), str(verdict.exercised), str(verdict.broken))
     console.print(table)
     f = result.figures
-    back = "-" if f.full_service_s is None else f"{f.full_service_s:.0f} s"
+    full_service = "-" if f.full_service_s is None else f"{f.full_service_s:.0f} s"
     for line in (
         f"worth served in time: {f.served_share:.3f}; latency p50 {f.p50_ms:.0f} ms, p99 {f.p99_ms:.0f} ms",
         f"first tries {f.first}, tries {f.tries}, attempts {f.attempts} "
@@ -133,7 +133,7 @@
         f"tries ended: {', '.join(f'{k} {n}' for k, n in sorted(f.results.items()))}",
         f"dials {f.dials}, at a host in 1 s at most {f.most_dials_s} (before: {f.usual_dials_s:g})",
         f"counter calls {f.counter_calls}, {f.most_counter_s} a second at most, turned away {f.turned_away}",
-        f"hosts that fell: {f.fell}; full service after the last fault or start: {back}"
+        f"hosts that fell: {f.fell}; full service after the last fault or start: {full_service}"
         + ("" if f.full_after_ready_s is None else f", {f.full_after_ready_s:.1f} s after the last ready"),
         f"the load's own lateness, ms: p50 {result.late_ms[0]:.1f}, p99 {result.late_ms[1]:.1f}",
     ):
@@ -160,13 +160,13 @@
 @lab.command(name="list")
 def list_() -> None:
     """The scenarios that come with the program."""
-    for path in sorted(SHIPPED.glob("*.toml")):
+    for path in sorted(SCENARIO_FOLDER.glob("*.toml")):
         scenario = _scenario(path)
         click.echo(f"{path}: {scenario.about}")
 
 
-def _judged(folder: Path) -> Result:
-    """A run's record, judged anew."""
+def _judge_record(folder: Path) -> Result:
+    """Judge a run's record again; exits with EXIT_ERROR if the run has no complete record."""
     import orjson
 
     from hillmux.lab.run import judge
@@ -174,20 +174,20 @@
 
     try:
         scenario = Scenario.model_validate(orjson.loads((folder / "scenario.json").read_bytes()))
-        said = orjson.loads((folder / "verdict.json").read_bytes())
+        verdict = orjson.loads((folder / "verdict.json").read_bytes())
     except (OSError, ValueError) as error:
         click.echo(
             f"RUN: found {folder}, expected the folder of a run that came to its end: {error}", err=True
         )
-        sys.exit(FAULT)
-    return judge(scenario, folder, said["t0"], said["late_ms"])
+        sys.exit(EXIT_ERROR)
+    return judge(scenario, folder, verdict["t0"], verdict["late_ms"])
 
 
 @lab.command(epilog="Example: hillmux lab explain lab-runs/herd-1-1")
 @click.argument("folder", type=click.Path(path_type=Path, exists=True), metavar="RUN")
 def explain(folder: Path) -> None:
     """The events that show what a run broke: the shortest chain for each violation."""
-    result = _judged(folder)
+    result = _judge_record(folder)
     for verdict in result.verdicts:
         click.echo(
             f"{verdict.rule}: {verdict.status()} ({verdict.exercised} judged, {verdict.broken} broken)"
@@ -205,20 +205,20 @@
     """What happened to one request, through client, gateways and hosts."""
     from hillmux.lab import record
 
-    t0 = _judged(folder).t0
+    t0 = _judge_record(folder).t0
     events = record.follow(record.read(folder), rid)
     if not events:
         click.echo(f"ID: found {rid!r}, expected the id of a request in {folder}", err=True)
-        sys.exit(FAULT)
+        sys.exit(EXIT_ERROR)
     for event in events:
         click.echo(_line(event, t0))
 
 
 def _line(event: dict[str, object], t0: float) -> str:
-    rest = " ".join(f"{k}={v}" for k, v in event.items() if k not in ("t", "who", "ev"))
-    at = event.get("t")
-    when = f"{(at - t0) / 1000:8.3f} s" if isinstance(at, float) else " " * 10
-    return f"{when}  {event.get('who', '')!s:8} {event['ev']!s:8} {rest}"
+    fields = " ".join(f"{k}={v}" for k, v in event.items() if k not in ("t", "who", "ev"))
+    at_ms = event.get("t")
+    elapsed = f"{(at_ms - t0) / 1000:8.3f} s" if isinstance(at_ms, float) else " " * 10
+    return f"{elapsed}  {event.get('who', '')!s:8} {event['ev']!s:8} {fields}"
 
 
 @lab.command(epilog="Example: hillmux lab compare HEAD~3 . examples/lab/herd.toml --pairs 5")
@@ -234,7 +234,7 @@
     from rich.console import Console
     from rich.table import Table
 
-    from hillmux.lab.compare import compare as compared
+    from hillmux.lab.compare import compare as compare_trees
     from hillmux.lab.processes import NotReadyError
     from hillmux.lab.record import free_folder
     from hillmux.lab.run import RunError
@@ -243,10 +243,12 @@
     scenario = _scenario(path)
     folder = free_folder(out, f"compare-{scenario.name}")
     try:
-        rows, results = compared(base, head, scenario, pairs, folder, lambda text: click.echo(text, err=True))
+        rows, results = compare_trees(
+            base, head, scenario, pairs, folder, lambda text: click.echo(text, err=True)
+        )
     except (RunError, NotReadyError, TreeError, TimeoutError) as error:
         click.echo(f"{path}: {error or 'a run did not end in its time'}", err=True)
-        sys.exit(FAULT)
+        sys.exit(EXIT_ERROR)
     table = Table(
         "figure", "base", "head", "head less base, 95%", "pairs", title=f"{scenario.name}, {pairs} seeds"
     )
@@ -273,7 +275,7 @@
     from hillmux.lab import record
     from hillmux.lab.report import Series, page
 
-    result = _judged(folder)
+    result = _judge_record(folder)
     scenario = result.scenario
     series = Series(record.read(folder), result.t0, scenario.length_s)
     title = f"{scenario.name}, seed {scenario.seed}"
--- a/hillmux/lab/compare.py
+++ b/hillmux/lab/compare.py
@@ -1,4 +1,4 @@
-"""Two trees side by side: the same scenario and seeds played by each in turn, and the paired differences."""
+"""Compares two source trees, which play the same scenario and seeds in turn, by the paired differences."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from hillmux.lab.source_trees import PACKAGES, extract_revision
 from hillmux.lab.streams import generator
 
-RESAMPLES = 4000
+RESAMPLES = 4000  # of the bootstrap
 FIGURES: dict[str, Callable[[Figures], float | None]] = {
     "worth served": lambda f: f.served_share,
     "attempts a first try": Figures.attempts_per_request,
@@ -30,27 +30,36 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Paired:
-    """One figure of two trees over the same seeds."""
+class PairedFigure:
+    """One figure of two trees over the same seeds.
+
+    Attributes:
+        name: name of the figure, a key of FIGURES.
+        base: mean of the base tree.
+        head: mean of the head tree.
+        low: lower bound of the mean difference head - base, at 95%.
+        high: upper bound of the same.
+        pairs: number of pairs in which both trees have the figure.
+    """
 
     name: str
     base: float
     head: float
-    low: float  # bounds of the mean difference, 95%, by resampling the pairs
+    low: float
     high: float
-    pairs: int  # in which both have the figure
+    pairs: int
 
 
-def interval(differences: list[float], seed: int = 1) -> tuple[float, float]:
-    """Where the mean of paired differences lies, at 95% (percentile bootstrap, Efron 1979)."""
-    found = np.array(differences)
-    draws = generator(seed, "bootstrap").integers(len(found), size=(RESAMPLES, len(found)))
-    low, high = np.percentile(found[draws].mean(axis=1), (2.5, 97.5))
+def confidence_interval(differences: list[float], seed: int = 1) -> tuple[float, float]:
+    """Return the 95% confidence interval of the mean paired difference (percentile bootstrap, Efron 1979)."""
+    observed = np.array(differences)
+    draws = generator(seed, "bootstrap").integers(len(observed), size=(RESAMPLES, len(observed)))
+    low, high = np.percentile(observed[draws].mean(axis=1), (2.5, 97.5))
     return float(low), float(high)
 
 
-def paired(base: list[Figures], head: list[Figures]) -> list[Paired]:
-    """The figures of plays that were paired by seed; one that neither shows is left out."""
+def compare_paired(base: list[Figures], head: list[Figures]) -> list[PairedFigure]:
+    """Compare figures of runs that are paired by seed; a figure that no pair has in both runs is left out."""
     rows = []
     for name, read in FIGURES.items():
         values = [
@@ -60,13 +69,21 @@
         ]
         if values:
             mean_base, mean_head = (sum(v[i] for v in values) / len(values) for i in (0, 1))
-            low, high = interval([h - b for b, h in values])
-            rows.append(Paired(name, mean_base, mean_head, low, high, len(values)))
+            low, high = confidence_interval([h - b for b, h in values])
+            rows.append(PairedFigure(name, mean_base, mean_head, low, high, len(values)))
     return rows
 
 
-def tree(text: str, stack: ExitStack) -> Path:
-    """A checkout by its folder, or a revision of this one, laid out in a folder that goes with the stack."""
+def source_tree(text: str, stack: ExitStack) -> Path:
+    """Return the folder of a source tree.
+
+    Args:
+        text: a checkout's folder, or a revision of this checkout, which is extracted.
+        stack: removes the folder of an extracted revision when it is closed.
+
+    Raises:
+        TreeError: `text` is neither.
+    """
     if any((Path(text) / package).is_dir() for package in PACKAGES):
         return Path(text).resolve()
     folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
@@ -81,15 +98,31 @@
     pairs: int,
     out: Path,
     say: Callable[[str], None] = lambda text: None,
-) -> tuple[list[Paired], list[Result]]:
-    """Play `pairs` seeds from the scenario's on, each by both trees, the order changing from pair to pair."""
+) -> tuple[list[PairedFigure], list[Result]]:
+    """Play consecutive seeds with both trees and compare the figures.
+
+    Args:
+        base: the base tree: a checkout's folder, or a revision.
+        head: the head tree: a checkout's folder, or a revision.
+        scenario: the scenario; its seed is the first one.
+        pairs: number of seeds; the order of the two trees alternates from seed to seed.
+        out: folder for the runs' folders.
+        say: called with a line of text before each run.
+
+    Returns:
+        The compared figures, and the results of all runs, the base tree's first.
+
+    Raises:
+        TreeError: a tree is neither a folder nor a revision.
+        RunError, NotReadyError, TimeoutError: a run failed.
+    """
     played: dict[str, list[Result]] = {"base": [], "head": []}
     with ExitStack() as stack:
-        trees = {"base": tree(base, stack), "head": tree(head, stack)}
+        trees = {"base": source_tree(base, stack), "head": source_tree(head, stack)}
         for number in range(pairs):
-            day = scenario.model_copy(update={"seed": scenario.seed + number})
+            seeded = scenario.model_copy(update={"seed": scenario.seed + number})
             for which in ("base", "head") if number % 2 == 0 else ("head", "base"):
-                say(f"seed {day.seed}, {which}")
-                played[which].append(play(day, out / f"{which}-{day.seed}", trees[which]))
-    rows = paired([r.figures for r in played["base"]], [r.figures for r in played["head"]])
+                say(f"seed {seeded.seed}, {which}")
+                played[which].append(play(seeded, out / f"{which}-{seeded.seed}", trees[which]))
+    rows = compare_paired([r.figures for r in played["base"]], [r.figures for r in played["head"]])
     return rows, played["base"] + played["head"]
--- a/hillmux/lab/run.py
+++ b/hillmux/lab/run.py
@@ -1,4 +1,4 @@
-"""Playing a scenario: processes started, faults at their times, the record judged, nothing left behind."""
+"""Plays a scenario: starts the processes, applies the faults, ends all processes, judges the record."""
 
 from __future__ import annotations
 
@@ -35,20 +35,30 @@
 )
 from hillmux.lab.virtual import play as virtual
 
-LEAD_TIME_S = 0.5  # between the last gateway's readiness and the first try
-OVERRUN_TIMEOUT_S = 30.0  # how long after its length a run may take to end
-MAX_LOAD_LATENESS_MS = 5.0  # p99 of the load's own lateness up to which times are judged
-MEMORY_SAMPLE_INTERVAL_S = 1.0  # between looks at the gateways' memory
-CONCURRENT_STARTS = 8  # gateways that are started at once before the run
+LEAD_TIME_S = 0.5  # between the last gateway's readiness and the first request
+OVERRUN_TIMEOUT_S = 30.0  # time that a run may take to end beyond its length
+MAX_LOAD_LATENESS_MS = 5.0  # times are judged only up to this p99 of the load's own lateness
+MEMORY_SAMPLE_INTERVAL_S = 1.0  # interval of the samples of the gateways' memory
+CONCURRENT_STARTS = 8  # gateways that are started at the same time before the run
 
 
 class RunError(RuntimeError):
-    """A run that did not come about; nothing of it is left running."""
+    """A run failed to start or to end normally; all its processes have ended."""
 
 
 @dataclass(slots=True)
 class Result:
-    """What a run came to."""
+    """Result of a run.
+
+    Attributes:
+        scenario: the scenario, with its seed.
+        folder: the run's folder, with the record.
+        t0: start of the run in ms, on the record's clock.
+        verdicts: one for each rule that the scenario requires.
+        figures: figures of the record.
+        late_ms: lateness of the load itself: p50, p99 and maximum.
+        unmet_requirements: one text for each other requirement that was not met.
+    """
 
     scenario: Scenario
     folder: Path
@@ -59,23 +69,27 @@
     unmet_requirements: list[str]
 
     def times_judged(self) -> bool:
-        """Whether times were judged: the load itself was in time."""
+        """Whether times were judged, which needs a load that was sent on time."""
         return self.late_ms[1] <= MAX_LOAD_LATENESS_MS
 
     def holds(self) -> bool:
-        """Whether every rule was exercised and held, and every figure asked for was met."""
+        """Whether every rule was exercised and held, and every required figure was met."""
         return not self.unmet_requirements and all(v.status() == "held" for v in self.verdicts)
 
 
 class HelperProcess:
-    """The stand-ins' process, or the load's: lines of JSON both ways; it ends with its input."""
+    """Process of the stand-ins or of the load: exchanges lines of JSON and exits when its input is closed."""
 
     def __init__(self, module: str) -> None:
         self._module = module
         self._process: asyncio.subprocess.Process | None = None
 
     async def start(self, first: dict[str, Any]) -> dict[str, Any]:
-        """Start it, tell it the first line, and wait for its first one."""
+        """Start the process, send it the first line and return its first line.
+
+        Raises:
+            RunError: the process ended early.
+        """
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-P",
@@ -91,23 +105,27 @@
         return await self.receive()
 
     def send(self, line: dict[str, Any]) -> None:
-        """Write a line to it."""
+        """Send one line to the process."""
         assert self._process is not None
         assert self._process.stdin is not None
         self._process.stdin.write(orjson.dumps(line) + b"\n")
 
     async def receive(self) -> dict[str, Any]:
-        """Its next line."""
+        """Wait for the next line of the process.
+
+        Raises:
+            RunError: the process ended early.
+        """
         assert self._process is not None
         assert self._process.stdout is not None
         line = await self._process.stdout.readline()
         if not line:
             raise RunError(f"{self._module}: ended early")
-        found: dict[str, Any] = orjson.loads(line)
-        return found
+        message: dict[str, Any] = orjson.loads(line)
+        return message
 
     async def end(self, within_s: float = 10.0) -> None:
-        """Close its input and wait; kill it where that does not end it."""
+        """Close the process's input and wait; kill it if it does not exit within `within_s` seconds."""
         if self._process is None or self._process.returncode is not None:
             return
         assert self._process.stdin is not None
@@ -134,18 +152,24 @@
         self._report, self._show_progress = say, show
         self._environment, self._load = HelperProcess("hillmux.lab.world"), HelperProcess("hillmux.lab.load")
         self.gateways: dict[str, GatewayProcess] = {}
-        self._tasks: set[asyncio.Task[None]] = set()  # restarts that have not come about yet
-        self._timers: list[asyncio.TimerHandle] = []  # of faults, and of the next look at the memory
-        self._unstarted: list[str] = []  # starts that had not come about when the run was over
+        self._tasks: set[asyncio.Task[None]] = set()  # restarts that are not complete
+        self._timers: list[asyncio.TimerHandle] = []  # for the faults and the next sample of the memory
+        self._unstarted: list[str] = []  # one text for each start that was not complete when the run ended
         self._failed: list[str] = []
 
     async def play(self) -> Result:
-        """Play it whole; RunError where it can't be. Ctrl-C ends all that was started, too."""
+        """Play the scenario to its end; on Ctrl-C, too, all started processes are ended.
+
+        Raises:
+            RunError: the machine lacks resources, or a process ended early or did not become ready.
+            NotReadyError: a gateway did not become ready before the run.
+            TimeoutError: the run did not end within OVERRUN_TIMEOUT_S of its length.
+        """
         files = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (files[1], files[1]))
-        wrong = resource_shortages(self.scenario, free_mb(), files[1])
-        if wrong:
-            raise RunError("\n".join(wrong))
+        failures = resource_shortages(self.scenario, free_mb(), files[1])
+        if failures:
+            raise RunError("\n".join(failures))
         self.folder.mkdir(parents=True)
         (self.folder / "scenario.json").write_bytes(orjson.dumps(self.scenario.model_dump()))
         self.note = Recorder(self.folder / "lab.jsonl", lambda: time.monotonic() * 1000)
@@ -160,17 +184,19 @@
     async def _play(self) -> tuple[float, list[float]]:
         scenario = self.scenario
         raw = scenario.model_dump(mode="json")
-        told = await self._environment.start({"scenario": raw, "folder": str(self.folder)})
+        environment = await self._environment.start({"scenario": raw, "folder": str(self.folder)})
         for number in range(scenario.fleet.gateways):
             name = f"g{number}"
             self.gateways[name] = GatewayProcess(
-                number, scenario, self.folder, self.note, self.tree, told["ports"][name]
+                number, scenario, self.folder, self.note, self.tree, environment["ports"][name]
             )
         self._report(f"starting {len(self.gateways)} gateways")
         names = list(self.gateways)
-        for at in range(0, len(names), CONCURRENT_STARTS):
-            starts = (self.gateways[name].request_start() for name in names[at : at + CONCURRENT_STARTS])
-            await asyncio.shield(asyncio.gather(*starts))  # a start is ended by its gateway's `end` alone
+        for begin in range(0, len(names), CONCURRENT_STARTS):
+            starts = (
+                self.gateways[name].request_start() for name in names[begin : begin + CONCURRENT_STARTS]
+            )
+            await asyncio.shield(asyncio.gather(*starts))  # only the gateway's `end` ends a start
         ports = {name: gateway.port for name, gateway in self.gateways.items()}
         await self._load.start({"scenario": raw, "folder": str(self.folder), "ports": ports})
         t0 = 1000 * (time.monotonic() + LEAD_TIME_S)
@@ -183,11 +209,11 @@
                 delay_s = (t0 + scheduled.at_ms) / 1000 - time.monotonic()
                 self._timers.append(loop.call_later(delay_s, self._apply_fault, scheduled))
         self._sample_memory()
-        over = await asyncio.wait_for(
+        final = await asyncio.wait_for(
             self._receive_until_over(), scenario.length_s + LEAD_TIME_S + OVERRUN_TIMEOUT_S
         )
         await self._await_starts_under_way()
-        return t0, over["late_ms"]
+        return t0, final["late_ms"]
 
     async def _receive_until_over(self) -> dict[str, Any]:
         while "progress" in (line := await self._load.receive()):
@@ -218,7 +244,7 @@
             gateway.signal(what)
 
     def _twin_snapshots(self, gateway: GatewayProcess) -> Path:
-        """Another gateway's folder of snapshots: the next one's by number."""
+        """Return the snapshot directory of the gateway with the next number."""
         others = list(self.gateways.values())
         return others[(gateway.number + 1) % len(others)].snapshot_directory
 
@@ -229,13 +255,13 @@
             self._failed.append(str(error))
 
     async def _await_starts_under_way(self) -> None:
-        """Wait for processes that are there and not ready yet: a busy machine takes long to start them."""
+        """Wait for gateways that are starting and not ready yet: a busy machine needs long to start them."""
         under_way = [task for task in self._tasks if self.gateways[task.get_name()].is_starting()]
         if under_way:
             await asyncio.wait(under_way, timeout=READY_TIMEOUT_S)
 
     async def _end(self) -> None:
-        """End what was started, and only that; nothing is started any more."""
+        """Cancel the pending faults and end the processes that this run started."""
         for timer in self._timers:
             timer.cancel()
         for task in self._tasks:
@@ -248,18 +274,26 @@
 
 
 def judge(
-    scenario: Scenario, folder: Path, t0: float, late_ms: list[float], wrong: Sequence[str] = ()
+    scenario: Scenario, folder: Path, t0: float, late_ms: list[float], failures: Sequence[str] = ()
 ) -> Result:
-    """The verdicts and figures of a record; `wrong`: what else the run did not come to."""
+    """Judge a record and write `verdict.json` into the run's folder.
+
+    Args:
+        scenario: the scenario that was played.
+        folder: the run's folder, with the record.
+        t0: start of the run in ms, on the record's clock.
+        late_ms: lateness of the load itself: p50, p99 and maximum.
+        failures: failures that the record does not show; added to the unmet requirements.
+    """
     events = list(record.read(folder))
-    given = replace(criteria(scenario), judge_times=late_ms[1] <= MAX_LOAD_LATENESS_MS)
-    verdicts = rules.judge(events, given, scenario.hold.rules)
-    figures = measure(events, t0, scenario.length_s, given)
-    missed = [*wrong, *unmet_requirements(scenario, figures, late_ms)]
-    result = Result(scenario, folder, t0, verdicts, figures, late_ms, missed)
+    applied_criteria = replace(criteria(scenario), judge_times=late_ms[1] <= MAX_LOAD_LATENESS_MS)
+    verdicts = rules.judge(events, applied_criteria, scenario.hold.rules)
+    figures = measure(events, t0, scenario.length_s, applied_criteria)
+    unmet = [*failures, *unmet_requirements(scenario, figures, late_ms)]
+    result = Result(scenario, folder, t0, verdicts, figures, late_ms, unmet)
     if any(event["ev"] == "cut" for event in events):
         result.unmet_requirements.append("the record was cut at its bound: nothing after that was judged")
-    said = {
+    summary = {
         "t0": t0,
         "late_ms": late_ms,
         "unmet": result.unmet_requirements,
@@ -267,27 +301,27 @@
         "figures": asdict(figures)
         | {"windows": [[w.offered_weight, w.served_weight] for w in figures.windows]},
     }
-    (folder / "verdict.json").write_bytes(orjson.dumps(said, option=orjson.OPT_INDENT_2))
+    (folder / "verdict.json").write_bytes(orjson.dumps(summary, option=orjson.OPT_INDENT_2))
     return result
 
 
 def unmet_requirements(scenario: Scenario, figures: Figures, late_ms: list[float]) -> list[str]:
-    """What a scenario asks for and the run did not show. Times are judged only by a load that was in time."""
+    """Return one text for each required figure that was missed; times count only if the load was on time."""
     hold = scenario.hold
-    wrong: list[str] = []
+    failures: list[str] = []
     if hold.full_service_s:
         if late_ms[1] > MAX_LOAD_LATENESS_MS:
-            wrong.append(f"full service: not judged: the load itself was {late_ms[1]:.1f} ms late at p99")
+            failures.append(f"full service: not judged: the load itself was {late_ms[1]:.1f} ms late at p99")
         elif figures.full_service_s is None or figures.full_service_s > hold.full_service_s:
             seen = "never" if figures.full_service_s is None else f"after {figures.full_service_s:.0f} s"
-            wrong.append(f"full service: {seen}, {hold.full_service_s:g} s were asked for")
+            failures.append(f"full service: {seen}, {hold.full_service_s:g} s were asked for")
     if hold.attempts_a_try and figures.attempts_per_request() > hold.attempts_a_try:
-        wrong.append(
+        failures.append(
             f"attempts a first try: {figures.attempts_per_request():.2f}, at most {hold.attempts_a_try:g}"
         )
     if hold.served and figures.served_share < hold.served:
-        wrong.append(f"served: {figures.served_share:.3f} of the worth, at least {hold.served:g}")
-    return wrong
+        failures.append(f"served: {figures.served_share:.3f} of the worth, at least {hold.served:g}")
+    return failures
 
 
 def play(
@@ -297,12 +331,25 @@
     say: Callable[[str], None] = lambda text: None,
     show: Callable[[dict[str, float]], None] = lambda progress: None,
 ) -> Result:
-    """Play a scenario; RunError where it does not come about. `show` is given the progress once a second."""
+    """Play a scenario and judge its record.
+
+    Args:
+        scenario: the scenario to play.
+        folder: the run's folder, which is created.
+        tree: checkout whose gateways are played.
+        say: called with a line of text at each stage of the run.
+        show: called with the progress once a second.
+
+    Raises:
+        RunError: the machine lacks resources, or a process ended early or did not become ready.
+        NotReadyError: a gateway did not become ready before the run.
+        TimeoutError: the run did not end in time.
+    """
     return asyncio.run(Run(scenario, folder, tree, say, show).play())
 
 
 def play_virtual(scenario: Scenario, folder: Path, say: Callable[[str], None] = lambda text: None) -> Result:
-    """The same in virtual time, with a record of the same form. What it has no model of is left out."""
+    """Play a scenario in virtual time, with a record of the same form; skips faults without a model."""
     missing = virtual.not_modelled(scenario)
     if missing:
         say(f"not modelled in virtual time, left out: {', '.join(missing)}")
--- a/hillmux/lab/scenario.py
+++ b/hillmux/lab/scenario.py
@@ -1,6 +1,7 @@
-"""A scenario: fleet, traffic, a timeline of faults, and what must hold. TOML, checked whole before a start.
+"""A scenario: fleet, traffic, a timeline of faults and the requirements on the run, as a TOML file.
 
-Every fault of a file is told at once: the field, what was found, what may stand there.
+A file is checked completely before a run starts. All its errors are reported together, each with the field,
+the value found and the values allowed.
 """
 
 from __future__ import annotations
@@ -21,22 +22,26 @@
 Share = Annotated[float, Field(ge=0, le=1)]
 Positive = Annotated[float, Field(gt=0)]
 NotNegative = Annotated[float, Field(ge=0)]
-PROCESS_MB, PROCESS_FILES = 40, 64  # of a gateway's process at rest
-SPARE_MB = 512
-MAX_REQUEST_UNITS = 4  # of a request
+PROCESS_MB, PROCESS_FILES = 40, 64  # memory and descriptors of an idle gateway process
+SPARE_MB = 512  # memory needed besides the gateways
+MAX_REQUEST_UNITS = 4  # most units that one request costs
 GATEWAY_FAULTS = ("kill", "term", "hup", "stop", "cont", "start")
 HOST_FAULTS = ("crash", "restart", "drain", "remove", "ready", "hang", "slow", "failing", "well", "swap")
 LINK_FAULTS = ("cut", "cut_in", "cut_out", "heal", "delay", "throttle", "reset_after")
-PEER_FAULTS = ("lose", "duplicate", "reorder")  # of datagrams; links between gateways take these, too
+PEER_FAULTS = (
+    "lose",
+    "duplicate",
+    "reorder",
+)  # faults of datagrams; links between gateways accept link faults, too
 COUNTER_FAULTS = ("counter_stop", "counter_keep", "counter_start", "counter_split", "counter_join")
 DISCOVERY_FAULTS = ("silence", "speak", "forget", "clock")
 FAULTS = (*GATEWAY_FAULTS, *HOST_FAULTS, *LINK_FAULTS, *PEER_FAULTS, *COUNTER_FAULTS, *DISCOVERY_FAULTS)
-NOT_OF_DATAGRAMS = ("throttle", "reset_after")
+CONNECTION_ONLY_FAULTS = ("throttle", "reset_after")
 RULES = tuple(CHECKERS)
-USUAL_RULES = tuple(rule for rule in RULES if rule not in OPTIONAL_RULES)
-MAX_DRAIN_MS = 3000.0  # of the longest deadline that the platform waits for after SIGTERM
-NEEDS_VALUE = ("slow", "failing", "delay", "throttle", "reset_after", *PEER_FAULTS)
-HOWS = {
+DEFAULT_RULES = tuple(rule for rule in RULES if rule not in OPTIONAL_RULES)
+MAX_DRAIN_MS = 3000.0  # after SIGTERM the platform waits for the longest deadline, up to this time
+FAULTS_WITH_VALUE = ("slow", "failing", "delay", "throttle", "reset_after", *PEER_FAULTS)
+ALLOWED_HOWS = {  # values of `how`, by fault
     "counter_start": ("all", "nothing", "old"),
     "hup": ("", "moved"),
     "start": ("", "kept", "torn", "flipped", "twin"),
@@ -48,7 +53,7 @@
 
 
 class ScenarioError(ValueError):
-    """A file that is no scenario: each fault on a line of its own."""
+    """A file is no valid scenario; the message has one line for each error."""
 
 
 class _Model(BaseModel):
@@ -56,7 +61,7 @@
 
 
 class Fleet(_Model):
-    """Sizes and figures of what is started."""
+    """Sizes and properties of the processes that a run starts."""
 
     gateways: Annotated[int, Field(ge=1, le=200)]
     hosts: Annotated[int, Field(ge=1, le=400)]
@@ -72,14 +77,14 @@
     counter_parts: Annotated[int, Field(ge=1, le=8)] = 2
     counter_wait_ms: Positive = 30
     list_late_ms: tuple[NotNegative, NotNegative] = (20, 300)
-    notice_ms: NotNegative = 1000  # the front goes on sending to a gateway that died for so long
+    notice_ms: NotNegative = 1000  # time until the load balancer stops sending to a gateway that died
     drain_grace_ms: Positive = 1000
-    peers: bool = False  # gateways may send one another datagrams
-    snapshots_ms: NotNegative = 0  # between two snapshots of a gateway, on a disk that lasts; 0: none
+    peers: bool = False  # whether gateways may send each other datagrams
+    snapshots_ms: NotNegative = 0  # interval of a gateway's snapshots, on a disk that outlasts it; 0: none
 
 
 class Plan(_Model):
-    """A plan and its part of the load; rates in units a second for a customer."""
+    """A plan and its share of the load; `rate` and `burst` are a customer's, in units a second and units."""
 
     name: str
     share: Positive
@@ -88,12 +93,12 @@
     worth: Positive = 1.0
     over_worth: NotNegative = 0.0
     over_cost: NotNegative = 0.0
-    ceiling: NotNegative = 0.0  # times rate and burst; 0: none
+    ceiling: NotNegative = 0.0  # ceiling as a multiple of rate and burst; 0: no ceiling
     width: Annotated[int, Field(ge=1)] = 4
 
 
 class Class(_Model):
-    """A class and its part of the requests; work in milliseconds of one core."""
+    """A class and its share of the requests; `work_ms` is the time of one core that a request takes."""
 
     name: str
     share: Positive
@@ -106,7 +111,7 @@
 
 
 class Traffic(_Model):
-    """First tries, drawn ahead from the seed, and what clients do with what comes back."""
+    """First requests, which are drawn in advance from the seed, and the retries of clients."""
 
     per_s: Positive
     plans: Annotated[tuple[Plan, ...], Field(min_length=1)]
@@ -118,12 +123,12 @@
     burst_s: tuple[NotNegative, NotNegative] = (0.0, 0.0)
     retries: Annotated[int, Field(ge=0, le=10)] = 3
     backoff_ms: NotNegative = 300
-    honour: Share = 0.6  # of the clients that obey Retry-After
-    unruly_per_s: NotNegative = 0.0  # clients that leave, halt, pipeline, write slowly or have no time
+    honour: Share = 0.6  # share of the clients that obey Retry-After
+    unruly_per_s: NotNegative = 0.0  # clients that disconnect, stall, pipeline, are slow or hurry
     crowd: Annotated[int, Field(ge=0, le=2000)] = 0  # idle connections held at the first gateway
 
     def model(self, length_s: float) -> TrafficModel:
-        """The traffic as it is drawn."""
+        """Return the model from which the traffic is drawn."""
         return TrafficModel(
             self.per_s,
             length_s,
@@ -138,32 +143,33 @@
 
 
 class Fault(_Model):
-    """One thing that happens, at some moment, to whom `who` aims at."""
+    """A fault at the time `at_s`, applied to every target that `who` selects."""
 
     at_s: NotNegative
-    what: str  # of FAULTS
+    what: str  # one of FAULTS
     who: str = "gateway:*"
-    other: str = "host:*"  # the far ends of links: hosts, gateways, `counter` or `discovery`
-    name: str = ""  # so that a later fault can aim at the same ones, as `@name`
-    over_s: NotNegative = 0.0  # one after another, evenly over so long
-    value: float = 0.0  # times slower, share that fails, milliseconds, bytes (a second); of a clock seconds
-    # What a counter comes back with; `moved`: at a SIGHUP, discovery goes to another address; `kept`: a start
-    # in the folder that the last process left; its snapshot cut (`torn`), damaged (`flipped`), or another
-    # gateway's (`twin`).
+    other: str = "host:*"  # the other ends of links: hosts, gateways, `counter` or `discovery`
+    name: str = ""  # a later fault selects the same targets by `@name`
+    over_s: NotNegative = 0.0  # spreads the targets evenly over this time; 0: all at once
+    # By fault: factor of slowness, share of failures, milliseconds, bytes (a second), or seconds of a clock.
+    value: float = 0.0
+    # The data with which a counter starts again; `moved`: discovery changes its address at a SIGHUP; `kept`:
+    # a gateway starts in its previous process's folder; the same with the snapshot truncated (`torn`),
+    # damaged (`flipped`) or replaced by another gateway's (`twin`).
     how: str = ""
 
 
 class Hold(_Model):
-    """What must hold."""
+    """Requirements on a run."""
 
-    rules: tuple[str, ...] = USUAL_RULES
-    full_service_s: NotNegative = 0.0  # after the last fault; 0: not asked
-    attempts_a_try: NotNegative = 0.0
-    served: Share = 0.0  # of the worth asked for inside the quotas
+    rules: tuple[str, ...] = DEFAULT_RULES
+    full_service_s: NotNegative = 0.0  # longest time to full service after the last fault; 0: not required
+    attempts_a_try: NotNegative = 0.0  # most attempts for each first request; 0: not required
+    served: Share = 0.0  # least share of the priority weight offered within quotas
 
 
 class Scenario(_Model):
-    """A whole day."""
+    """A complete scenario."""
 
     name: str
     about: str = ""
@@ -175,85 +181,91 @@
     hold: Hold = Hold()
 
     @model_validator(mode="after")
-    def _aims(self) -> Scenario:
-        wrong = [
+    def _check_faults(self) -> Scenario:
+        errors = [
             f"hold.rules.{i}: found {rule!r}, expected one of {', '.join(RULES)}"
             for i, rule in enumerate(self.hold.rules)
             if rule not in RULES
         ]
-        named: dict[str, list[str]] = {}
+        targets_by_name: dict[str, list[str]] = {}
         for i, fault in enumerate(self.faults):
-            wrong += [f"faults.{i}.{text}" for text in _wrong(fault, self, named, i)]
-        if wrong:
-            raise ValueError("\n".join(wrong))
+            errors += [f"faults.{i}.{text}" for text in _fault_errors(fault, self, targets_by_name, i)]
+        if errors:
+            raise ValueError("\n".join(errors))
         return self
 
 
-def _wrong(fault: Fault, scenario: Scenario, named: dict[str, list[str]], index: int) -> list[str]:
-    """What is wrong with one fault, each with its field; notes what its name aims at."""
-    what, wrong = fault.what, []
+def _fault_errors(
+    fault: Fault, scenario: Scenario, targets_by_name: dict[str, list[str]], index: int
+) -> list[str]:
+    """Return the errors of one fault, each with its field; adds the fault's targets to `targets_by_name`."""
+    what, errors = fault.what, []
     if what not in FAULTS:
         return [f"what: found {what!r}, expected one of {', '.join(FAULTS)}"]
     if fault.at_s > scenario.length_s:
-        wrong.append(f"at_s: found {fault.at_s}, expected at most length_s ({scenario.length_s})")
-    if what in NEEDS_VALUE and fault.value <= 0:
-        wrong.append(f"value: found {fault.value}, expected more than 0 for {what}")
+        errors.append(f"at_s: found {fault.at_s}, expected at most length_s ({scenario.length_s})")
+    if what in FAULTS_WITH_VALUE and fault.value <= 0:
+        errors.append(f"value: found {fault.value}, expected more than 0 for {what}")
     elif fault.value < 0 and what != "clock":
-        wrong.append(f"value: found {fault.value}, expected 0 or more for {what}")
+        errors.append(f"value: found {fault.value}, expected 0 or more for {what}")
     if fault.how in SNAPSHOT_HOWS and not scenario.fleet.snapshots_ms:
-        wrong.append(f"how: found {fault.how!r}, expected fleet.snapshots_ms above 0 beside it")
-    if fault.how not in HOWS.get(what, ("",)):
-        expected = " or ".join(repr(how) for how in HOWS.get(what, ("",)))
-        wrong.append(f"how: found {fault.how!r}, expected {expected} for {what}")
+        errors.append(f"how: found {fault.how!r}, expected fleet.snapshots_ms above 0 beside it")
+    if fault.how not in ALLOWED_HOWS.get(what, ("",)):
+        expected = " or ".join(repr(how) for how in ALLOWED_HOWS.get(what, ("",)))
+        errors.append(f"how: found {fault.how!r}, expected {expected} for {what}")
     if what in COUNTER_FAULTS and what != "counter_split":
-        return wrong
+        return errors
     kind = "h" if what in HOST_FAULTS else "g"
-    wrong += _aimed("who", fault.who, kind, scenario, named, index)
-    if what in PEER_FAULTS or (what in LINK_FAULTS and _at_gateways(fault, named)):
-        wrong += _aimed("other", fault.other, "g", scenario, named, index)
-        if what in NOT_OF_DATAGRAMS:
-            wrong.append(f"other: found {fault.other!r}, expected hosts, counter or discovery for {what}")
+    errors += _selector_errors("who", fault.who, kind, scenario, targets_by_name, index)
+    if what in PEER_FAULTS or (what in LINK_FAULTS and _links_gateways(fault, targets_by_name)):
+        errors += _selector_errors("other", fault.other, "g", scenario, targets_by_name, index)
+        if what in CONNECTION_ONLY_FAULTS:
+            errors.append(f"other: found {fault.other!r}, expected hosts, counter or discovery for {what}")
         if not scenario.fleet.peers:
-            wrong.append("what: found a fault between gateways, expected fleet.peers = true beside it")
+            errors.append("what: found a fault between gateways, expected fleet.peers = true beside it")
         if what in PEER_FAULTS and fault.value > 1:
-            wrong.append(f"value: found {fault.value}, expected a share, 1 at most, for {what}")
+            errors.append(f"value: found {fault.value}, expected a share, 1 at most, for {what}")
     elif what in LINK_FAULTS and fault.other not in ("counter", "discovery"):
-        wrong += _aimed("other", fault.other, "h", scenario, named, index)
+        errors += _selector_errors("other", fault.other, "h", scenario, targets_by_name, index)
     if fault.name:
-        named[fault.name] = [] if wrong else _resolve(fault.who, scenario, named, index)
-    return wrong
+        targets_by_name[fault.name] = [] if errors else _resolve(fault.who, scenario, targets_by_name, index)
+    return errors
 
 
-def _at_gateways(fault: Fault, named: dict[str, list[str]]) -> bool:
-    """Whether the far ends of a link are gateways."""
+def _links_gateways(fault: Fault, targets_by_name: dict[str, list[str]]) -> bool:
+    """Whether the other ends of a link are gateways."""
     if fault.other.startswith("@"):
-        return any(name.startswith("g") for name in named.get(fault.other[1:], []))
+        return any(name.startswith("g") for name in targets_by_name.get(fault.other[1:], []))
     return "gateway" in fault.other
 
 
-def _aimed(
-    field: str, text: str, kind: str, scenario: Scenario, named: dict[str, list[str]], index: int
+def _selector_errors(
+    field: str, text: str, kind: str, scenario: Scenario, targets_by_name: dict[str, list[str]], index: int
 ) -> list[str]:
-    """What is wrong with an aim, of which gateways (`g`) or hosts (`h`) are expected."""
-    wanted = "gateways" if kind == "g" else "hosts"
+    """Return the errors of a selector that must select gateways (`kind` is `g`) or hosts (`h`)."""
+    targets = "gateways" if kind == "g" else "hosts"
     if SELECTOR.fullmatch(text) is None:
         expected = "gateway:N or :*" if kind == "g" else "host:hN or :*, zone:Z"
-        return [f"{field}: found {text!r}, expected {expected}, N% of {wanted}, {wanted} in Z, or @name"]
-    if text.startswith("@") and text[1:] not in named:
+        return [f"{field}: found {text!r}, expected {expected}, N% of {targets}, {targets} in Z, or @name"]
+    if text.startswith("@") and text[1:] not in targets_by_name:
         return [f"{field}: found {text!r}, expected the name of an earlier fault"]
     zone = re.fullmatch(r"(?:zone:|\w+ in )(\w+)", text)
     if zone is not None and zone[1] not in scenario.fleet.zones:
         return [f"{field}: found zone {zone[1]!r}, expected one of {', '.join(scenario.fleet.zones)}"]
-    found = _resolve(text, scenario, named, index)
+    found = _resolve(text, scenario, targets_by_name, index)
     if not found and not text.startswith("@"):
-        return [f"{field}: found {text!r}, which is nobody in this fleet, expected {wanted}"]
+        return [f"{field}: found {text!r}, which is nobody in this fleet, expected {targets}"]
     if found and not found[0].startswith(kind):
-        return [f"{field}: found {text!r}, expected {wanted}"]
+        return [f"{field}: found {text!r}, expected {targets}"]
     return []
 
 
 def load(path: Path) -> Scenario:
-    """A scenario from its file; ScenarioError tells all that is wrong with it."""
+    """Read a scenario from its file.
+
+    Raises:
+        ScenarioError: the file can't be read or is no valid scenario; the message has all its errors.
+    """
     try:
         raw = tomli.loads(path.read_text(encoding="utf-8"))
     except (OSError, tomli.TOMLDecodeError, UnicodeDecodeError) as error:
@@ -273,38 +285,44 @@
 
 
 def resource_needs(scenario: Scenario) -> tuple[int, int, int]:
-    """Processes, megabytes and descriptors of one process that a run takes, roughly."""
+    """Estimate the processes, the megabytes and the descriptors in one process that a run needs."""
     fleet = scenario.fleet
-    doors = fleet.gateways * (fleet.hosts + 2)
-    return fleet.gateways + 3, SPARE_MB + PROCESS_MB * fleet.gateways, 3 * doors + PROCESS_FILES
+    links = fleet.gateways * (fleet.hosts + 2)
+    return fleet.gateways + 3, SPARE_MB + PROCESS_MB * fleet.gateways, 3 * links + PROCESS_FILES
 
 
 def resource_shortages(scenario: Scenario, memory_mb: int, files: int) -> list[str]:
-    """Why this machine can't bear a run; nothing where it can."""
+    """Return the resources that this machine lacks for a run; empty if it has enough.
+
+    Args:
+        scenario: the scenario to run.
+        memory_mb: free memory.
+        files: descriptors that one process may open.
+    """
     _, megabytes, descriptors = resource_needs(scenario)
-    wrong = []
+    shortages = []
     if megabytes > memory_mb:
-        wrong.append(f"memory: {megabytes} MB are needed, {memory_mb} MB are free")
+        shortages.append(f"memory: {megabytes} MB are needed, {memory_mb} MB are free")
     if descriptors > files:
-        wrong.append(f"descriptors: {descriptors} are needed in one process, {files} are allowed")
-    return wrong
+        shortages.append(f"descriptors: {descriptors} are needed in one process, {files} are allowed")
+    return shortages
 
 
 def free_mb() -> int:
-    """Memory that can be had, in MB."""
+    """Return the machine's free memory in MB."""
     return os.sysconf("SC_AVPHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") >> 20
 
 
-# --- What it is judged by ---
+# --- Criteria ---
 
 
-def slack(most: float) -> float:
-    """A ceiling's slack in units: a tenth of its store, or one of the largest requests."""
-    return max(0.1 * most, float(MAX_REQUEST_UNITS))
+def slack(burst: float) -> float:
+    """Return a ceiling's slack in units: a tenth of its burst, at least one request of the largest size."""
+    return max(0.1 * burst, float(MAX_REQUEST_UNITS))
 
 
 def criteria(scenario: Scenario) -> Criteria:
-    """What a scenario's record is judged by."""
+    """Return the criteria by which a scenario's record is judged."""
     plans = scenario.traffic.plans
     return Criteria(
         scenario.fleet.drain_grace_ms,
@@ -319,7 +337,7 @@
     )
 
 
-# --- The schedule: who is hit when, from the seed ---
+# --- The schedule: time and target of each fault, drawn from the seed ---
 
 
 class ScheduledFault(_Model):
@@ -335,46 +353,47 @@
     return zones[number % len(zones)]
 
 
-def _resolve(text: str, scenario: Scenario, named: dict[str, list[str]], index: int) -> list[str]:
+def _resolve(text: str, scenario: Scenario, targets_by_name: dict[str, list[str]], index: int) -> list[str]:
     fleet = scenario.fleet
     gateways = [f"g{i}" for i in range(fleet.gateways)]
     hosts = [f"h{i}" for i in range(fleet.hosts)]
     if text in ("counter", "discovery"):
         return [text]
     if text.startswith("@"):
-        return named[text[1:]]
+        return targets_by_name[text[1:]]
     if found := re.fullmatch(r"(\d+)% of (gateways|hosts)", text):
-        all_ = gateways if found[2] == "gateways" else hosts
-        count = round(len(all_) * int(found[1]) / 100)
+        candidates = gateways if found[2] == "gateways" else hosts
+        count = round(len(candidates) * int(found[1]) / 100)
         return [
-            all_[i] for i in sorted(generator(scenario.seed, f"fault.{index}").permutation(len(all_))[:count])
+            candidates[i]
+            for i in sorted(generator(scenario.seed, f"fault.{index}").permutation(len(candidates))[:count])
         ]
     kind, _, rest = text.partition(":")
     if kind == "zone":
         return [h for i, h in enumerate(hosts) if zone_of(i, fleet.zones) == rest]
     if found := re.fullmatch(r"(gateways|hosts) in (\w+)", text):
-        all_ = gateways if found[1] == "gateways" else hosts
-        return [x for i, x in enumerate(all_) if zone_of(i, fleet.zones) == found[2]]
+        candidates = gateways if found[1] == "gateways" else hosts
+        return [x for i, x in enumerate(candidates) if zone_of(i, fleet.zones) == found[2]]
     if kind == "gateway":
         return gateways if rest == "*" else [g for g in gateways if g == f"g{rest}"]
     return hosts if rest == "*" else [h for h in hosts if h == rest]
 
 
 def schedule(scenario: Scenario) -> list[ScheduledFault]:
-    """Every fault at every target, in the order of their times. A scenario and its seed give the same."""
-    named: dict[str, list[str]] = {}
+    """Return every fault at every target, sorted by time; always the same for a scenario and its seed."""
+    targets_by_name: dict[str, list[str]] = {}
     scheduled = []
     for index, fault in enumerate(scenario.faults):
         if fault.what in COUNTER_FAULTS and fault.what != "counter_split":
             targets = ["counter"]
         else:
-            targets = _resolve(fault.who, scenario, named, index)
+            targets = _resolve(fault.who, scenario, targets_by_name, index)
             if fault.name:
-                named[fault.name] = targets
+                targets_by_name[fault.name] = targets
             if fault.what in ("counter_split", "swap"):
                 targets = [",".join(targets)]
             elif fault.what in (*LINK_FAULTS, *PEER_FAULTS):
-                others = _resolve(fault.other, scenario, named, index)
+                others = _resolve(fault.other, scenario, targets_by_name, index)
                 targets = [f"{a}>{b}" for a in targets for b in others if a != b]
         step = 1000 * fault.over_s / max(len(targets), 1)
         scheduled += [
--- a/tests/lab/test_report.py
+++ b/tests/lab/test_report.py
@@ -1,4 +1,4 @@
-"""The page of a run: whole in itself, the same for the same record, with what was broken."""
+"""The HTML page of a run: self-contained, equal for equal records, with the violations."""
 
 from __future__ import annotations
 
@@ -23,39 +23,39 @@
             {"t": t + 1, "who": "h0", "ev": "got", "rid": rid, "cold": i > 20, "gw": "g0"},
         ]
         if i != 30:
-            took = {"took": 50.0, "total": 50.0, "status": 200, "wait": 0.0}
+            timing = {"took": 50.0, "total": 50.0, "status": 200, "wait": 0.0}
             events.append({"t": t + 50, "who": "client", "ev": "answer", "rid": rid, "first": rid, "gw": "g0",
-                           "result": "served", **took})  # fmt: skip
+                           "result": "served", **timing})  # fmt: skip
     events.append({"t": 2000.0, "who": "lab", "ev": "fault", "what": "<cut>", "target": "g0>h0", "value": 0})
     return sorted(events, key=lambda e: e["t"])
 
 
-class Outside(HTMLParser):
-    """What a page would fetch."""
+class ExternalReferences(HTMLParser):
+    """Collects the URLs that a page would fetch."""
 
     def __init__(self) -> None:
         super().__init__()
         self.found: list[str] = []
 
     def handle_starttag(self, tag: str, attrs: list[tuple[str, str | None]]) -> None:
-        named = [str(v) for k, v in attrs if k in ("src", "href", "xlink:href", "data")]
-        self.found += [value for value in named if not value.startswith("#")]
+        urls = [str(v) for k, v in attrs if k in ("src", "href", "xlink:href", "data")]
+        self.found += [value for value in urls if not value.startswith("#")]
 
 
-def test_a_page_is_whole_and_tells_what_was_broken() -> None:
+def test_page_is_self_contained_and_lists_violations() -> None:
     events = record()
     figures = measure(events, 0.0, 5.0, CRITERIA)
     verdicts: list[Verdict] = [answered(events)]
     text = page("day <1>", "x", Series(events, 0.0, 5.0), figures, verdicts, ["served: too little"])
-    outside = Outside()
-    outside.feed(text)
-    assert outside.found == []
+    references = ExternalReferences()
+    references.feed(text)
+    assert references.found == []
     assert "day &lt;1&gt;" in text and "&lt;cut&gt; (1)" in text and "served: too little" in text
     assert "r30" in text.partition("What was broken")[2]
     assert text == page("day <1>", "x", Series(events, 0.0, 5.0), figures, verdicts, ["served: too little"])
 
 
-def test_figures_of_the_record() -> None:
+def test_figures_are_calculated_from_the_record() -> None:
     figures = measure(record(), 0.0, 5.0, CRITERIA)
     assert (figures.first, figures.attempts, figures.results) == (40, 40, {"served": 39})
     assert figures.served_share == 39 / 40
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: all faults of a file told at once, the same schedule from the same seed."""
+"""Scenarios: all errors of a file are reported together, and a seed always gives the same schedule."""
 
 from __future__ import annotations
 
@@ -9,38 +9,40 @@
 from hillmux.lab import scenario as sc
 
 ROOT = Path(__file__).resolve().parents[2]
-SHIPPED = sorted((ROOT / "examples/lab").glob("*.toml"))
-BASE = (ROOT / "examples/lab/herd.toml").read_text(encoding="utf-8")
+SHIPPED_SCENARIOS = sorted((ROOT / "examples/lab").glob("*.toml"))
+HERD_TEXT = (ROOT / "examples/lab/herd.toml").read_text(encoding="utf-8")
 
 
 def load(tmp_path: Path, text: str) -> sc.Scenario:
-    path = tmp_path / "day.toml"
+    path = tmp_path / "scenario.toml"
     path.write_text(text, encoding="utf-8")
     return sc.load(path)
 
 
-@pytest.mark.parametrize("path", SHIPPED, ids=lambda p: p.stem)
-def test_what_is_shipped_is_sound_and_its_schedule_is_the_seeds(path: Path) -> None:
-    day = sc.load(path)
-    assert day.about and day.name == path.stem
-    assert sc.schedule(day) == sc.schedule(sc.load(path)) != []
-    assert all(strike.at_ms <= 1000 * day.length_s for strike in sc.schedule(day))
+@pytest.mark.parametrize("path", SHIPPED_SCENARIOS, ids=lambda p: p.stem)
+def test_shipped_scenario_is_valid_and_its_schedule_is_reproducible(path: Path) -> None:
+    scenario = sc.load(path)
+    assert scenario.about and scenario.name == path.stem
+    assert sc.schedule(scenario) == sc.schedule(sc.load(path)) != []
+    assert all(scheduled.at_ms <= 1000 * scenario.length_s for scheduled in sc.schedule(scenario))
 
 
-def test_another_seed_strikes_others() -> None:
-    day = sc.load(ROOT / "examples/lab/herd.toml")
-    struck = {tuple(s.target for s in sc.schedule(day.model_copy(update={"seed": n}))) for n in range(6)}
-    assert len(struck) > 3
+def test_seeds_select_different_targets() -> None:
+    scenario = sc.load(ROOT / "examples/lab/herd.toml")
+    targets = {
+        tuple(s.target for s in sc.schedule(scenario.model_copy(update={"seed": seed}))) for seed in range(6)
+    }
+    assert len(targets) > 3
 
 
-def test_a_name_aims_at_those_that_were_struck_before() -> None:
-    strikes = sc.schedule(sc.load(ROOT / "examples/lab/herd.toml"))
-    killed = {s.target for s in strikes if s.fault.what == "kill"}
-    assert killed == {s.target for s in strikes if s.fault.what == "start"} and len(killed) == 14
+def test_named_selector_selects_the_targets_of_the_earlier_fault() -> None:
+    scheduled_faults = sc.schedule(sc.load(ROOT / "examples/lab/herd.toml"))
+    killed = {s.target for s in scheduled_faults if s.fault.what == "kill"}
+    assert killed == {s.target for s in scheduled_faults if s.fault.what == "start"} and len(killed) == 14
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "expected"),
     [
         (("gateways = 20", "gateways = 0"), "fleet.gateways: found 0"),
         (("\nper_s = 300", "\nper_z = 300"), "traffic.per_z: found 300"),
@@ -59,21 +61,24 @@
         (('"ceilings"]', '"celings"]'), "hold.rules.2: found 'celings'"),
     ],
 )
-def test_a_fault_in_a_file_names_its_field(tmp_path: Path, change: tuple[str, str], said: str) -> None:
-    assert change[0] in BASE
+def test_error_in_a_file_names_its_field(tmp_path: Path, change: tuple[str, str], expected: str) -> None:
+    assert change[0] in HERD_TEXT
     with pytest.raises(sc.ScenarioError) as error:
-        load(tmp_path, BASE.replace(*change, 1))
-    assert said in str(error.value)
+        load(tmp_path, HERD_TEXT.replace(*change, 1))
+    assert expected in str(error.value)
 
 
-def test_all_faults_of_a_file_are_told_at_once(tmp_path: Path) -> None:
-    text = BASE.replace("gateways = 20", "gateways = 0").replace("\nper_s = 300", "\nper_s = -1")
+def test_all_errors_of_a_file_are_reported_together(tmp_path: Path) -> None:
+    text = HERD_TEXT.replace("gateways = 20", "gateways = 0").replace("\nper_s = 300", "\nper_s = -1")
     with pytest.raises(sc.ScenarioError) as error:
         load(tmp_path, text)
     assert len(str(error.value).splitlines()) == 2
 
 
-def test_a_run_that_the_machine_cannot_bear_is_told_before_it_starts() -> None:
-    day = sc.load(ROOT / "examples/lab/herd.toml")
-    assert sc.resource_shortages(day, 100_000, 100_000) == []
-    assert [text.split(":")[0] for text in sc.resource_shortages(day, 100, 100)] == ["memory", "descriptors"]
+def test_lacking_resources_are_reported() -> None:
+    scenario = sc.load(ROOT / "examples/lab/herd.toml")
+    assert sc.resource_shortages(scenario, 100_000, 100_000) == []
+    assert [text.split(":")[0] for text in sc.resource_shortages(scenario, 100, 100)] == [
+        "memory",
+        "descriptors",
+    ]
