--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -63,7 +63,7 @@
     parser.add_argument("--seconds", type=float, default=240.0)
     seconds = parser.parse_args().seconds
     with tempfile.TemporaryDirectory() as out:
-        result = play(scenario(seconds), Path(out) / "run", say=print)
+        result = play(scenario(seconds), Path(out) / "run", report=print)
         held: dict[str, list[int]] = defaultdict(list)
         for event in record.read(result.folder):
             if event["ev"] == "memory":
--- a/hillmux/lab/compare.py
+++ b/hillmux/lab/compare.py
@@ -97,7 +97,7 @@
     scenario: Scenario,
     pairs: int,
     out: Path,
-    say: Callable[[str], None] = lambda text: None,
+    report: Callable[[str], None] = lambda text: None,
 ) -> tuple[list[PairedFigure], list[Result]]:
     """Play consecutive seeds with both trees and compare the figures.
 
@@ -107,7 +107,7 @@
         scenario: the scenario; its seed is the first one.
         pairs: number of seeds; the order of the two trees alternates from seed to seed.
         out: folder for the runs' folders.
-        say: called with a line of text before each run.
+        report: called with a line of text before each run.
 
     Returns:
         The compared figures, and the results of all runs, the base tree's first.
@@ -122,7 +122,7 @@
         for number in range(pairs):
             seeded = scenario.model_copy(update={"seed": scenario.seed + number})
             for which in ("base", "head") if number % 2 == 0 else ("head", "base"):
-                say(f"seed {seeded.seed}, {which}")
+                report(f"seed {seeded.seed}, {which}")
                 played[which].append(play(seeded, out / f"{which}-{seeded.seed}", trees[which]))
     rows = compare_paired([r.figures for r in played["base"]], [r.figures for r in played["head"]])
     return rows, played["base"] + played["head"]
--- a/hillmux/lab/run.py
+++ b/hillmux/lab/run.py
@@ -84,7 +84,7 @@
         self._module = module
         self._process: asyncio.subprocess.Process | None = None
 
-    async def start(self, first: dict[str, Any]) -> dict[str, Any]:
+    async def start(self, first_message: dict[str, Any]) -> dict[str, Any]:
         """Start the process, send it the first line and return its first line.
 
         Raises:
@@ -101,7 +101,7 @@
             preexec_fn=die_with_parent,
             env={**os.environ, "PYTHONPATH": str(ROOT)},
         )
-        self.send(first)
+        self.send(first_message)
         return await self.receive()
 
     def send(self, line: dict[str, Any]) -> None:
@@ -145,17 +145,17 @@
         scenario: Scenario,
         folder: Path,
         tree: Path = ROOT,
-        say: Callable[[str], None] = lambda text: None,
-        show: Callable[[dict[str, float]], None] = lambda progress: None,
+        report: Callable[[str], None] = lambda text: None,
+        show_progress: Callable[[dict[str, float]], None] = lambda progress: None,
     ) -> None:
         self.scenario, self.folder, self.tree = scenario, folder, tree
-        self._report, self._show_progress = say, show
+        self._report, self._show_progress = report, show_progress
         self._environment, self._load = HelperProcess("hillmux.lab.world"), HelperProcess("hillmux.lab.load")
         self.gateways: dict[str, GatewayProcess] = {}
         self._tasks: set[asyncio.Task[None]] = set()  # restarts that are not complete
         self._timers: list[asyncio.TimerHandle] = []  # for the faults and the next sample of the memory
         self._unstarted: list[str] = []  # one text for each start that was not complete when the run ended
-        self._failed: list[str] = []
+        self._failed_starts: list[str] = []  # one text for each restart that failed
 
     async def play(self) -> Result:
         """Play the scenario to its end; on Ctrl-C, too, all started processes are ended.
@@ -174,12 +174,12 @@
         (self.folder / "scenario.json").write_bytes(orjson.dumps(self.scenario.model_dump()))
         self.note = Recorder(self.folder / "lab.jsonl", lambda: time.monotonic() * 1000)
         try:
-            t0, late = await self._play()
+            t0, late_ms = await self._play()
         finally:
             await self._end()
-        if self._failed:
-            raise RunError("\n".join(self._failed))
-        return judge(self.scenario, self.folder, t0, late, self._unstarted)
+        if self._failed_starts:
+            raise RunError("\n".join(self._failed_starts))
+        return judge(self.scenario, self.folder, t0, late_ms, self._unstarted)
 
     async def _play(self) -> tuple[float, list[float]]:
         scenario = self.scenario
@@ -252,7 +252,7 @@
         try:
             await start
         except NotReadyError as error:
-            self._failed.append(str(error))
+            self._failed_starts.append(str(error))
 
     async def _await_starts_under_way(self) -> None:
         """Wait for gateways that are starting and not ready yet: a busy machine needs long to start them."""
@@ -328,8 +328,8 @@
     scenario: Scenario,
     folder: Path,
     tree: Path = ROOT,
-    say: Callable[[str], None] = lambda text: None,
-    show: Callable[[dict[str, float]], None] = lambda progress: None,
+    report: Callable[[str], None] = lambda text: None,
+    show_progress: Callable[[dict[str, float]], None] = lambda progress: None,
 ) -> Result:
     """Play a scenario and judge its record.
 
@@ -337,22 +337,24 @@
         scenario: the scenario to play.
         folder: the run's folder, which is created.
         tree: checkout whose gateways are played.
-        say: called with a line of text at each stage of the run.
-        show: called with the progress once a second.
+        report: called with a line of text at each stage of the run.
+        show_progress: called with the progress once a second.
 
     Raises:
         RunError: the machine lacks resources, or a process ended early or did not become ready.
         NotReadyError: a gateway did not become ready before the run.
         TimeoutError: the run did not end in time.
     """
-    return asyncio.run(Run(scenario, folder, tree, say, show).play())
+    return asyncio.run(Run(scenario, folder, tree, report, show_progress).play())
 
 
-def play_virtual(scenario: Scenario, folder: Path, say: Callable[[str], None] = lambda text: None) -> Result:
+def play_virtual(
+    scenario: Scenario, folder: Path, report: Callable[[str], None] = lambda text: None
+) -> Result:
     """Play a scenario in virtual time, with a record of the same form; skips faults without a model."""
     missing = virtual.not_modelled(scenario)
     if missing:
-        say(f"not modelled in virtual time, left out: {', '.join(missing)}")
+        report(f"not modelled in virtual time, left out: {', '.join(missing)}")
     events: list[checks.Event] = []
     virtual.play(scenario, events)
     folder.mkdir(parents=True)
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -280,7 +280,7 @@
         run = Run(
             day(early, later, rules=("answered",)),
             tmp_path / "run",
-            say=lambda text: said.get(text, lambda: None)(),
+            report=lambda text: said.get(text, lambda: None)(),
         )
         end_load = run._load.end
 
