--- a/hillmux/lab/checks.py
+++ b/hillmux/lab/checks.py
@@ -110,6 +110,7 @@
     """
     verdict = Verdict("answered")
     events = list(events)
+    # Requests whose late answer arrived; it counts as an answer only without `judge_times`.
     arrived = set() if judge_times else {event["rid"] for event in events if event["ev"] == "came"}
     pending: dict[str, Event] = {}
     interruptions: dict[str, _Interruptions] = defaultdict(_Interruptions)
--- a/hillmux/lab/commands.py
+++ b/hillmux/lab/commands.py
@@ -31,7 +31,7 @@
 lab.add_command(soak)
 
 
-def _scenario(path: Path) -> Scenario:
+def _load_scenario(path: Path) -> Scenario:
     from hillmux.lab.scenario import ScenarioError, load
 
     try:
@@ -63,13 +63,13 @@
     from hillmux.lab.record import free_folder
     from hillmux.lab.run import RunError, play, play_virtual
 
-    scenario = _scenario(path)
+    scenario = _load_scenario(path)
     if seed is not None:
         scenario = scenario.model_copy(update={"seed": seed})
     folder = free_folder(out, f"{scenario.name}-{scenario.seed}")
     if virtual:
         result = play_virtual(scenario, folder, lambda t: click.echo(t, err=True))
-        show(result)
+        print_result(result)
         sys.exit(0 if result.holds() else 1)
     try:
         with _live_table(scenario) as show_progress:
@@ -79,7 +79,7 @@
     except (RunError, NotReadyError, TimeoutError) as error:
         click.echo(f"{path}: {error or 'the run did not end in its time'}", err=True)
         sys.exit(EXIT_ERROR)
-    show(result)
+    print_result(result)
     sys.exit(0 if result.holds() else 1)
 
 
@@ -112,7 +112,7 @@
         yield show_progress
 
 
-def show(result: Result) -> None:
+def print_result(result: Result) -> None:
     """Print the result of a run."""
     from rich.console import Console
     from rich.table import Table
@@ -149,7 +149,7 @@
     """Tell every fault of a scenario's file, and what playing it takes, without starting anything."""
     from hillmux.lab.scenario import resource_needs, schedule
 
-    scenario = _scenario(path)
+    scenario = _load_scenario(path)
     processes, megabytes, files = resource_needs(scenario)
     click.echo(
         f"{path}: sound: {len(schedule(scenario))} strikes in {scenario.length_s:g} s; takes "
@@ -161,7 +161,7 @@
 def list_() -> None:
     """The scenarios that come with the program."""
     for path in sorted(SCENARIO_FOLDER.glob("*.toml")):
-        scenario = _scenario(path)
+        scenario = _load_scenario(path)
         click.echo(f"{path}: {scenario.about}")
 
 
@@ -194,7 +194,7 @@
         )
         for chain in verdict.chains:
             for event in chain:
-                click.echo("  " + _line(event, result.t0))
+                click.echo("  " + _format_event(event, result.t0))
             click.echo("")
 
 
@@ -211,10 +211,10 @@
         click.echo(f"ID: found {rid!r}, expected the id of a request in {folder}", err=True)
         sys.exit(EXIT_ERROR)
     for event in events:
-        click.echo(_line(event, t0))
+        click.echo(_format_event(event, t0))
 
 
-def _line(event: dict[str, object], t0: float) -> str:
+def _format_event(event: dict[str, object], t0: float) -> str:
     fields = " ".join(f"{k}={v}" for k, v in event.items() if k not in ("t", "who", "ev"))
     at_ms = event.get("t")
     elapsed = f"{(at_ms - t0) / 1000:8.3f} s" if isinstance(at_ms, float) else " " * 10
@@ -240,7 +240,7 @@
     from hillmux.lab.run import RunError
     from hillmux.lab.source_trees import TreeError
 
-    scenario = _scenario(path)
+    scenario = _load_scenario(path)
     folder = free_folder(out, f"compare-{scenario.name}")
     try:
         rows, results = compare_trees(
--- a/hillmux/lab/measures.py
+++ b/hillmux/lab/measures.py
@@ -94,19 +94,23 @@
                 figures.first += 1
                 rate, burst = criteria.quotas[event["plan"]]
                 quota = quotas.setdefault(event["customer"], TokenBucket(rate, burst, event["due"]))
-                inside = quota.refill(event["due"]) >= event["units"]
-                quota.available -= event["true"] if inside else 0.0
-                first_requests[event["rid"]] = event["due"], event["worth"] if inside else 0.0, event["aim"]
-                offered[int((event["due"] - t0) / 1000)] += event["worth"] if inside else 0.0
+                within_quota = quota.refill(event["due"]) >= event["units"]
+                quota.available -= event["true"] if within_quota else 0.0
+                first_requests[event["rid"]] = (
+                    event["due"],
+                    event["worth"] if within_quota else 0.0,
+                    event["aim"],
+                )
+                offered[int((event["due"] - t0) / 1000)] += event["worth"] if within_quota else 0.0
             case "ask":
                 figures.tries += 1
             case "answer":
                 results[event["result"]] += 1
                 if event["result"] == "served" and event["first"] in first_requests:
-                    due, worth, aim = first_requests[event["first"]]
+                    due, weight, objective_ms = first_requests[event["first"]]
                     latency_ms[int((due - t0) / 1000)].append(event["total"])
-                    if event["total"] <= aim:
-                        served[int((due - t0) / 1000)] += worth
+                    if event["total"] <= objective_ms:
+                        served[int((due - t0) / 1000)] += weight
             case "got":
                 figures.attempts += 1
             case "dial":
--- a/hillmux/lab/record.py
+++ b/hillmux/lab/record.py
@@ -85,6 +85,6 @@
 def follow(events: Iterable[Event], rid: str) -> list[Event]:
     """Return the events of a request, its first request and all retries of it, from every actor."""
     all_events = list(events)
-    first = next((e["first"] for e in all_events if e.get("rid") == rid and "first" in e), rid)
-    tries = {e["rid"] for e in all_events if e.get("first") == first} | {first, rid}
-    return [e for e in all_events if e.get("rid") in tries]
+    first_id = next((e["first"] for e in all_events if e.get("rid") == rid and "first" in e), rid)
+    request_ids = {e["rid"] for e in all_events if e.get("first") == first_id} | {first_id, rid}
+    return [e for e in all_events if e.get("rid") in request_ids]
--- a/hillmux/lab/report.py
+++ b/hillmux/lab/report.py
@@ -19,7 +19,7 @@
 from hillmux.recovery.full_service import p99
 
 BAND_FAULTS = frozenset(("fault", "kill", "term", "stop"))
-BAND_WIDTH_S = 0.5  # width of the band at the start of a fault
+BAND_WIDTH_S = 0.5  # width of a fault's band
 RESULTS = ("served", "refused", "failed", "reset", "refused_dial", "late")
 PAGE = """<!doctype html><html lang="en"><meta charset="utf-8"><title>{title}</title>
 <style>body{{font:15px/1.5 sans-serif;max-width:72em;margin:2em auto;padding:0 1em}}
--- a/hillmux/lab/scenario.py
+++ b/hillmux/lab/scenario.py
@@ -28,15 +28,12 @@
 GATEWAY_FAULTS = ("kill", "term", "hup", "stop", "cont", "start")
 HOST_FAULTS = ("crash", "restart", "drain", "remove", "ready", "hang", "slow", "failing", "well", "swap")
 LINK_FAULTS = ("cut", "cut_in", "cut_out", "heal", "delay", "throttle", "reset_after")
-PEER_FAULTS = (
-    "lose",
-    "duplicate",
-    "reorder",
-)  # faults of datagrams; links between gateways accept link faults, too
+# Faults of datagrams between gateways, whose links accept link faults as well.
+PEER_FAULTS = ("lose", "duplicate", "reorder")
 COUNTER_FAULTS = ("counter_stop", "counter_keep", "counter_start", "counter_split", "counter_join")
 DISCOVERY_FAULTS = ("silence", "speak", "forget", "clock")
 FAULTS = (*GATEWAY_FAULTS, *HOST_FAULTS, *LINK_FAULTS, *PEER_FAULTS, *COUNTER_FAULTS, *DISCOVERY_FAULTS)
-CONNECTION_ONLY_FAULTS = ("throttle", "reset_after")
+CONNECTION_ONLY_FAULTS = ("throttle", "reset_after")  # link faults without a meaning for datagrams
 RULES = tuple(CHECKERS)
 DEFAULT_RULES = tuple(rule for rule in RULES if rule not in OPTIONAL_RULES)
 MAX_DRAIN_MS = 3000.0  # after SIGTERM the platform waits for the longest deadline, up to this time
--- a/tests/lab/test_play.py
+++ b/tests/lab/test_play.py
@@ -66,9 +66,9 @@
     events = list(record.read(tmp_path / "herd-1-1"))
     retry = next(e for e in events if e["ev"] == "ask" and e["rid"] != e["first"] and any(
         other["ev"] == "got" and other["rid"] == e["rid"] for other in events))  # fmt: skip
-    found = record.follow(events, retry["rid"])
-    assert {"first", "ask", "got", "answer"} <= {e["ev"] for e in found}
-    assert found == record.follow(events, retry["first"])
+    followed = record.follow(events, retry["rid"])
+    assert {"first", "ask", "got", "answer"} <= {e["ev"] for e in followed}
+    assert followed == record.follow(events, retry["first"])
     result = CliRunner().invoke(lab, ["follow", str(tmp_path / "herd-1-1"), "nobody"])
     assert result.exit_code == 2 and "found 'nobody'" in result.output
     for command in ("explain", "report"):
--- a/tests/lab/test_report.py
+++ b/tests/lab/test_report.py
@@ -35,11 +35,11 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.found: list[str] = []
+        self.external_urls: list[str] = []
 
     def handle_starttag(self, tag: str, attrs: list[tuple[str, str | None]]) -> None:
         urls = [str(v) for k, v in attrs if k in ("src", "href", "xlink:href", "data")]
-        self.found += [value for value in urls if not value.startswith("#")]
+        self.external_urls += [value for value in urls if not value.startswith("#")]
 
 
 def test_page_is_self_contained_and_lists_violations() -> None:
@@ -49,7 +49,7 @@
     text = page("day <1>", "x", Series(events, 0.0, 5.0), figures, verdicts, ["served: too little"])
     references = ExternalReferences()
     references.feed(text)
-    assert references.found == []
+    assert references.external_urls == []
     assert "day &lt;1&gt;" in text and "&lt;cut&gt; (1)" in text and "served: too little" in text
     assert "r30" in text.partition("What was broken")[2]
     assert text == page("day <1>", "x", Series(events, 0.0, 5.0), figures, verdicts, ["served: too little"])
