--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -63,7 +63,7 @@
     parser.add_argument("--seconds", type=float, default=240.0)
     seconds = parser.parse_args().seconds
     with tempfile.TemporaryDirectory() as out:
-        result = play(scenario(seconds), Path(out) / "run", say=print)
+        result = play(scenario(seconds), Path(out) / "run", report=print)
         held: dict[str, list[int]] = defaultdict(list)
         for event in record.read(result.folder):
             if event["ev"] == "memory":
@@ -78,7 +78,7 @@
             f"({end / middle - 1:+.2%})"
         )
     print(
-        f"{result.figures.first} first tries; " + ", ".join(f"{v.rule} {v.says()}" for v in result.verdicts)
+        f"{result.figures.first} first tries; " + ", ".join(f"{v.rule} {v.status()}" for v in result.verdicts)
     )
     return 0 if worst <= GROWTH and result.holds() else 1
 
--- a/hillmux/lab/environment.py
+++ b/hillmux/lab/environment.py
@@ -26,7 +26,7 @@
     LINK_FAULTS,
     PEER_FAULTS,
     Scenario,
-    Strike,
+    ScheduledFault,
     schedule,
     zone_of,
 )
@@ -129,31 +129,31 @@
 
     def schedule_faults(self, t0_ms: float) -> None:
         """Schedule the scenario's faults of stand-ins and links, relative to `t0_ms` of the shared clock."""
-        for strike in schedule(self.scenario):
-            moves_discovery = strike.fault.what == "hup" and strike.fault.how == "moved"
-            if moves_discovery or strike.fault.what not in GATEWAY_FAULTS:
-                self.clock.at(t0_ms + strike.at_ms, self.apply_fault, strike)
+        for scheduled in schedule(self.scenario):
+            moves_discovery = scheduled.fault.what == "hup" and scheduled.fault.how == "moved"
+            if moves_discovery or scheduled.fault.what not in GATEWAY_FAULTS:
+                self.clock.at(t0_ms + scheduled.at_ms, self.apply_fault, scheduled)
 
-    def apply_fault(self, strike: Strike) -> None:
+    def apply_fault(self, scheduled: ScheduledFault) -> None:
         """Record a fault and apply it now."""
-        fault, what = strike.fault, strike.fault.what
-        self.note("lab", "fault", what=what, target=strike.target, value=fault.value)
+        fault, what = scheduled.fault, scheduled.fault.what
+        self.note("lab", "fault", what=what, target=scheduled.target, value=fault.value)
         if what in LINK_FAULTS or what in PEER_FAULTS:
-            a, _, b = strike.target.partition(">")
+            a, _, b = scheduled.target.partition(">")
             if (a, b) in self.links:
                 self._apply_link_fault(self.links[a, b], what, fault.value)
             elif self.exchange is not None:
                 self.exchange.apply_fault(a, b, what, fault.value)
         elif what in COUNTER_FAULTS:
-            self._apply_counter_fault(what, fault.how, strike.target)
+            self._apply_counter_fault(what, fault.how, scheduled.target)
         elif what == "swap":
-            names = strike.target.split(",")
+            names = scheduled.target.split(",")
             for a, b in zip(names[::2], names[1::2], strict=False):
                 self._swap_addresses(self.hosts[a], self.hosts[b])
-        elif strike.target in self.hosts:
-            self._apply_host_fault(self.hosts[strike.target], what, fault.value)
+        elif scheduled.target in self.hosts:
+            self._apply_host_fault(self.hosts[scheduled.target], what, fault.value)
         else:
-            agent = self.agents[strike.target]
+            agent = self.agents[scheduled.target]
             if what == "forget":
                 agent.reset_versions()
             elif what == "hup":
--- a/hillmux/lab/load.py
+++ b/hillmux/lab/load.py
@@ -139,9 +139,9 @@
         """Schedule the load from `t0` (ms of the clock); first attempts do not wait for earlier responses."""
         self._t0 = t0
         by_name = {gateway.name: gateway for gateway in self.gateways}
-        for strike in schedule(self.scenario):
-            if strike.fault.what == "term":
-                self.clock.at(t0 + strike.at_ms, by_name[strike.target].sigterm_sent)
+        for scheduled in schedule(self.scenario):
+            if scheduled.fault.what == "term":
+                self.clock.at(t0 + scheduled.at_ms, by_name[scheduled.target].sigterm_sent)
         self.gateways[0].crowded = self.scenario.traffic.crowd > 0
         self.unruly.play(t0)
         if not self._planned:
--- a/hillmux/lab/processes.py
+++ b/hillmux/lab/processes.py
@@ -18,8 +18,8 @@
 
 from hillmux.lab.random_streams import generator
 from hillmux.lab.record import Recorder
-from hillmux.lab.scenario import MOST_UNITS, Class, Plan, Scenario, slack, zone_of
-from hillmux.lab.trees import package_in
+from hillmux.lab.scenario import MAX_REQUEST_UNITS, Class, Plan, Scenario, slack, zone_of
+from hillmux.lab.source_trees import package_in
 
 READY_TIMEOUT_S = 20.0
 MAX_KEPT_LOG_LINES = 40
@@ -150,7 +150,7 @@
                 "may_count": True,
                 "count_wait_ms": fleet.counter_wait_ms,
                 "trued_up": True,
-                "most_units": MOST_UNITS,
+                "most_units": MAX_REQUEST_UNITS,
             },
         }
 
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -19,7 +19,7 @@
 from hillmux.lab.checks import Verdict
 from hillmux.lab.measures import Figures
 from hillmux.lab.processes import GatewayProcess, NotReadyError
-from hillmux.lab.run import Result, Run, play, unmet
+from hillmux.lab.run import Result, Run, play, unmet_requirements
 from hillmux.lab.scenario import Hold, Scenario
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -42,7 +42,7 @@
 
 def assert_rules_held(result: Result) -> None:
     """Check that every rule of the scenario was exercised and held; shows the events of a broken one."""
-    verdicts = {v.rule: (v.says(), v.chains[:1]) for v in result.verdicts}
+    verdicts = {v.rule: (v.status(), v.chains[:1]) for v in result.verdicts}
     assert all(verdict == "held" for verdict, _ in verdicts.values()) and len(verdicts) > 2, verdicts
 
 
@@ -87,7 +87,7 @@
         {"at_s": 0.7, "what": "start", "who": "gateway:2"},
         rules=("answered",), length_s=2.0,
     ), tmp_path / "run")  # fmt: skip
-    assert result.unmet == ["g2: a start had not come about by the end"] and not result.holds()
+    assert result.unmet_requirements == ["g2: a start had not come about by the end"] and not result.holds()
     assert (count_events(result, "ended", code=-signal.SIGKILL), count_events(result, "start")) == (4, 4)
 
 
@@ -181,12 +181,12 @@
         update={"hold": Hold(rules=("cold",), full_service_s=3)}
     )
     quick, none = Figures(full_service_s=1.0), Figures()
-    assert unmet(limits, quick, [0.5, 1.0, 9.0]) == []
+    assert unmet_requirements(limits, quick, [0.5, 1.0, 9.0]) == []
     # The load generator was late, so times are not judged.
-    assert "not judged" in unmet(limits, quick, [0.5, 5.1, 9.0])[0]
-    assert "never" in unmet(limits, none, [0.5, 1.0, 9.0])[0]
+    assert "not judged" in unmet_requirements(limits, quick, [0.5, 5.1, 9.0])[0]
+    assert "never" in unmet_requirements(limits, none, [0.5, 1.0, 9.0])[0]
     result = Result(limits, tmp_path, 0.0, [Verdict("cold")], quick, [0.5, 1.0, 9.0], [])
-    assert result.verdicts[0].says() == "not exercised" and not result.holds()
+    assert result.verdicts[0].status() == "not exercised" and not result.holds()
 
 
 def test_interrupted_or_killed_run_leaves_no_process(tmp_path: Path) -> None:
@@ -271,7 +271,7 @@
         {"at_s": 1.8, "what": "start", "who": "gateway:1"},
         rules=("answered",), length_s=1.9,
     ), tmp_path / "run")  # fmt: skip
-    assert result.unmet == [] and count_events(result, "ready", who="g1") == 2
+    assert result.unmet_requirements == [] and count_events(result, "ready", who="g1") == 2
 
 
 def test_interrupted_run_applies_no_further_fault(tmp_path: Path) -> None:
@@ -285,7 +285,7 @@
         run = Run(
             make_scenario(early, later, rules=("answered",)),
             tmp_path / "run",
-            say=lambda text: on_report.get(text, lambda: None)(),
+            report=lambda text: on_report.get(text, lambda: None)(),
         )
         end_load = run._load.end
 
