--- a/tests/recovery/test_fleet_restart.py
+++ b/tests/recovery/test_fleet_restart.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from lab.test_run import BOOK, PLAN, READ, held
+from lab.test_run import BOOK, PLAN, READ, assert_rules_held
 
 from hillmux.lab import record
 from hillmux.lab.run import Result, play
@@ -37,7 +37,7 @@
         {"at_s": 4.1, "what": "start", "who": "@herd", "how": "kept"},
         length_s=6.5,
     ), tmp_path / "run")  # fmt: skip
-    held(result)
+    assert_rules_held(result)
     killed = {e["who"] for e in record.read(result.folder) if e["ev"] == "kill"}
     assert len(killed) == 3
     for who in killed:
@@ -60,7 +60,7 @@
         update={"fleet": scenario.fleet.model_copy(update={"snapshots_ms": 1900})}
     )
     result = play(rare_snapshots, tmp_path / "run")
-    held(result)
+    assert_rules_held(result)
     _, *restores = snapshot_log(result, "g1")
     assert len(restores) == 2 and all(line.endswith(", not exact") for line in restores)
 
@@ -72,7 +72,7 @@
         {"at_s": 6.2, "what": "kill", "who": "gateway:1"},  # before its first snapshot
         length_s=7.0, rules=("answered", "effects", "ceilings"),
     ), tmp_path / "run")  # fmt: skip
-    held(result)
+    assert_rules_held(result)
     first_start, restart = snapshot_log(result, "g1")
     assert first_start.startswith("none in ") and restart.endswith(", exact")
 
@@ -89,7 +89,7 @@
         {"at_s": 1.7, "what": "start", "who": "gateway:1", "how": how},
         length_s=4.0, rules=("answered", "effects", "ceilings"),
     ), tmp_path / "run")  # fmt: skip
-    held(result)
+    assert_rules_held(result)
     line = snapshot_log(result, "g1")[1]
     assert line.startswith("unusable, nothing restored: ") and reason in line
 
@@ -104,7 +104,7 @@
         {"at_s": 4.4, "what": "counter_join"},
         length_s=6.0, rules=("answered", "effects", "ceilings"),
     ), tmp_path / "run")  # fmt: skip
-    held(result)
+    assert_rules_held(result)
     assert result.figures.counter_calls > 100
 
 
@@ -122,7 +122,7 @@
         {"at_s": 4.5, "what": "speak", "who": "gateway:1"},
         length_s=6.5, rules=("answered", "effects", "ceilings", "cold"),
     ), tmp_path / "run")  # fmt: skip
-    held(result)
+    assert_rules_held(result)
     events = list(record.read(result.folder))
     ready_at = next(e["t"] for e in events if e["ev"] == "ready" and e["who"] == "g1" and e["t"] > result.t0)
     discovery_back_at = result.t0 + 4500
--- a/tests/recovery/test_process_restart.py
+++ b/tests/recovery/test_process_restart.py
@@ -6,7 +6,7 @@
 
 import pytest
 from conftest import Driver, of
-from lab.test_run import count, day, held
+from lab.test_run import assert_rules_held, count_events, make_scenario
 
 from hillmux import interface as api
 from hillmux.decision.gateway import OUTDATED_MS
@@ -73,7 +73,7 @@
 
 def test_gateway_sends_nothing_to_hosts_drained_during_its_stall(tmp_path: Path) -> None:
     """Two of four gateways are stalled while three hosts drain in turn and one restarts; requests wait."""
-    result = play(day(
+    result = play(make_scenario(
         {"at_s": 1.0, "what": "stop", "who": "50% of gateways", "name": "still"},
         *({"at_s": at, "what": "drain", "who": f"host:h{i}"} for i, at in enumerate((1.5, 1.9, 2.3))),
         {"at_s": 1.5, "what": "crash", "who": "host:h3"},
@@ -81,9 +81,9 @@
         {"at_s": 4.5, "what": "cont", "who": "@still"},
         rules=("answered", "effects", "drains", "cold", "ceilings"), length_s=6.5,
     ), tmp_path / "run")  # fmt: skip
-    held(result)
+    assert_rules_held(result)
     events = list(record.read(result.folder))
     resumed_at = {e["who"]: e["t"] for e in events if e["ev"] == "cont"}
     sent = [e for e in events if e["ev"] == "got" and e["t"] > resumed_at.get(e["gw"], 1e18)]
-    assert count(result, "stop") == len(resumed_at) == 2 and len(sent) > 20
+    assert count_events(result, "stop") == len(resumed_at) == 2 and len(sent) > 20
     assert not {e["who"] for e in sent} & {"h0", "h1", "h2"}
