--- a/hillmux/lab/virtual/counting.py
+++ b/hillmux/lab/virtual/counting.py
@@ -1,9 +1,9 @@
-"""Many gateways that share quotas through one counter, in virtual time, without sockets.
+"""Simulation of many gateways that share quotas through one counter, in virtual time and without sockets.
 
-The decision modules are the program's own (`hillmux.decision.gateway.Gateway`). Modelled are the clients
-(Poisson arrivals, no retries), a handful of hosts that answer every request, the way to the counter, and
-the counter. A true store for each customer judges what the modules let through. Seeded: a scenario plays
-the same way each time. Faults: `hillmux.lab.virtual.counting_faults`.
+Runs the real decision module (`hillmux.decision.gateway.Gateway`). Clients (Poisson arrivals, no retries), a
+few hosts that answer every request, the network to the counter, and the counter are models. The requests that
+the gateways forward are compared with a reference token bucket for each customer, which no gateway sees. A
+scenario with the same seed gives the same results. Faults: `hillmux.lab.virtual.counting_faults`.
 """
 
 from __future__ import annotations
@@ -24,17 +24,20 @@
 from hillmux.lab.virtual.loop import VirtualLoop
 from hillmux.net.counter_channel import request_bytes
 
-START_TIME_MS: Final = 1.8e12  # a time of day: window numbers are as long as in service
+START_TIME_MS: Final = (
+    1.8e12  # a realistic Unix time, so that window numbers have as many digits as in production
+)
 UNLIMITED: Final = CounterModel(per_s=1e9, parts=1)
-ARRIVAL_BATCH: Final = 4096  # arrivals are drawn by so many
+ARRIVAL_BATCH: Final = 4096  # arrivals drawn at once
 CLASS: Final = api.RequestClass("read", latency_objective_ms=1000, deadline_ms=2000)
-CLIENT_TIMEOUT_MS: Final = 2000.0  # what a request says of its time left
-DISCONNECT_AFTER_MS: Final = 1000.0  # without an answer, as `SILENCE_TIMEOUT_S` of net/counter_channel.py
-
-# On the wire a segment carries an IPv4 header (20 bytes) and a TCP header with timestamps (32 bytes). A call
-# is one segment each way; the reply acknowledges the request. The reply is acknowledged by the next request
-# on its connection if that comes within the 40 ms of Linux's delayed acknowledgement, else by a segment of
-# its own: at 65 calls a second over 4 connections that is one reply in two.
+CLIENT_TIMEOUT_MS: Final = 2000.0  # time left that each request states on arrival
+# A connection without a reply for this long is closed, as by `SILENCE_TIMEOUT_S` of net/counter_channel.py.
+DISCONNECT_AFTER_MS: Final = 1000.0
+
+# Each segment carries an IPv4 header (20 bytes) and a TCP header with timestamps (32 bytes). A call is one
+# segment each way; the reply acknowledges the request. The next request on the connection acknowledges the
+# reply if it is sent within Linux's delayed acknowledgement time of 40 ms; otherwise a separate segment does.
+# At 65 calls per second over 4 connections every second reply needs a separate segment.
 SEGMENT_BYTES: Final = 52
 SEGMENTS_PER_CALL: Final = 2.5
 
@@ -45,76 +48,82 @@
 
 
 def reply_bytes(total: float) -> int:
-    """Length of the counter's reply with a total, as `hillmux.counter.service` writes it."""
+    """Return the length in bytes of a counter reply with a total, as `hillmux.counter.service` writes it."""
     body = format_total(total)
     return len(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n") + len(body)
 
 
 @dataclass(slots=True, frozen=True)
 class CountingScenario:
-    """A fleet, its customers, its counter; times in milliseconds, rates a second."""
+    """A fleet, its customers and its counter. Times are in milliseconds, rates in units per second."""
 
     gateways: int
     customers: int
-    replicas: int  # gateways that see a customer, in a row and counted round; the whole fleet at most
-    requests_per_s: float  # requests a second of one customer, of one unit each
-    rate: float  # of each customer's plan
-    burst: float
+    replicas: (
+        int  # gateways per customer, with consecutive numbers modulo `gateways`; capped at the fleet size
+    )
+    requests_per_s: float  # requests per second of each customer, of one unit each
+    rate: float  # rate of each customer's plan, in units per second
+    burst: float  # burst of each customer's plan, in units
     seed: int
     counter: CounterModel = UNLIMITED
-    counter_delay_ms: tuple[float, float] = (2.0, 20.0)  # one way to the counter: even between these
+    counter_delay_ms: tuple[float, float] = (2.0, 20.0)  # one-way delay, uniform between these bounds
     counter_timeout_ms: float = 90.0
     host_latency_ms: float = 20.0
     hosts: int = 5
     max_customers: int = 8192
-    timed: bool = False  # sums the processor time of the modules
+    timed: bool = False  # whether to measure the processor time of the decision modules
 
 
 @dataclass(slots=True)
 class CountingFigures:
-    """What was seen since the last `CountingFleet.begin_measuring`."""
+    """Counts and sums since the last `CountingFleet.begin_measuring`."""
 
-    since_ms: float
+    since_ms: float  # virtual time of the start of the measurement
     requests: int = 0
-    unserved: int = 0  # no gateway of the customer's set was up
-    units_forwarded: float = 0.0  # units
-    units_beyond_quota: float = 0.0  # units that the true store did not hold
+    unserved: int = 0  # requests that found no running gateway of their customer
+    units_forwarded: float = 0.0
+    units_beyond_quota: float = (
+        0.0  # units forwarded while the reference bucket held less than a request needs
+    )
     rejected: int = 0
-    rejected_with_half_burst: int = 0  # the true store held half a burst or more
-    rejected_with_units: int = 0  # the true store held the request's units
-    stranded: float = 0.0  # share of the burst in the true store, summed over refusals
+    rejected_with_half_burst: int = 0  # while the reference bucket held half a burst or more
+    rejected_with_units: int = 0  # while the reference bucket held the request's units
+    stranded: float = 0.0  # level of the reference bucket as a share of the burst, summed over rejections
     reject_reasons: Tally[str] = field(default_factory=Tally)
-    counter_calls: int = 0  # to the counter
-    counter_calls_ended: int = 0  # of them: those that came to an end, and
-    counter_calls_answered: int = 0  # those that did with a total, in time
-    request_bytes: int = 0
-    reply_bytes: int = 0
-    decision_s: float = 0.0  # processor time, where the scenario is timed
+    counter_calls: int = 0
+    counter_calls_ended: int = 0  # calls that were answered, failed or timed out
+    counter_calls_answered: int = 0  # calls that were answered with a total before the time-out
+    request_bytes: int = 0  # of requests to the counter, without TCP and IP headers
+    reply_bytes: int = 0  # of the counter's replies, without TCP and IP headers
+    decision_s: float = 0.0  # processor time of the decision modules; 0 unless the scenario is `timed`
 
     @property
     def payload_bytes(self) -> int:
-        """Bytes of requests to the counter and of its replies."""
+        """Bytes of requests to the counter and of its replies, without TCP and IP headers."""
         return self.request_bytes + self.reply_bytes
 
     @property
     def wire_bytes(self) -> float:
-        """The same with TCP and IP headers."""
+        """Estimated bytes of requests and replies, with TCP and IP headers."""
         return self.payload_bytes + self.counter_calls * SEGMENTS_PER_CALL * SEGMENT_BYTES
 
 
 class Customer:
-    """A customer: its set of gateways, its true store."""
+    """A customer, with its gateways and its reference token bucket."""
 
     __slots__ = ("name", "first_gateway", "quota", "units_beyond_quota", "units_forwarded", "only_gateway")
 
     def __init__(self, name: str, first_gateway: int, quota: TokenBucket) -> None:
         self.name, self.first_gateway, self.quota = name, first_gateway, quota
-        self.units_beyond_quota = self.units_forwarded = 0.0  # units, since the start
-        self.only_gateway: int | None = None  # all of its traffic comes to this gateway
+        self.units_beyond_quota = self.units_forwarded = 0.0  # since the start of the simulation
+        self.only_gateway: int | None = (
+            None  # number of the gateway that gets all requests; None: any of the set
+        )
 
 
 class CountingGateway:
-    """One gateway's module, from a start to its end, and what is between it and the counter."""
+    """One incarnation of a gateway: its decision module, its clock and its connection to the counter."""
 
     __slots__ = (
         "number",
@@ -137,13 +146,13 @@
             clock_offset_ms,
         )
         self.alive = True
-        self.disconnected_at: float | None = None  # since when the counter is out of its reach
-        self.open_requests: dict[str, Customer] = {}  # by request
-        self.requests = self.rejected = self.calls = 0  # since its start
+        self.disconnected_at: float | None = None  # when the counter became unreachable; None: reachable
+        self.open_requests: dict[str, Customer] = {}  # customers by request id
+        self.requests = self.rejected = self.calls = 0  # counted since this incarnation started
 
 
 class CounterCall:
-    """One call to the counter, which is answered to its gateway once."""
+    """A call to the counter. Only its first result is passed to the gateway."""
 
     __slots__ = ("gateway", "action", "started_at_ms", "done")
 
@@ -152,15 +161,18 @@
         self.done = False
 
 
-CallInterceptor = Callable[[CounterCall], bool]  # takes a call's way over, or leaves it (False)
-RejectionObserver = Callable[[CountingGateway, Customer, str], None]  # is told of each refusal and its cause
+CallInterceptor = Callable[[CounterCall], bool]  # returns True if it delivers or fails the call itself
+RejectionObserver = Callable[
+    [CountingGateway, Customer, str], None
+]  # called with the reason of each rejection
 
 
 class CountingFleet:
-    """Plays a scenario.
+    """Runs a scenario.
 
-    `inspect` is called with a gateway after each event that it handled, `check` with the fleet after that;
-    they may raise. Without faults and with an unlimited counter no call is late, and time-outs are left out.
+    `inspect` is called with the gateway after each event that it handles, then `check` with the fleet; an
+    exception from either ends the run. Without faults and with an unlimited counter every call is answered in
+    time, so no time-outs are scheduled.
     """
 
     def __init__(
@@ -174,49 +186,49 @@
         self.counter = SimulatedCounter(self.loop, scenario.counter)
         self.figures = CountingFigures(START_TIME_MS)
         self.replicas = min(scenario.replicas, scenario.gateways)
-        self.call_interceptor: CallInterceptor | None = None  # faults of calls
+        self.call_interceptor: CallInterceptor | None = None  # injects faults into calls to the counter
         self.rejection_observer: RejectionObserver | None = None
-        self._late_calls = scenario.counter is not UNLIMITED
+        self._counter_timeouts = scenario.counter is not UNLIMITED
         self._plan = api.Plan("plan", rate=scenario.rate, burst=scenario.burst)
         self._servers = tuple(api.Endpoint(f"host-{i}") for i in range(scenario.hosts))
-        self._ways = Stream(scenario.seed, "ways")
-        self._serial = self._lives = 0
+        self._delays = Stream(scenario.seed, "ways")
+        self._last_request_id = self._starts = 0
         self.customers = [
-            Customer(f"customer-{i:06}", i % scenario.gateways, self._store())
+            Customer(f"customer-{i:06}", i % scenario.gateways, self._create_bucket())
             for i in range(scenario.customers)
         ]
-        self.gateways = [self._started(number, 0.0) for number in range(scenario.gateways)]
+        self.gateways = [self._create_gateway(number, 0.0) for number in range(scenario.gateways)]
         self._generator = generator(scenario.seed, "arrivals")
         self._arrivals: list[tuple[float, int, int]] = []
         self._next_arrival()
 
-    def _store(self) -> TokenBucket:
+    def _create_bucket(self) -> TokenBucket:
         return TokenBucket(self.scenario.rate, self.scenario.burst, START_TIME_MS)
 
-    # --- Playing ---
+    # --- Running ---
 
     def run(self, for_s: float) -> CountingFigures:
-        """Go on for a time."""
+        """Advance virtual time by `for_s` seconds and return the figures."""
         self.loop.run(self.loop.now + 1000 * for_s)
         return self.figures
 
     def begin_measuring(self) -> None:
-        """Figures from here on."""
+        """Reset the figures."""
         self.figures = CountingFigures(self.loop.now)
 
     def measured_s(self) -> float:
-        """Virtual time since the figures began."""
+        """Return the virtual time in seconds since the figures were reset."""
         return (self.loop.now - self.figures.since_ms) / 1000
 
     def enable_counter_timeouts(self) -> None:
-        """Give up calls after `count_wait_ms`: for scenarios with faults. To be called before the start."""
-        self._late_calls = True
+        """Time calls out after `counter_timeout_ms`, as scenarios with faults need. Call it before `run`."""
+        self._counter_timeouts = True
 
     # --- Gateways ---
 
-    def _started(self, number: int, clock_off_ms: float) -> CountingGateway:
+    def _create_gateway(self, number: int, clock_offset_ms: float) -> CountingGateway:
         scenario = self.scenario
-        self._lives += 1
+        self._starts += 1
         settings = api.Settings(
             classes=(CLASS,),
             plans=(self._plan,),
@@ -227,43 +239,43 @@
             max_customers=scenario.max_customers,
             max_retry_after_ms=2000,
         )
-        seed = int(generator(scenario.seed, f"gateway.{self._lives}").integers(1 << 61))
-        gateway = CountingGateway(number, self._lives, Gateway(settings, seed), clock_off_ms)
+        seed = int(generator(scenario.seed, f"gateway.{self._starts}").integers(1 << 61))
+        gateway = CountingGateway(number, self._starts, Gateway(settings, seed), clock_offset_ms)
         self.handle(gateway, api.EndpointList(ListKind.FULL, self._servers))
         return gateway
 
     def kill(self, number: int) -> None:
-        """A gateway's process ends; requests go to the next ones of their sets."""
+        """Kill a gateway. Its customers' requests go to the next running gateways of their sets."""
         self.gateways[number].alive = False
 
     def start(self, number: int) -> None:
-        """It is back and knows nothing; its machine's clock and its way to the counter are as before."""
+        """Start a gateway without any state; its clock offset and its reach of the counter don't change."""
         old = self.gateways[number]
         old.alive = False
-        self.gateways[number] = self._started(number, old.clock_offset_ms)
+        self.gateways[number] = self._create_gateway(number, old.clock_offset_ms)
         self.gateways[number].disconnected_at = old.disconnected_at
 
     def handle(self, gateway: CountingGateway, event: api.Event) -> None:
-        """One event for a gateway's module; does what it answers."""
+        """Pass an event to a gateway's decision module and execute the actions that it returns."""
         if not gateway.alive:
             return
         now = self.loop.now + gateway.clock_offset_ms
         if self.scenario.timed:
-            began = thread_time()
+            started_s = thread_time()
             actions = gateway.gateway.handle(now, event)
-            self.figures.decision_s += thread_time() - began
+            self.figures.decision_s += thread_time() - started_s
         else:
             actions = gateway.gateway.handle(now, event)
-        for act in actions:
-            kind = type(act)
+        for action in actions:
+            kind = type(action)
             if kind is api.SendAttempt:
-                self._send(gateway, act)  # type: ignore[arg-type]
+                self._send(gateway, action)  # type: ignore[arg-type]
             elif kind is api.IncrementCounter:
-                self._count(gateway, act)  # type: ignore[arg-type]
+                self._count(gateway, action)  # type: ignore[arg-type]
             elif kind is api.Reject:
-                self._refused(gateway, act)  # type: ignore[arg-type]
+                self._record_rejection(gateway, action)  # type: ignore[arg-type]
             elif kind is api.SetTimer:
-                self.loop.after(act.delay_ms, self.handle, gateway, api.TimerFired(act.name))  # type: ignore[union-attr]
+                self.loop.after(action.delay_ms, self.handle, gateway, api.TimerFired(action.name))  # type: ignore[union-attr]
         if self.inspect is not None:
             self.inspect(gateway)
         if self.check is not None:
@@ -272,13 +284,13 @@
     # --- Clients and hosts ---
 
     def _draw_arrivals(self) -> None:
-        """The next arrivals, the earliest last: all customers' together are one Poisson stream."""
+        """Draw the next arrivals of all customers, one Poisson process in sum, with the earliest last."""
         scenario, draw = self.scenario, self._generator
         gaps = draw.exponential(1000 / (scenario.requests_per_s * scenario.customers), ARRIVAL_BATCH)
         times = (self.loop.now + gaps.cumsum()).tolist()
         customers = draw.integers(scenario.customers, size=ARRIVAL_BATCH).tolist()
-        places = draw.integers(self.replicas, size=ARRIVAL_BATCH).tolist()
-        self._arrivals = list(zip(times, customers, places, strict=True))[::-1]
+        indexes = draw.integers(self.replicas, size=ARRIVAL_BATCH).tolist()
+        self._arrivals = list(zip(times, customers, indexes, strict=True))[::-1]
 
     def _next_arrival(self) -> None:
         if not self._arrivals:
@@ -286,25 +298,25 @@
         self.loop.at(self._arrivals[-1][0], self._arrive)
 
     def _arrive(self) -> None:
-        _, number, place = self._arrivals.pop()
+        _, number, index = self._arrivals.pop()
         self._next_arrival()
-        self.request(self.customers[number], place)
+        self.request(self.customers[number], index)
 
-    def request(self, customer: Customer, place: int) -> None:
-        """A request of a customer at one place of its set, or at the next one that is up."""
-        figures, gateway = self.figures, self._reached(customer, place)
+    def request(self, customer: Customer, index: int) -> None:
+        """Send a request to the gateway at an index in the customer's set, or to the next one that runs."""
+        figures, gateway = self.figures, self._serving_gateway(customer, index)
         figures.requests += 1
         if gateway is None:
             figures.unserved += 1
             return
-        self._serial += 1
-        rid = str(self._serial)
-        gateway.open_requests[rid] = customer
+        self._last_request_id += 1
+        request_id = str(self._last_request_id)
+        gateway.open_requests[request_id] = customer
         gateway.requests += 1
         self.handle(
             gateway,
             api.Request(
-                rid,
+                request_id,
                 CLASS.name,
                 "plan",
                 customer.name,
@@ -315,62 +327,62 @@
             ),
         )
 
-    def _reached(self, customer: Customer, place: int) -> CountingGateway | None:
+    def _serving_gateway(self, customer: Customer, index: int) -> CountingGateway | None:
         if customer.only_gateway is not None and self.gateways[customer.only_gateway].alive:
             return self.gateways[customer.only_gateway]
         for step in range(self.replicas):
-            number = (customer.first_gateway + (place + step) % self.replicas) % len(self.gateways)
+            number = (customer.first_gateway + (index + step) % self.replicas) % len(self.gateways)
             if self.gateways[number].alive:
                 return self.gateways[number]
         return None
 
-    def _send(self, gateway: CountingGateway, act: api.SendAttempt) -> None:
-        customer, figures = gateway.open_requests[act.request_id], self.figures
-        store = customer.quota
+    def _send(self, gateway: CountingGateway, action: api.SendAttempt) -> None:
+        customer, figures = gateway.open_requests[action.request_id], self.figures
+        bucket = customer.quota
         figures.units_forwarded += 1
         customer.units_forwarded += 1
-        if store.refill(self.loop.now) >= 1:
-            store.available -= 1
+        if bucket.refill(self.loop.now) >= 1:
+            bucket.available -= 1
         else:
             figures.units_beyond_quota += 1
             customer.units_beyond_quota += 1
-        self.loop.after(self.scenario.host_latency_ms, self._served, gateway, act)
+        self.loop.after(self.scenario.host_latency_ms, self._served, gateway, action)
 
-    def _served(self, gateway: CountingGateway, act: api.SendAttempt) -> None:
-        gateway.open_requests.pop(act.request_id, None)
+    def _served(self, gateway: CountingGateway, action: api.SendAttempt) -> None:
+        gateway.open_requests.pop(action.request_id, None)
         self.handle(
             gateway,
             api.AttemptEnded(
-                act.request_id, 0, act.host, AttemptResult.OK, self.scenario.host_latency_ms, True
+                action.request_id, 0, action.host, AttemptResult.OK, self.scenario.host_latency_ms, True
             ),
         )
 
-    def _refused(self, gateway: CountingGateway, act: api.Reject) -> None:
-        customer, figures = gateway.open_requests.pop(act.request_id), self.figures
+    def _record_rejection(self, gateway: CountingGateway, action: api.Reject) -> None:
+        customer, figures = gateway.open_requests.pop(action.request_id), self.figures
         if self.rejection_observer is not None:
-            self.rejection_observer(gateway, customer, act.reason)
-        store = customer.quota
-        left = store.refill(self.loop.now)
+            self.rejection_observer(gateway, customer, action.reason)
+        bucket = customer.quota
+        available = bucket.refill(self.loop.now)
         figures.rejected += 1
         gateway.rejected += 1
-        figures.reject_reasons[act.reason] += 1
-        figures.rejected_with_half_burst += left >= store.burst / 2
-        figures.rejected_with_units += left >= 1
-        figures.stranded += left / store.burst
+        figures.reject_reasons[action.reason] += 1
+        figures.rejected_with_half_burst += available >= bucket.burst / 2
+        figures.rejected_with_units += available >= 1
+        figures.stranded += available / bucket.burst
 
     # --- Calls to the counter ---
 
-    def _count(self, gateway: CountingGateway, act: api.IncrementCounter) -> None:
+    def _count(self, gateway: CountingGateway, action: api.IncrementCounter) -> None:
         self.figures.counter_calls += 1
         gateway.calls += 1
-        self.figures.request_bytes += len(request_bytes(act))
-        call = CounterCall(gateway, act, self.loop.now)
+        self.figures.request_bytes += len(request_bytes(action))
+        call = CounterCall(gateway, action, self.loop.now)
         if gateway.disconnected_at is not None:
-            silent = self.loop.now < gateway.disconnected_at + DISCONNECT_AFTER_MS
-            result = AttemptResult.TIMED_OUT if silent else AttemptResult.CONNECT_FAILED
+            timed_out = self.loop.now < gateway.disconnected_at + DISCONNECT_AFTER_MS
+            result = AttemptResult.TIMED_OUT if timed_out else AttemptResult.CONNECT_FAILED
             self.loop.after(self.scenario.counter_timeout_ms, self.end_call, call, result, 0.0)
             return
-        if self._late_calls:
+        if self._counter_timeouts:
             self.loop.after(
                 self.scenario.counter_timeout_ms, self.end_call, call, AttemptResult.TIMED_OUT, 0.0
             )
@@ -378,12 +390,12 @@
             self.loop.after(self.draw_counter_delay_ms(), self.deliver_call, call)
 
     def draw_counter_delay_ms(self) -> float:
-        """One way between a gateway and the counter."""
-        return self._ways.uniform(*self.scenario.counter_delay_ms)
+        """Draw the one-way delay of a message between a gateway and the counter."""
+        return self._delays.uniform(*self.scenario.counter_delay_ms)
 
     def deliver_call(self, call: CounterCall) -> None:
-        """A call has reached the counter, which will answer it."""
-        act = call.action
+        """Let a call arrive at the counter and send the reply to the gateway."""
+        action = call.action
 
         def answered(result: AttemptResult, total: float) -> None:
             self.figures.reply_bytes += reply_bytes(total) if result == "ok" else REJECTED_REPLY_BYTES
@@ -395,17 +407,17 @@
                 total,
             )
 
-        self.counter.call(act.name, act.amount, act.retention_ms, answered)
+        self.counter.call(action.name, action.amount, action.retention_ms, answered)
 
     def end_call(self, call: CounterCall, result: AttemptResult, total: float) -> None:
-        """What a call came to at its gateway; the first word counts."""
+        """Report a call's first result to its gateway; a total is lost while the counter is unreachable."""
         if call.done:
             return
         if result == AttemptResult.OK and call.gateway.disconnected_at is not None:
-            return  # the answer does not come through
+            return  # the reply is lost, since the counter is unreachable
         call.done = True
         if call.started_at_ms >= self.figures.since_ms:
             self.figures.counter_calls_ended += 1
             self.figures.counter_calls_answered += result == AttemptResult.OK
-        took = self.loop.now - call.started_at_ms
-        self.handle(call.gateway, api.CounterReply(call.action.name, result, total, took))
+        latency_ms = self.loop.now - call.started_at_ms
+        self.handle(call.gateway, api.CounterReply(call.action.name, result, total, latency_ms))
--- a/hillmux/lab/virtual/counting_checks.py
+++ b/hillmux/lab/virtual/counting_checks.py
@@ -1,7 +1,7 @@
-"""What must hold in each gateway of `hillmux.lab.virtual.counting` after each of its events.
+"""Invariants of each gateway of `hillmux.lab.virtual.counting`, checked after each event.
 
-For `CountingFleet(inspect=...)`. Bounds are those of `hillmux.quotas.lease`: requests are of one unit, and
-every call that is answered is followed by the next if one is due.
+Pass `check_leases` as `CountingFleet(inspect=...)`. The bounds are those of `hillmux.quotas.lease` for
+requests of one unit, where each answered call is followed at once by the next one if that is due.
 """
 
 from __future__ import annotations
@@ -13,51 +13,50 @@
 from hillmux.quotas import batches, lease
 from hillmux.quotas.state import QuotaState
 
-REQUEST_UNITS: Final = 1.0  # of each request
-ROUNDING_UNITS: Final = 1e-6
-AMOUNTS: Final = ("reported", "used", "remaining", "upper_bound", "others_rate", "last_total_level")
+REQUEST_UNITS: Final = 1.0  # units of each request
+ROUNDING_UNITS: Final = 1e-6  # tolerance for rounding errors
+CHECKED_FIELDS: Final = ("reported", "used", "remaining", "upper_bound", "others_rate", "last_total_level")
 
 
 class BrokenInvariantError(AssertionError):
-    """What does not hold at a gateway; the text names it and the customer."""
+    """An invariant is broken; the message names the gateway and the customer."""
 
 
 def check_leases(gateway: CountingGateway) -> None:
-    """Check every customer's state at a gateway.
+    """Check a gateway's state of every customer.
 
     Raises:
-        BrokenInvariantError: an amount that is no finite number; a lease, or use that was not reported,
-            beyond its bound.
+        BrokenInvariantError: An amount is not finite, or a lease or the unreported use exceeds its bound.
     """
     quotas = gateway.gateway.quotas
-    answered = quotas.throttle.answer_rate == 1.0
+    all_calls_answered = quotas.throttle.answer_rate == 1.0
     for state in quotas.registry.states.values():
         _check_finite(gateway, state)
         _check_lease(gateway, state)
-        if answered and state.lease_confirmed and not state.call_open:
+        if all_calls_answered and state.lease_confirmed and not state.call_open:
             _check_unreported(gateway, state, quotas.now)
 
 
 def _check_finite(gateway: CountingGateway, state: QuotaState) -> None:
-    for name in AMOUNTS:
+    for name in CHECKED_FIELDS:
         if not math.isfinite(getattr(state, name)):
-            raise _broken(gateway, state, f"{name}: {getattr(state, name)!r}")
+            raise _broken_invariant(gateway, state, f"{name}: {getattr(state, name)!r}")
 
 
 def _check_lease(gateway: CountingGateway, state: QuotaState) -> None:
-    held = lease.available(state)
-    most = REQUEST_UNITS + state.plan.burst / batches.divisor(state.replicas)
-    if not 0 <= held <= most + ROUNDING_UNITS:
-        raise _broken(gateway, state, f"lease of {held:g} units, at most {most:g}")
+    leased = lease.available(state)
+    max_units = REQUEST_UNITS + state.plan.burst / batches.divisor(state.replicas)
+    if not 0 <= leased <= max_units + ROUNDING_UNITS:
+        raise _broken_invariant(gateway, state, f"lease of {leased:g} units, at most {max_units:g}")
 
 
 def _check_unreported(gateway: CountingGateway, state: QuotaState, now: float) -> None:
     unreported = state.used - state.reported
-    share = state.share_rate * max(now - state.called_at, 0.0)
-    most = share + state.plan.burst / batches.divisor(state.replicas) + REQUEST_UNITS
-    if unreported > most + ROUNDING_UNITS:
-        raise _broken(gateway, state, f"{unreported:g} units unreported, at most {most:g}")
+    earned = state.share_rate * max(now - state.called_at, 0.0)
+    max_units = earned + state.plan.burst / batches.divisor(state.replicas) + REQUEST_UNITS
+    if unreported > max_units + ROUNDING_UNITS:
+        raise _broken_invariant(gateway, state, f"{unreported:g} units unreported, at most {max_units:g}")
 
 
-def _broken(gateway: CountingGateway, state: QuotaState, what: str) -> BrokenInvariantError:
-    return BrokenInvariantError(f"gateway {gateway.number}, customer {state.key[0]}: {what}")
+def _broken_invariant(gateway: CountingGateway, state: QuotaState, problem: str) -> BrokenInvariantError:
+    return BrokenInvariantError(f"gateway {gateway.number}, customer {state.key[0]}: {problem}")
--- a/hillmux/lab/virtual/counting_faults.py
+++ b/hillmux/lab/virtual/counting_faults.py
@@ -1,6 +1,6 @@
-"""Faults for many gateways on one counter (`hillmux.lab.virtual.counting`).
+"""Faults for many gateways that share one counter (`hillmux.lab.virtual.counting`).
 
-Times in milliseconds since the start of the scenario.
+Times are in milliseconds; `at_ms` is the time since the start of the scenario.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
     CountingScenario,
 )
 
-ROLLBACK_MS: Final = 10_000.0
+ROLLBACK_MS: Final = 10_000.0  # age of the copy from which the counter is restored
 
 
 class CallFailure(Enum):
     """How calls to the counter fail."""
 
-    CUT_ADDED = "cut_added"  # the connection broke after the counter had added
-    CUT_NOT_ADDED = "cut_not_added"
-    LOST = "lost"  # silence, nothing added
-    LATE = "late"  # arrives, and is added, after the gateway has given up
+    CUT_ADDED = "cut_added"  # the connection is lost after the counter added the amount
+    CUT_NOT_ADDED = "cut_not_added"  # the connection is lost before the call reaches the counter
+    LOST = "lost"  # the call times out, and nothing is added
+    LATE = "late"  # the call reaches the counter, which adds the amount, only after the time-out
 
 
 @dataclass(slots=True, frozen=True)
 class Kill:
-    """A gateway is killed, and started from nothing some time later."""
+    """A gateway is killed, and started without any state after `down_ms`."""
 
     at_ms: float
     gateway: int
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CounterUnreachable:
-    """A gateway does not reach the counter for a time."""
+    """A gateway can't reach the counter for `length_ms`."""
 
     at_ms: float
     gateway: int
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FailingCalls:
-    """For a time a share of all calls ends badly."""
+    """A random share of all gateways' calls fails for `length_ms`."""
 
     at_ms: float
     length_ms: float
@@ -62,14 +62,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CounterReset:
-    """The counter is restarted and has lost all counts."""
+    """The counter is restarted without its counts."""
 
     at_ms: float
 
 
 @dataclass(slots=True, frozen=True)
 class CounterRolledBack:
-    """The counter is restarted with what it held some time ago, or at the start if that is later."""
+    """The counter is restarted with its counts of `age_ms` ago, at the earliest of the scenario's start."""
 
     at_ms: float
     age_ms: float = ROLLBACK_MS
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClockJump:
-    """A gateway's clock jumps forwards. A clock that is off from the start: `at_ms` 0, and either way."""
+    """A gateway's clock jumps forwards; with `at_ms` 0 it has an offset of either sign from the start."""
 
     at_ms: float
     gateway: int
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TrafficMoved:
-    """All requests of a customer come to one gateway of its set from now on; None: to all again."""
+    """All requests of a customer go to one gateway of its set from now on; with None to all of them again."""
 
     at_ms: float
     customer: int
@@ -97,10 +97,10 @@
 
 
 class FaultyFleet(CountingFleet):
-    """A fleet that suffers faults at their times.
+    """A fleet with scheduled faults.
 
     Raises:
-        ValueError: a clock that would run backwards.
+        ValueError: A fault would set a clock back after the start.
     """
 
     def __init__(
@@ -112,46 +112,46 @@
     ) -> None:
         super().__init__(scenario, inspect, check)
         self.enable_counter_timeouts()
-        self.call_interceptor = self._spoil
-        self._bad_calls: list[FailingCalls] = []
-        self._cut_off_until: dict[int, float] = {}  # by gateway
-        self._luck = Stream(scenario.seed, "bad calls")
+        self.call_interceptor = self._fail_if_drawn
+        self._failing_calls: list[FailingCalls] = []
+        self._unreachable_until: dict[int, float] = {}  # virtual time by gateway number
+        self._draws = Stream(scenario.seed, "bad calls")
         for fault in faults:
-            self._plan_fault(fault)
+            self._schedule_fault(fault)
 
-    def _plan_fault(self, fault: Fault) -> None:
+    def _schedule_fault(self, fault: Fault) -> None:
         if isinstance(fault, ClockJump) and fault.at_ms <= 0:
-            self._clock_off(fault)
+            self._set_clock_offset(fault)
             return
         if isinstance(fault, ClockJump) and fault.by_ms < 0:
             raise ValueError(f"by_ms: found {fault.by_ms:g}, allowed 0 or more after the start")
         if isinstance(fault, CounterRolledBack):
             self.loop.at(START_TIME_MS + max(fault.at_ms - fault.age_ms, 0.0), self._copy_counter, fault)
             return
-        self.loop.at(START_TIME_MS + fault.at_ms, self._suffer, fault)
+        self.loop.at(START_TIME_MS + fault.at_ms, self._apply_fault, fault)
 
-    def _clock_off(self, fault: ClockJump) -> None:
-        """A gateway's clock is off from its start: its module begins anew and sees no other time."""
+    def _set_clock_offset(self, fault: ClockJump) -> None:
+        """Set a gateway's clock offset and start it again, so that its module never sees another clock."""
         self.gateways[fault.gateway].clock_offset_ms = fault.by_ms
         self.start(fault.gateway)
 
     def _copy_counter(self, fault: CounterRolledBack) -> None:
         self.loop.at(START_TIME_MS + fault.at_ms, self._restart_counter, self.counter.copy())
 
-    def _restart_counter(self, known: list[dict[str, tuple[float, float]]] | None) -> None:
+    def _restart_counter(self, totals: list[dict[str, tuple[float, float]]] | None) -> None:
         self.counter.stop()
-        self.counter.start(known)
+        self.counter.start(totals)
 
-    def _suffer(self, fault: Fault) -> None:
+    def _apply_fault(self, fault: Fault) -> None:
         match fault:
             case Kill():
                 self.kill(fault.gateway)
                 self.loop.after(fault.down_ms, self.start, fault.gateway)
             case CounterUnreachable():
-                self._cut_off(fault)
+                self._disconnect_counter(fault)
             case FailingCalls():
-                self._bad_calls.append(fault)
-                self.loop.after(fault.length_ms, self._bad_calls.remove, fault)
+                self._failing_calls.append(fault)
+                self.loop.after(fault.length_ms, self._failing_calls.remove, fault)
             case CounterReset():
                 self._restart_counter(None)
             case ClockJump():
@@ -159,35 +159,37 @@
             case TrafficMoved():
                 self.customers[fault.customer].only_gateway = fault.gateway
 
-    def _cut_off(self, fault: CounterUnreachable) -> None:
+    def _disconnect_counter(self, fault: CounterUnreachable) -> None:
         gateway, until = self.gateways[fault.gateway], self.loop.now + fault.length_ms
         if gateway.disconnected_at is None:
             gateway.disconnected_at = self.loop.now
-        self._cut_off_until[fault.gateway] = max(until, self._cut_off_until.get(fault.gateway, until))
-        self.loop.at(until, self._reach_again, fault.gateway)
+        self._unreachable_until[fault.gateway] = max(until, self._unreachable_until.get(fault.gateway, until))
+        self.loop.at(until, self._reconnect_counter, fault.gateway)
 
-    def _reach_again(self, number: int) -> None:
-        if self.loop.now >= self._cut_off_until[number]:
+    def _reconnect_counter(self, number: int) -> None:
+        if self.loop.now >= self._unreachable_until[number]:
             self.gateways[number].disconnected_at = None
 
-    def _spoil(self, call: CounterCall) -> bool:
-        """Let a call end badly, if it is one of a share that does."""
-        for fault in self._bad_calls:
-            if self._luck.uniform() < fault.share:
-                self._end_badly(call, fault.failure)
+    def _fail_if_drawn(self, call: CounterCall) -> bool:
+        """Draw whether a call fails, and return True if it does."""
+        for fault in self._failing_calls:
+            if self._draws.uniform() < fault.share:
+                self._fail_call(call, fault.failure)
                 return True
         return False
 
-    def _end_badly(self, call: CounterCall, end: CallFailure) -> None:
-        way = self.draw_counter_delay_ms()
-        if end is CallFailure.LATE:
-            self.loop.after(way + self.scenario.counter_timeout_ms, self.deliver_call, call)
-        elif end is CallFailure.CUT_ADDED:
-            act = call.action
-            self.loop.after(way, self.counter.call, act.name, act.amount, act.retention_ms, _unheard)
-        if end in (CallFailure.CUT_ADDED, CallFailure.CUT_NOT_ADDED):
-            self.loop.after(2 * way, self.end_call, call, AttemptResult.CONNECTION_LOST, 0.0)
-
-
-def _unheard(result: AttemptResult, total: float) -> None:
-    """An answer on a connection that is gone."""
+    def _fail_call(self, call: CounterCall, failure: CallFailure) -> None:
+        delay_ms = self.draw_counter_delay_ms()
+        if failure is CallFailure.LATE:
+            self.loop.after(delay_ms + self.scenario.counter_timeout_ms, self.deliver_call, call)
+        elif failure is CallFailure.CUT_ADDED:
+            action = call.action
+            self.loop.after(
+                delay_ms, self.counter.call, action.name, action.amount, action.retention_ms, _discard_reply
+            )
+        if failure in (CallFailure.CUT_ADDED, CallFailure.CUT_NOT_ADDED):
+            self.loop.after(2 * delay_ms, self.end_call, call, AttemptResult.CONNECTION_LOST, 0.0)
+
+
+def _discard_reply(result: AttemptResult, total: float) -> None:
+    """Discard a reply on a connection that is lost."""
--- a/hillmux/lab/virtual/counting_schedules.py
+++ b/hillmux/lab/virtual/counting_schedules.py
@@ -1,7 +1,7 @@
-"""Short schedules of faults for gateways that share quotas, drawn from seeds, and what they come to.
+"""Random schedules of faults for gateways that share quotas, and statistics of their results.
 
-A schedule has a few customers, 3 to 24 gateways, up to six faults and 20 to 40 seconds. The same seed draws
-and plays the same schedule each time.
+A schedule has 2 to 5 customers, 3 to 24 gateways, up to six faults, and lasts 20 to 40 seconds. The same seed
+gives the same schedule and the same result.
 """
 
 from __future__ import annotations
@@ -35,18 +35,18 @@
 MIN_CUSTOMERS, MAX_CUSTOMERS = 2, 5
 MIN_LENGTH_S, MAX_LENGTH_S = 20.0, 40.0
 MAX_FAULTS: Final = 6
-LOADS: Final = (0.5, 0.9, 1.5, 3.5)  # what customers ask, in their rates
-MIN_RATE, MAX_RATE = 1.0, 3.0
-MIN_BURST_S, MAX_BURST_S = 1.0, 5.0  # in seconds of the rate
-LIMITED_SHARE: Final = 0.25  # of schedules with a counter that takes only so many calls a second:
-MIN_CALLS_PER_S, MAX_CALLS_PER_S = 20.0, 300.0
-LONG_DISCONNECTION_MS: Final = 60_000.0  # to beyond the schedule's end
-CLOCK_OFFSET_MS: Final = 5_000.0
+LOADS: Final = (0.5, 0.9, 1.5, 3.5)  # requests as multiples of the customer's rate
+MIN_RATE, MAX_RATE = 1.0, 3.0  # units per second
+MIN_BURST_S, MAX_BURST_S = 1.0, 5.0  # burst divided by rate
+LIMITED_SHARE: Final = 0.25  # share of schedules whose counter has a limited capacity
+MIN_CALLS_PER_S, MAX_CALLS_PER_S = 20.0, 300.0  # capacity of such a counter
+LONG_DISCONNECTION_MS: Final = 60_000.0  # longer than any schedule
+CLOCK_OFFSET_MS: Final = 5_000.0  # clock offset from the start, of either sign
 
 
 @dataclass(slots=True, frozen=True)
 class Schedule:
-    """A scenario, its faults and its length."""
+    """A scenario with its faults and its length in virtual time."""
 
     scenario: CountingScenario
     faults: tuple[Fault, ...]
@@ -54,7 +54,7 @@
 
 
 def draw_schedule(seed: int) -> Schedule:
-    """The schedule of a seed."""
+    """Draw the schedule of a seed."""
     draw = generator(seed, "schedule")
     gateways = int(draw.integers(MIN_GATEWAYS, MAX_GATEWAYS + 1))
     rate = float(draw.uniform(MIN_RATE, MAX_RATE))
@@ -87,9 +87,9 @@
             length_ms = LONG_DISCONNECTION_MS if draw.random() < 0.3 else float(draw.uniform(100.0, 10_000.0))
             return CounterUnreachable(at_ms, gateway, length_ms)
         case 2:
-            end = list(CallFailure)[int(draw.integers(len(CallFailure)))]
+            failure = list(CallFailure)[int(draw.integers(len(CallFailure)))]
             return FailingCalls(
-                at_ms, float(draw.uniform(500.0, 10_000.0)), float(draw.uniform(0.05, 1.0)), end
+                at_ms, float(draw.uniform(500.0, 10_000.0)), float(draw.uniform(0.05, 1.0)), failure
             )
         case 3:
             return CounterReset(at_ms)
@@ -101,40 +101,40 @@
             return ClockJump(0.0, gateway, CLOCK_OFFSET_MS if draw.random() < 0.5 else -CLOCK_OFFSET_MS)
         case _:
             customer = int(draw.integers(scenario.customers))
-            place = int(draw.integers(scenario.replicas))
-            return TrafficMoved(at_ms, customer, (customer + place) % scenario.gateways)
+            index = int(draw.integers(scenario.replicas))
+            return TrafficMoved(at_ms, customer, (customer + index) % scenario.gateways)
 
 
 @dataclass(slots=True, frozen=True)
 class ScheduleResult:
-    """What one schedule came to; units by customer."""
+    """The result of one schedule."""
 
     seed: int
     requests: int
-    rejected_with_half_burst: int  # the true store held half a burst or more
-    units_beyond_quota: tuple[float, ...]  # units beyond the quota
-    burst: float
-    refilled_units: float  # rate x time
+    rejected_with_half_burst: int  # while the reference bucket held half a burst or more
+    units_beyond_quota: tuple[float, ...]  # by customer
+    burst: float  # of each customer's plan, in units
+    refilled_units: float  # rate of each customer's plan, times the length of the schedule
     counter_calls: int = 0
     rejected_by_quota: int = 0
-    stranded: float = 0.0  # bursts in leases of others, summed over refusals by quota
-    max_stranded: float = 0.0  # the same at one refusal
-    failure: str = ""  # what the inspection, or the program, raised
+    stranded: float = 0.0  # share of the burst leased by other gateways, summed over rejections by quota
+    max_stranded: float = 0.0  # largest such share at one rejection
+    failure: str = ""  # type and message of the exception that ended the schedule, if any
 
     @property
     def max_share_of_burst(self) -> float:
-        """Units beyond the quota of the worst customer, as a share of the burst."""
+        """Units beyond the quota of the customer with most of them, as a share of the burst."""
         return max(self.units_beyond_quota) / self.burst
 
     @property
     def max_share_of_refill(self) -> float:
-        """The same as a share of rate x time."""
+        """Units beyond the quota of the customer with most of them, as a share of rate x time."""
         return max(self.units_beyond_quota) / self.refilled_units
 
 
 @dataclass(slots=True, frozen=True)
 class Distribution:
-    """A distribution over schedules, or over customers of schedules."""
+    """Mean, 99th percentile and maximum over schedules, or over customers of schedules."""
 
     mean: float
     p99: float
@@ -142,60 +142,60 @@
 
     @classmethod
     def of(cls, values: Iterable[float]) -> Distribution:
-        """Of some values, one or more."""
-        found = np.fromiter(values, float)
-        return cls(float(found.mean()), float(np.quantile(found, 0.99)), float(found.max()))
+        """Return the distribution of the values, of which there must be one or more."""
+        array = np.fromiter(values, float)
+        return cls(float(array.mean()), float(np.quantile(array, 0.99)), float(array.max()))
 
 
 @dataclass(slots=True, frozen=True)
 class ScheduleSummary:
-    """What many schedules came to."""
+    """The results of many schedules."""
 
     results: tuple[ScheduleResult, ...]
 
     @property
     def failures(self) -> dict[int, str]:
-        """What was raised, by the seed that plays it again."""
-        return {one.seed: one.failure for one in self.results if one.failure}
+        """The exceptions that ended schedules, by seed."""
+        return {result.seed: result.failure for result in self.results if result.failure}
 
     @property
     def units_beyond_quota(self) -> Distribution:
         """Units beyond the quota, over customers."""
-        return Distribution.of(units for one in self.results for units in one.units_beyond_quota)
+        return Distribution.of(units for result in self.results for units in result.units_beyond_quota)
 
     @property
     def beyond_quota_of_burst(self) -> Distribution:
-        """Units beyond the quota of a schedule's worst customer, as a share of its burst."""
-        return Distribution.of(one.max_share_of_burst for one in self.results)
+        """Each schedule's `max_share_of_burst`."""
+        return Distribution.of(result.max_share_of_burst for result in self.results)
 
     @property
     def beyond_quota_of_refill(self) -> Distribution:
-        """The same as a share of rate x time."""
-        return Distribution.of(one.max_share_of_refill for one in self.results)
+        """Each schedule's `max_share_of_refill`."""
+        return Distribution.of(result.max_share_of_refill for result in self.results)
 
     @property
     def rejected_with_half_burst_share(self) -> float:
-        """Requests refused while the true store held half a burst or more, as a share of all."""
-        requests = sum(one.requests for one in self.results)
-        return sum(one.rejected_with_half_burst for one in self.results) / max(requests, 1)
+        """Share of requests rejected while the reference bucket held half a burst or more."""
+        requests = sum(result.requests for result in self.results)
+        return sum(result.rejected_with_half_burst for result in self.results) / max(requests, 1)
 
     @property
     def calls_per_request(self) -> float:
-        """Calls to the counter."""
-        return sum(one.counter_calls for one in self.results) / max(
-            sum(one.requests for one in self.results), 1
+        """Calls to the counter per request."""
+        return sum(result.counter_calls for result in self.results) / max(
+            sum(result.requests for result in self.results), 1
         )
 
     @property
     def stranded_mean(self) -> float:
-        """Bursts in leases of other gateways, the mean over refusals by quota."""
-        refusals = sum(one.rejected_by_quota for one in self.results)
-        return sum(one.stranded for one in self.results) / max(refusals, 1)
+        """Share of the burst leased by other gateways, averaged over rejections by quota."""
+        rejections = sum(result.rejected_by_quota for result in self.results)
+        return sum(result.stranded for result in self.results) / max(rejections, 1)
 
     @property
     def max_stranded(self) -> float:
-        """The same at the worst refusal."""
-        return max(one.max_stranded for one in self.results)
+        """Largest share of the burst leased by other gateways at a rejection by quota."""
+        return max(result.max_stranded for result in self.results)
 
 
 def play_schedule(
@@ -203,7 +203,7 @@
     inspect: Callable[[CountingGateway], None] | None = None,
     check: Callable[[CountingFleet], None] | None = None,
 ) -> ScheduleResult:
-    """Play the schedule of a seed; it ends early where `inspect`, `check` or the program raises."""
+    """Run the schedule of a seed; an exception from `inspect`, `check` or the simulation ends it early."""
     schedule = draw_schedule(seed)
     scenario, failure = schedule.scenario, ""
     fleet = FaultyFleet(scenario, schedule.faults, inspect, check)
@@ -211,7 +211,7 @@
     fleet.rejection_observer = stranded.record_rejection
     try:
         fleet.run(schedule.length_s)
-    except Exception as error:  # whatever it is, its seed is to be known
+    except Exception as error:  # any exception is reported with its seed
         failure = f"{type(error).__name__}: {error}"
     return ScheduleResult(
         seed=seed,
@@ -234,10 +234,10 @@
     inspect: Callable[[CountingGateway], None] | None = None,
     check: Callable[[CountingFleet], None] | None = None,
 ) -> ScheduleSummary:
-    """Play the schedules of so many seeds in a row.
+    """Run the schedules of `count` consecutive seeds.
 
     Raises:
-        ValueError: none, or more than `MOST_SCHEDULES`.
+        ValueError: `count` is 0, negative or above `MAX_SCHEDULES`.
     """
     if not 1 <= count <= MAX_SCHEDULES:
         raise ValueError(f"count: found {count}, allowed 1 to {MAX_SCHEDULES}")
