--- a/hillmux/lab/virtual/__init__.py
+++ b/hillmux/lab/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""The lab in virtual time: the decision modules on a deterministic loop, with modelled hosts and network."""
+"""The lab in virtual time: decision modules on a deterministic loop, with models of hosts and network."""
--- a/hillmux/lab/virtual/clients.py
+++ b/hillmux/lab/virtual/clients.py
@@ -1,4 +1,4 @@
-"""Clients in virtual time: planned requests are sent at their times, and retried as clients would."""
+"""Clients in virtual time, which send planned requests at their times and retry failed ones."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from hillmux.lab.virtual.loop import VirtualLoop
 from hillmux.lab.virtual.model import START_MS, SimulationFigures, SimulationModel
 
-OTHER_GATEWAY_SHARE: Final = 0.3  # of retries that go to another gateway
+OTHER_GATEWAY_SHARE: Final = 0.3  # share of retries that go to another gateway
 
 
 class GatewayFleet(Protocol):
-    """What clients see of the gateways."""
+    """The gateways as clients see them."""
 
     gateways: list[SimulatedGateway]  # by number
-    note: Note | None  # where events are recorded; None: nowhere
+    note: Note | None  # records an event; None: nothing is recorded
     client_delay_ms: float  # one way between a client and a gateway
 
     def has_failed_over(self, number: int) -> bool:
-        """Whether requests for a dead gateway go to another one already."""
+        """Return whether requests for a dead gateway are sent to another one by now."""
 
 
 class ClientRequest:
@@ -35,11 +35,11 @@
     def __init__(self, planned: PlannedRequest, retries: int, started_at: float) -> None:
         self.planned, self.retries_left, self.started_at = planned, retries, started_at
         self.within_quota = self.done = False
-        self.record_id = ""  # where events are recorded
+        self.record_id = ""  # id in the record; empty if nothing is recorded
 
 
 class ClientAttempt:
-    """One attempt of a request at a gateway, which ends once."""
+    """One attempt of a request at a gateway; only its first result counts."""
 
     __slots__ = ("request", "gateway", "id", "sent_at", "ended")
 
@@ -71,9 +71,9 @@
     def _send_due(self) -> None:
         planned, now = self._planned, self._loop.now
         while self._next < len(planned) and START_MS + planned[self._next].at_ms <= now:
-            one = planned[self._next]
+            planned_request = planned[self._next]
             self._next += 1
-            self._start(one)
+            self._start(planned_request)
         if self._next < len(planned):
             self._loop.at(START_MS + planned[self._next].at_ms, self._send_due)
 
@@ -104,7 +104,7 @@
         self._attempt(request, planned.gateway)
 
     def _attempt(self, request: ClientRequest, number: int) -> None:
-        """Send an attempt to a gateway of this number, or to the one that took over for it."""
+        """Send an attempt to the gateway `number`, or after its failover to the next running one."""
         self._figures.attempts += 1
         gateways, customer = self._fleet.gateways, request.planned.customer
         if gateways[number].alive:
@@ -120,9 +120,9 @@
         self._loop.after(delay_ms, self.attempt_ended, request, number, ClientResult.RESET, 0.0)
 
     def _neighbour(self, customer: Customer, number: int, step: int) -> int:
-        """Another gateway of a customer, counted round its set."""
-        place = (number - customer.first_gateway) % self._model.gateways
-        return (customer.first_gateway + (place + step) % customer.replicas) % self._model.gateways
+        """Return the gateway `step` places after `number` in the customer's set, which wraps around."""
+        index = (number - customer.first_gateway) % self._model.gateways
+        return (customer.first_gateway + (index + step) % customer.replicas) % self._model.gateways
 
     def _send(self, request: ClientRequest, number: int) -> None:
         planned, customer = request.planned, request.planned.customer
@@ -217,7 +217,7 @@
             self._finish(request)
 
     def _backoff_ms(self, planned: PlannedRequest, retry_after_ms: float) -> float:
-        """Backoff after a rejection, which some clients take from Retry-After."""
+        """Return the backoff after a rejection; a share of the clients obeys Retry-After."""
         if retry_after_ms <= 0 or planned.client_draw >= self._model.retry_after_obeyed_share:
             return self._model.backoff_ms
         return max(self._model.backoff_ms, min(retry_after_ms, self._model.max_retry_after_ms))
--- a/hillmux/lab/virtual/discovery.py
+++ b/hillmux/lab/virtual/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery in virtual time: an agent beside each gateway gets list changes late and in order."""
+"""Discovery in virtual time: each gateway's agent gets changes of the endpoint list late, but in order."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
         """`on_change` is called with a gateway's number when its agent gets a change."""
         self._loop, self._stream, self._delay_ms, self._on_change = loop, stream, delay_ms, on_change
         self._lists: list[dict[str, api.Endpoint]] = [{} for _ in range(gateways)]
-        self._last_delivery_at = [START_MS] * gateways  # of changes that are on their way
+        self._last_delivery_at = [START_MS] * gateways  # of the latest published change, by gateway
 
     def add(self, endpoint: api.Endpoint) -> None:
-        """List a host that was there before the start."""
+        """Add a host to every list without notifying the gateways, for use before the start."""
         for endpoints in self._lists:
             endpoints[endpoint.name] = endpoint
 
     def endpoints(self, number: int) -> tuple[api.Endpoint, ...]:
-        """The list that a gateway's agent has now."""
+        """Return the list that a gateway's agent has now."""
         return tuple(self._lists[number].values())
 
     def publish(self, endpoint: api.Endpoint) -> None:
-        """Send a change to every agent, each with a delay of its own; none overtakes an earlier change."""
+        """Send a change to every agent, each with its own random delay, but after all earlier changes."""
         for number, last_at in enumerate(self._last_delivery_at):
             delivery_at = max(last_at, self._loop.now + self._stream.uniform(*self._delay_ms))
             self._last_delivery_at[number] = delivery_at
--- a/hillmux/lab/virtual/environment.py
+++ b/hillmux/lab/virtual/environment.py
@@ -1,4 +1,4 @@
-"""What a modelled gateway needs of the day around it: time, hosts, counter, network and what is counted."""
+"""The interface between a modelled gateway and its simulation: time, hosts, counter, network and counts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ClientResult(StrEnum):
-    """How a client's attempt ended; values are those of the lab's records."""
+    """How a client's attempt ended. The values are those of the lab's records."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -25,31 +25,31 @@
 
 
 class Environment(Protocol):
-    """The surroundings of a gateway in virtual time; all spans in ms."""
+    """The surroundings of a gateway in virtual time. Durations are in milliseconds."""
 
     loop: VirtualLoop
     hosts: dict[str, SimulatedHost]  # by name
     counter: SimulatedCounter
-    note: Note | None  # where events are recorded; None: nowhere
-    gateway_starts: int  # starts of gateways up to now, of which this one is the last
-    reject_reasons: Counter[str]  # refused requests by their cause
-    attempts: int  # that reached a host
-    connections: int
+    note: Note | None  # records an event; None: nothing is recorded
+    gateway_starts: int  # gateways started so far, including the one that is starting
+    reject_reasons: Counter[str]  # number of rejections by reason
+    attempts: int  # attempts that reached a host
+    connections: int  # connections to hosts that gateways opened or tried to open
     counter_calls: int
-    counter_calls_failed: int  # counter calls that ended without a total
+    counter_calls_failed: int  # counter calls that timed out or were rejected
     client_delay_ms: float  # one way between a client and a gateway
     counter_delay_ms: float  # one way between a gateway and the counter
-    connect_timeout_ms: float  # after which a dial that nobody takes is given up
-    idle_timeout_ms: float  # a connection to a host that stood idle for half of it is not used again
+    connect_timeout_ms: float  # time-out for connecting to an unreachable host
+    idle_timeout_ms: float  # a connection is not reused after being idle for half of this
 
     def zone_of(self, number: int) -> str:
-        """The zone of the gateway of this number."""
+        """Return the zone of the gateway with this number."""
 
     def network_delay_ms(self, a: str, b: str) -> float:
-        """The time of one message from a machine in zone `a` to one in zone `b`, drawn anew each time."""
+        """Draw the delay of one message from a machine in zone `a` to one in zone `b`."""
 
     def settings(self, number: int) -> api.Settings:
-        """The settings with which the gateway of this number starts."""
+        """Return the settings with which the gateway with this number starts."""
 
-    def request_forwarded(self, one: PlannedRequest) -> None:
-        """Take note that a try was sent on to a host for the first time."""
+    def request_forwarded(self, planned: PlannedRequest) -> None:
+        """Record that the first attempt of a request has reached a host."""
--- a/hillmux/lab/virtual/hosts.py
+++ b/hillmux/lab/virtual/hosts.py
@@ -1,4 +1,4 @@
-"""A booking node in virtual time: cores, a waiting room, warm-up, the fall of a cold one that is overrun."""
+"""A host in virtual time, with cores, a queue, a slow start, and overload while it warms up."""
 
 from __future__ import annotations
 
@@ -9,56 +9,59 @@
 from hillmux.lab.clock import Clock
 
 READY, DRAINING = "ready", "draining"
-CHANCE = 2.0  # of a cold host's budget of N requests, N + CHANCE x (root N + 1) push nobody over
+# A cold host with a budget of N requests bears N + OVERLOAD_MARGIN x (sqrt(N) + 1) of them.
+OVERLOAD_MARGIN = 2.0
 
 
 @dataclass(slots=True, frozen=True)
 class HostModel:
-    """What a booking node can do; times in milliseconds, work in milliseconds of one core at speed 1."""
+    """Capacity and slow start of a host. Work is in milliseconds of one core at speed 1."""
 
     cores: int = 3
     speed: float = 1.0
-    max_queued: int = 60  # requests that wait beside those in work; more are turned away
-    slow_start_min_share: float = 0.3  # share of its capacity at its start
-    slow_start_ms: float = 10_000.0  # warm after this
-    overload_multiple: float = 2.0
-    overload_after_ms: float = 1_500.0
-    handshake_ms: float = 1.0  # work that a new connection costs it
+    max_queued: int = 60  # requests that wait for a core; further ones are rejected with `full`
+    slow_start_min_share: float = 0.3  # share of the capacity that is available right after the start
+    slow_start_ms: float = 10_000.0  # time from the start to full capacity
+    overload_multiple: float = 2.0  # a cold host is overloaded by work beyond this multiple of its capacity
+    overload_after_ms: float = 1_500.0  # window over which that work is summed up
+    handshake_ms: float = 1.0  # work for each new connection
 
 
 class Job:
-    """One attempt at a host; `ended` is told `ok`, `full`, `draining` or `reset`."""
+    """One attempt at a host; `on_result` is called with `ok`, `full`, `draining` or `reset`."""
 
     __slots__ = ("request", "work", "on_result", "done")
 
     def __init__(self, request: str, work: float, on_result: Callable[[str], object]) -> None:
         self.request, self.work, self.on_result = request, work, on_result
-        self.done = False  # called off, or ended
+        self.done = False  # cancelled, timed out, or ended with a result
 
 
 class SimulatedHost:
-    """Serves jobs in their order, `cores` at a time. The capacity at a job's start holds for all of it."""
+    """Runs jobs in order of arrival, one per core. The speed at a job's start applies to the whole job."""
 
     def __init__(self, loop: Clock, name: str, zone: str, model: HostModel, started_ms: float = 0.0) -> None:
         self.loop, self.name, self.zone, self.model = loop, name, zone, model
         self.state = READY
         self.alive = self.reachable = True
         self.overloaded = False
-        self.slowdown = 1.0  # a trouble: this many times slower
-        self.started_ms = started_ms  # 0: long ago
+        self.slowdown = 1.0  # factor by which a fault slows the host down
+        self.started_ms = started_ms  # 0: before the simulation, so that it is warm
         self.incarnation = 0
         self.busy = 0
         self.queue: deque[Job] = deque()
         self.work_done = 0.0
-        self.connections = self.attempts = 0  # connections that came up; attempts that came
+        self.connections = self.attempts = 0  # opened connections; arrived attempts
         self._running: list[Job] = []
-        self._recent: deque[tuple[float, float]] = deque()  # work that came while cold, and when
-        self._recent_sum = 0.0
-        self._work = 0.0  # of all attempts that came
-        self.max_overload_ratio = 0.0  # the most that came in a window, as a share of what makes it fall
+        # Time and work of each arrival while cold, within the last `overload_after_ms`.
+        self._recent_work: deque[tuple[float, float]] = deque()
+        self._recent_work_sum = 0.0
+        self._total_work = 0.0  # of all attempts that arrived
+        # Largest work within a window since the start, as a share of the work that overloads the host.
+        self.max_overload_ratio = 0.0
 
     def capacity_share(self) -> float:
-        """The share of its capacity that it has now."""
+        """Return the share of the full capacity that is available now."""
         if not self.started_ms:
             return 1.0
         age = (self.loop.now - self.started_ms) / max(self.model.slow_start_ms, 1e-9)
@@ -67,85 +70,85 @@
         )
 
     def capacity(self) -> float:
-        """Work that it does in a millisecond now."""
+        """Return the work that the host can do per millisecond now."""
         return self.model.cores * self.model.speed * self.capacity_share() / self.slowdown
 
     def attempt_arrived(self, job: Job) -> None:
-        """One attempt has come whole."""
+        """Handle an attempt that has arrived completely; an overloaded host never answers it."""
         self.attempts += 1
-        self._work += job.work
-        self._push(job.work)
+        self._total_work += job.work
+        self._record_work(job.work)
         if self.state == DRAINING:
-            self._end(job, "draining")
+            self._end_job(job, "draining")
         elif self.overloaded:
-            pass  # it says nothing
+            pass  # no answer
         elif self.busy < self.model.cores:
-            self._begin(job)
+            self._start_job(job)
         elif len(self.queue) < self.model.max_queued:
             self.queue.append(job)
         else:
-            self._end(job, "full")
+            self._end_job(job, "full")
 
     def connection_opened(self) -> None:
-        """A new connection came up."""
+        """Handle a new connection."""
         self.connections += 1
-        self._push(self.model.handshake_ms)
+        self._record_work(self.model.handshake_ms)
 
     def stop(self) -> None:
-        """The process dies: what is open is reset."""
+        """Stop the process; running and queued jobs end with `reset`."""
         jobs, self._running = [*self._running, *self.queue], []
         self.queue.clear()
         self.alive, self.busy = False, 0
         self.incarnation += 1
         for job in jobs:
-            self._end(job, "reset")
+            self._end_job(job, "reset")
 
     def start(self) -> None:
-        """It is back, cold."""
+        """Start the process again, with a slow start."""
         self.alive, self.overloaded, self.state = True, False, READY
         self.started_ms = max(self.loop.now, 1e-6)
-        self._recent.clear()
-        self._recent_sum = self.max_overload_ratio = 0.0
+        self._recent_work.clear()
+        self._recent_work_sum = self.max_overload_ratio = 0.0
 
-    def _push(self, work: float) -> None:
+    def _record_work(self, work: float) -> None:
         if self.capacity_share() >= 1 or not self.alive:
             return
-        now, span = self.loop.now, self.model.overload_after_ms
-        self._recent.append((now, work))
-        self._recent_sum += work
-        while self._recent[0][0] <= now - span:
-            self._recent_sum -= self._recent.popleft()[1]
-        if not self._work:
+        now, window_ms = self.loop.now, self.model.overload_after_ms
+        self._recent_work.append((now, work))
+        self._recent_work_sum += work
+        while self._recent_work[0][0] <= now - window_ms:
+            self._recent_work_sum -= self._recent_work.popleft()[1]
+        if not self._total_work:
             return
-        # What comes beyond the budget by chance, since gateways do not draw together, pushes nobody over.
-        mean = self._work / self.attempts
-        budget = self.model.overload_multiple * self.capacity() * span / mean
-        push = self._recent_sum / mean / (budget + CHANCE * budget**0.5 + CHANCE)
-        self.max_overload_ratio = max(self.max_overload_ratio, push)
-        if push > 1 and len(self._recent) > 2:  # one or two large requests alone push nobody over
+        # Gateways choose hosts independently, so arrivals may exceed the budget by chance: hence the margin.
+        mean = self._total_work / self.attempts
+        budget = self.model.overload_multiple * self.capacity() * window_ms / mean
+        ratio = self._recent_work_sum / mean / (budget + OVERLOAD_MARGIN * budget**0.5 + OVERLOAD_MARGIN)
+        self.max_overload_ratio = max(self.max_overload_ratio, ratio)
+        if ratio > 1 and len(self._recent_work) > 2:  # one or two large requests never overload a host
             self.overloaded = True
 
-    def _begin(self, job: Job) -> None:
+    def _start_job(self, job: Job) -> None:
         self.busy += 1
         self._running.append(job)
-        took = job.work * self.slowdown / (self.model.speed * self.capacity_share())
-        self.loop.after(took, self._done, job, self.incarnation)
+        duration_ms = job.work * self.slowdown / (self.model.speed * self.capacity_share())
+        self.loop.after(duration_ms, self._job_finished, job, self.incarnation)
 
-    def _done(self, job: Job, incarnation: int) -> None:
+    def _job_finished(self, job: Job, incarnation: int) -> None:
         if incarnation != self.incarnation:
             return
         self.busy -= 1
         self._running.remove(job)
         self.work_done += job.work
         if not self.overloaded:
-            self._end(job, "ok")
+            self._end_job(job, "ok")
         while self.queue and self.busy < self.model.cores and not self.overloaded:
             waiting = self.queue.popleft()
             if not waiting.done:
-                self._begin(waiting)
+                self._start_job(waiting)
 
     @staticmethod
-    def _end(job: Job, result: str) -> None:
+    def _end_job(job: Job, result: str) -> None:
         if not job.done:
             job.done = True
             job.on_result(result)
--- a/hillmux/lab/virtual/ledger.py
+++ b/hillmux/lab/virtual/ledger.py
@@ -1,4 +1,7 @@
-"""True quotas and ceilings of all customers, which no gateway sees: what a simulation judges by."""
+"""Reference token buckets of all customers' quotas and ceilings, from which figures are computed.
+
+No gateway sees them.
+"""
 
 from __future__ import annotations
 
@@ -9,12 +12,12 @@
 
 
 def value(planned: PlannedRequest) -> float:
-    """What answering a request in time is worth."""
+    """Return the value of answering a request in time: priority weights of class and plan, times units."""
     return planned.request_class.worth * planned.customer.plan.worth * planned.units
 
 
 class QuotaLedger:
-    """Token buckets of each customer: what was offered, what was forwarded, and the ceiling."""
+    """Token buckets of each customer for offered requests, forwarded requests, and the ceiling."""
 
     def __init__(self, loop: VirtualLoop, figures: SimulationFigures) -> None:
         self._loop, self._figures = loop, figures
@@ -23,7 +26,10 @@
         self._ceilings: dict[str, TokenBucket] = {}
 
     def offer(self, planned: PlannedRequest) -> bool:
-        """Whether a request is within the quota, had all earlier ones within it been served."""
+        """Take the units of an offered request; return whether it is within the quota.
+
+        All earlier requests that were within the quota count as served.
+        """
         customer = planned.customer
         bucket = self._offered.get(customer.name)
         if bucket is None:
@@ -36,12 +42,12 @@
         return True
 
     def has_half_burst(self, customer: Customer) -> bool:
-        """Whether at least half of a customer's burst is unused."""
+        """Return whether at least half of a customer's burst is unused."""
         bucket = self._quota(customer)
         return bucket.refill(self._loop.now) >= bucket.burst / 2
 
     def forward(self, planned: PlannedRequest) -> None:
-        """Take the units of a forwarded request."""
+        """Take the units of a forwarded request, and record those beyond the quota and the lowest ceiling."""
         bucket, figures = self._quota(planned.customer), self._figures
         figures.units_forwarded += planned.units
         if bucket.refill(self._loop.now) >= planned.units:
--- a/hillmux/lab/virtual/loop.py
+++ b/hillmux/lab/virtual/loop.py
@@ -1,4 +1,4 @@
-"""Virtual time: what is due next, in an order that depends on nothing but times and the order of asking."""
+"""Event loop in virtual time. The order of calls depends only on their times and the order of scheduling."""
 
 from __future__ import annotations
 
@@ -8,25 +8,30 @@
 
 
 class VirtualLoop:
-    """Calls what is due, in milliseconds of its own clock; ties go to what was asked for first."""
+    """Runs scheduled calls in order of time, and calls of the same time in order of scheduling.
+
+    Attributes:
+        now: Virtual time in milliseconds.
+        calls: Number of calls made.
+    """
 
     def __init__(self, start_ms: float = 0.0) -> None:
         self.now = start_ms
         self.calls = 0
         self._due: list[tuple[float, int, Callable[..., object], tuple[Any, ...]]] = []
-        self._serial = 0
+        self._scheduled = 0
 
     def at(self, when_ms: float, call: Callable[..., object], *args: Any) -> None:
-        """Call at a time, or now if that has passed."""
-        self._serial += 1
-        heappush(self._due, (max(when_ms, self.now), self._serial, call, args))
+        """Schedule a call at a time, or immediately if that time has passed."""
+        self._scheduled += 1
+        heappush(self._due, (max(when_ms, self.now), self._scheduled, call, args))
 
     def after(self, in_ms: float, call: Callable[..., object], *args: Any) -> None:
-        """Call after a time."""
+        """Schedule a call after `in_ms` milliseconds."""
         self.at(self.now + in_ms, call, *args)
 
     def run(self, until_ms: float) -> None:
-        """Go on to a time."""
+        """Make all calls that are due until a time, and advance the clock to it."""
         due = self._due
         while due and due[0][0] <= until_ms:
             when, _, call, args = heappop(due)
--- a/hillmux/lab/virtual/play.py
+++ b/hillmux/lab/virtual/play.py
@@ -1,7 +1,7 @@
-"""A scenario in virtual time: the same file, seed, traffic and strikes, with modelled sockets.
+"""Runs a scenario in virtual time, with the file, seed, traffic and fault schedule of a run on real sockets.
 
-What virtual time has no model of is named by `not_modelled` and left out of the day: signals but for kill,
-term and start, faults of single links, a second counter, silence of discovery.
+Faults without a model in virtual time are skipped, and `not_modelled` lists them: signals other than kill,
+term and start, faults of single links, a second counter, and discovery that doesn't answer.
 """
 
 from __future__ import annotations
@@ -16,89 +16,97 @@
 from hillmux.lab.virtual.model import START_MS, SimulationFigures, SimulationModel
 from hillmux.lab.virtual.simulation import Simulation
 
-MODELLED = frozenset((
+MODELLED_FAULTS = frozenset((
     "kill", "term", "start", "crash", "restart", "drain", "remove", "ready", "slow", "well",
     "counter_stop", "counter_keep", "counter_start",
 ))  # fmt: skip
 __all__ = ["START_MS", "judged", "not_modelled", "play", "world"]
-OVER_S = 12.0  # what is under way at the end of the traffic ends in it
+TAIL_S = 12.0  # time after the end of the traffic in which open requests end
 
 
 def not_modelled(scenario: Scenario) -> list[str]:
-    """Kinds of faults in a scenario that virtual time leaves out."""
-    return sorted({f.what for f in scenario.faults} - MODELLED)
+    """Return the kinds of faults in a scenario that are skipped in virtual time, in alphabetical order."""
+    return sorted({f.what for f in scenario.faults} - MODELLED_FAULTS)
 
 
 def world(scenario: Scenario) -> Simulation:
-    """A scenario's day, at its start."""
+    """Return the simulation of a scenario, at its start."""
     fleet, traffic = scenario.fleet, scenario.traffic
-    day = SimulationModel(
+    model = SimulationModel(
         fleet.gateways, fleet.hosts, traffic.model(scenario.length_s), fleet.zones,
         HostModel(fleet.cores, 1.0, 60, fleet.cold_from, fleet.cold_ms, fleet.fall_multiple, fleet.fall_ms),
         CounterModel(fleet.counter_per_s, fleet.counter_parts, 2 * fleet.counter_wait_ms),
         counter_timeout_ms=3 * fleet.counter_wait_ms, retries=traffic.retries, backoff_ms=traffic.backoff_ms,
         retry_after_obeyed_share=traffic.honour, failover_delay_ms=fleet.notice_ms,
         discovery_delay_ms=fleet.list_late_ms)  # fmt: skip
-    return Simulation(day, scenario.seed)
+    return Simulation(model, scenario.seed)
 
 
 def play(scenario: Scenario, events: list[Event] | None = None) -> tuple[Simulation, SimulationFigures]:
-    """Play it to its end, its events into a list; two plays of a seed are the same to the last byte."""
-    played = world(scenario)
+    """Run a scenario to its end.
+
+    Args:
+        scenario: The scenario. Two runs with the same seed record the same events, byte for byte.
+        events: A list to which events are appended, or None to record nothing.
+
+    Returns:
+        The simulation at its end, and its figures.
+    """
+    simulation = world(scenario)
     if events is not None:
-        keep = events
+        recorded = events
 
         def note(who: str, ev: str, **fields: Any) -> None:
-            keep.append({"t": played.loop.now, "who": who, "ev": ev, **fields})
+            recorded.append({"t": simulation.loop.now, "who": who, "ev": ev, **fields})
 
-        played.note = note
-    kept = played.counter.copy()
+        simulation.note = note
+    saved_totals = simulation.counter.copy()
     for strike in schedule(scenario):
-        played.run(strike.at_ms / 1000)
-        if events is not None and strike.fault.what in MODELLED:
-            played.note("lab", "fault", what=strike.fault.what, target=strike.target)  # type: ignore[misc]
+        simulation.run(strike.at_ms / 1000)
+        if events is not None and strike.fault.what in MODELLED_FAULTS:
+            simulation.note("lab", "fault", what=strike.fault.what, target=strike.target)  # type: ignore[misc]
         if strike.fault.what == "counter_keep":
-            kept = played.counter.copy()
+            saved_totals = simulation.counter.copy()
         elif strike.fault.what == "counter_start":
-            known = {"all": played.counter.copy(), "old": kept}.get(strike.fault.how)
-            played.counter.start(known)
-        elif strike.fault.what in MODELLED:
-            _strike(played, strike)
-    return played, played.run(scenario.length_s + OVER_S)
+            totals = {"all": simulation.counter.copy(), "old": saved_totals}.get(strike.fault.how)
+            simulation.counter.start(totals)
+        elif strike.fault.what in MODELLED_FAULTS:
+            _apply_fault(simulation, strike)
+    return simulation, simulation.run(scenario.length_s + TAIL_S)
 
 
 def judged(scenario: Scenario) -> tuple[list[checks.Verdict], measures.Figures]:
-    """Play it, and judge the record as that of a run of real processes is judged."""
+    """Run a scenario, and check and measure its record as that of a run of real processes."""
     events: list[Event] = []
     play(scenario, events)
-    given = terms(scenario)
+    rule_terms = terms(scenario)
     return (
-        rules.judge(events, given, scenario.hold.rules),
-        measures.measure(events, START_MS, scenario.length_s, given),
+        rules.judge(events, rule_terms, scenario.hold.rules),
+        measures.measure(events, START_MS, scenario.length_s, rule_terms),
     )
 
 
-def _strike(played: Simulation, strike: Strike) -> None:
+def _apply_fault(simulation: Simulation, strike: Strike) -> None:
     what, target = strike.fault.what, strike.target
     match what:
-        case "kill" | "term":  # a drain that goes well ends what is open; here it is reset
-            if played.gateways[int(target[1:])].alive:
-                played.kill_gateway(int(target[1:]))
+        case "kill" | "term":  # real processes finish open requests after `term`; here these are reset
+            if simulation.gateways[int(target[1:])].alive:
+                simulation.kill_gateway(int(target[1:]))
         case "start":
-            if not played.gateways[int(target[1:])].alive:
-                played.start_gateway(int(target[1:]))
+            if not simulation.gateways[int(target[1:])].alive:
+                simulation.start_gateway(int(target[1:]))
         case "crash":
-            played.hosts[target].stop()
+            simulation.hosts[target].stop()
         case "remove":
-            played.remove_host(target)
+            simulation.remove_host(target)
         case "restart":
-            played.restart_host(target)
+            simulation.restart_host(target)
         case "drain":
-            played.drain_host(target)
+            simulation.drain_host(target)
         case "ready":
-            played.hosts[target].state = READY
-            played.list_host(target)
+            simulation.hosts[target].state = READY
+            simulation.list_host(target)
         case "slow" | "well":
-            played.hosts[target].slowdown = strike.fault.value if what == "slow" else 1.0
+            simulation.hosts[target].slowdown = strike.fault.value if what == "slow" else 1.0
         case "counter_stop":
-            played.counter.stop()
+            simulation.counter.stop()
--- a/hillmux/lab/virtual/settings.py
+++ b/hillmux/lab/virtual/settings.py
@@ -7,17 +7,17 @@
 from hillmux.lab.traffic import ClassTraffic, PlanTraffic
 from hillmux.lab.virtual.model import SimulationModel
 
-CEILING_TOLERANCE = 0.1  # of the ceiling's burst
+CEILING_TOLERANCE = 0.1  # share of the ceiling's burst
 MAX_ATTEMPTS = 5
-SLOW_START_MARGIN = 1.2  # the settings' slow start lasts so many times as long as a host's
-MAX_SLOW_START_SHARE = 0.16
+SLOW_START_MARGIN = 1.2  # ratio of the gateways' slow start time to that of the hosts
+MAX_SLOW_START_SHARE = 0.16  # upper bound of the gateways' initial slow start share
 
 
 def gateway_settings(model: SimulationModel, number: int, zone: str) -> api.Settings:
-    """Settings of the gateway of this number."""
+    """Return the settings of the gateway with this number."""
     return api.Settings(
-        classes=tuple(_request_class(one) for one in model.traffic.classes),
-        plans=tuple(_plan(one, model.traffic.most_units) for one in model.traffic.plans),
+        classes=tuple(_request_class(traffic) for traffic in model.traffic.classes),
+        plans=tuple(_plan(traffic, model.traffic.most_units) for traffic in model.traffic.plans),
         gateway_index=number,
         fleet_size=model.gateways,
         zone=zone,
@@ -38,28 +38,28 @@
     )
 
 
-def _request_class(one: ClassTraffic) -> api.RequestClass:
+def _request_class(traffic: ClassTraffic) -> api.RequestClass:
     return api.RequestClass(
-        name=one.name,
-        latency_objective_ms=one.aim_ms,
-        deadline_ms=one.deadline_ms,
-        priority_weight=one.worth,
+        name=traffic.name,
+        latency_objective_ms=traffic.aim_ms,
+        deadline_ms=traffic.deadline_ms,
+        priority_weight=traffic.worth,
         late_priority_weight=0.0,
-        idempotency=Idempotency(one.effect),
+        idempotency=Idempotency(traffic.effect),
         key_scope=KeyScope.GLOBAL,
-        idempotency_window_ms=one.window_ms,
+        idempotency_window_ms=traffic.window_ms,
     )
 
 
-def _plan(one: PlanTraffic, max_units: float) -> api.Plan:
+def _plan(traffic: PlanTraffic, max_units: float) -> api.Plan:
     return api.Plan(
-        name=one.name,
-        rate=one.rate,
-        burst=one.burst,
-        priority_weight=one.worth,
-        over_quota_weight=one.over_worth,
-        over_quota_cost=one.over_cost,
-        ceiling_rate=one.ceiling * one.rate,
-        ceiling_burst=one.ceiling * one.burst,
-        ceiling_tolerance=max(CEILING_TOLERANCE * one.ceiling * one.burst, max_units),
+        name=traffic.name,
+        rate=traffic.rate,
+        burst=traffic.burst,
+        priority_weight=traffic.worth,
+        over_quota_weight=traffic.over_worth,
+        over_quota_cost=traffic.over_cost,
+        ceiling_rate=traffic.ceiling * traffic.rate,
+        ceiling_burst=traffic.ceiling * traffic.burst,
+        ceiling_tolerance=max(CEILING_TOLERANCE * traffic.ceiling * traffic.burst, max_units),
     )
--- a/hillmux/lab/virtual/simulation.py
+++ b/hillmux/lab/virtual/simulation.py
@@ -1,8 +1,8 @@
 """A fleet in virtual time: gateways, hosts, counter, discovery and clients.
 
-The decision modules are the program's own; all around them is modelled. Answers count by value: priority
-weight times units, of requests within their quota that are answered within their class's latency objective. A
-client's retries belong to its request. Two simulations of one model and seed are the same.
+The gateways run the real decision module; everything else is a model. The value of a request is its priority
+weight times its units; it counts as served if the request is within its quota and answered within its class's
+latency objective. A client's retries are part of its request. The same model and seed give the same results.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 from hillmux.lab.virtual.model import START_MS, SimulationFigures, SimulationModel
 from hillmux.lab.virtual.settings import gateway_settings
 
-HOST_SPEED_SIGMA = 0.12  # of the lognormal spread of the hosts' speeds
-SAME_ZONE_DELAY_MS, OTHER_ZONE_DELAY_MS = 0.25, 1.0  # one way
-TAIL_S = 12.0  # after the traffic's end, in which open requests end
-RECORDED_STATES = {HostStatus.UP: "ready", HostStatus.REMOVED: "gone"}  # as the lab's records name them
+HOST_SPEED_SIGMA = 0.12  # sigma of the lognormal distribution of the hosts' speeds
+SAME_ZONE_DELAY_MS, OTHER_ZONE_DELAY_MS = 0.25, 1.0  # one-way network delay
+TAIL_S = 12.0  # time after the end of the traffic in which open requests end
+RECORDED_STATES = {HostStatus.UP: "ready", HostStatus.REMOVED: "gone"}  # names in the lab's records
 
 
 class Simulation:
-    """One fleet, from its start; an `Environment` for its gateways."""
+    """One simulated fleet; it is the `Environment` of its gateways."""
 
     client_delay_ms = 0.6
     counter_delay_ms = 1.0
@@ -49,8 +49,8 @@
         self.figures = SimulationFigures()
         self.reject_reasons: Counter[str] = Counter()
         self.gateway_starts = 0
-        self.note: Note | None = None  # where events go, in the form of `lab.record`; None: nowhere
-        self._failover_at: dict[int, float] = {}  # by the number of a dead gateway
+        self.note: Note | None = None  # records an event as in `lab.record`; None: nothing is recorded
+        self._failover_at: dict[int, float] = {}  # virtual time by the number of a dead gateway
         self._ledger = QuotaLedger(self.loop, self.figures)
         self._discovery = SimulatedDiscovery(
             self.loop, self.stream, model.gateways, model.discovery_delay_ms, self._endpoint_changed
@@ -63,7 +63,7 @@
         self.clients = SimulatedClients(self.loop, model, seed, self, self._ledger, self.figures)
 
     def run(self, until_s: float | None = None) -> SimulationFigures:
-        """Run to a time since the start, or to the end of the traffic and what it left open."""
+        """Run until `until_s` after the start, by default until `TAIL_S` after the end of the traffic."""
         until_s = until_s if until_s is not None else self.model.traffic.length_s + TAIL_S
         self.loop.run(START_MS + 1000 * until_s)
         self.figures.hosts_overloaded = sum(host.overloaded for host in self.hosts.values())
@@ -72,25 +72,31 @@
     # --- Environment of the gateways ---
 
     def zone_of(self, number: int) -> str:
-        """The zone of a gateway."""
+        """Return the zone of a gateway."""
         return self.model.zones[number % len(self.model.zones)]
 
     def network_delay_ms(self, a: str, b: str) -> float:
-        """Delay of one message between machines in two zones, drawn anew each time."""
+        """Draw the delay of one message between machines in two zones."""
         return (SAME_ZONE_DELAY_MS if a == b else OTHER_ZONE_DELAY_MS) * self.stream.uniform(1.0, 1.3)
 
     def settings(self, number: int) -> api.Settings:
-        """Settings with which a gateway starts."""
+        """Return the settings with which a gateway starts."""
         return gateway_settings(self.model, number, self.zone_of(number))
 
     def request_forwarded(self, planned: PlannedRequest) -> None:
-        """A request has reached a host for the first time."""
+        """Record that the first attempt of a request has reached a host."""
         self._ledger.forward(planned)
 
     # --- Hosts ---
 
     def add_host(self, name: str, speed: float = 1.0, started: bool = False) -> SimulatedHost:
-        """Add a host, which gateways learn of late; `started`: just now, so that it warms up."""
+        """Add a host and publish it.
+
+        Args:
+            name: The host's name.
+            speed: Its speed relative to that of the model's host.
+            started: Whether it has just started, so that it has a slow start.
+        """
         host = self._create_host(name, speed)
         if started:
             host.start()
@@ -104,7 +110,7 @@
         return host
 
     def drain_host(self, name: str) -> None:
-        """A host accepts no new requests."""
+        """Let a host reject new attempts, and publish it as draining."""
         self.hosts[name].state = DRAINING
         self._discovery.publish(_endpoint(self.hosts[name], HostStatus.DRAINING))
 
@@ -113,12 +119,12 @@
         self._discovery.publish(_endpoint(self.hosts[name], HostStatus.UP))
 
     def remove_host(self, name: str) -> None:
-        """A host's process ends, and it leaves the list."""
+        """Stop a host's process, and publish its removal from the list."""
         self.hosts[name].stop()
         self._discovery.publish(_endpoint(self.hosts[name], HostStatus.REMOVED))
 
     def restart_host(self, name: str) -> None:
-        """A host's process is back under its name, and warms up."""
+        """Start a host's process again under the same name, with a slow start, and publish it as up."""
         host = self.hosts[name]
         host.start()
         if self.note is not None:
@@ -126,7 +132,7 @@
         self._discovery.publish(_endpoint(host, HostStatus.UP))
 
     def disconnect_host(self, name: str, disconnected: bool) -> None:
-        """Cut a host off, or end that: its connections stay open and silent, new ones are not accepted."""
+        """Disconnect or reconnect a host. Disconnected, it keeps its connections open but answers nothing."""
         self.hosts[name].reachable = not disconnected
 
     def _endpoint_changed(self, number: int, endpoint: api.Endpoint) -> None:
@@ -138,14 +144,14 @@
     # --- Gateways ---
 
     def kill_gateway(self, number: int) -> None:
-        """A gateway dies; requests still go to it for a time."""
+        """Kill a gateway; clients still send requests to it for `failover_delay_ms`."""
         if self.note is not None:
             self.note(f"g{number}", "kill")
-        self.gateways[number].die()
+        self.gateways[number].kill()
         self._failover_at[number] = self.loop.now + self.model.failover_delay_ms
 
     def start_gateway(self, number: int) -> None:
-        """A gateway is back, and knows nothing of before."""
+        """Start a gateway again, without its former state."""
         if self.note is not None:
             self.note(f"g{number}", "start")
             self.note(f"g{number}", "ready")
@@ -153,7 +159,7 @@
         self._failover_at.pop(number, None)
 
     def has_failed_over(self, number: int) -> bool:
-        """Whether requests for a dead gateway go to another one already."""
+        """Return whether requests for a dead gateway are sent to another one by now."""
         failover_at = self._failover_at.get(number)
         return failover_at is not None and self.loop.now >= failover_at
 
