--- a/tests/capacity/test_counting_faults.py
+++ b/tests/capacity/test_counting_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the hollow gateways do what they say; schedules are drawn and played the same way each time."""
+"""Tests of faults in the counting simulation, and of schedules of faults drawn from seeds."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     play_schedules,
 )
 
-# No arrivals of its own: tests send what they need.
+# Practically without arrivals: the tests send their own requests.
 QUIET = CountingScenario(
     gateways=3, customers=2, replicas=3, requests_per_s=1e-9, rate=4.0, burst=20.0, seed=5
 )
@@ -37,28 +37,28 @@
 
 
 class Replies:
-    """The answers to one gateway's calls, kept in the order in which they came."""
+    """Results of counter calls, in the order in which the gateways receive them."""
 
     def __init__(self, fleet: CountingFleet, monkeypatch: pytest.MonkeyPatch) -> None:
         self.results: list[str] = []
-        give = fleet.handle
+        handle = fleet.handle
 
-        def noted(gateway: CountingGateway, event: api.Event) -> None:
+        def record(gateway: CountingGateway, event: api.Event) -> None:
             if isinstance(event, api.CounterReply):
                 self.results.append(event.result)
-            give(gateway, event)
+            handle(gateway, event)
 
-        monkeypatch.setattr(fleet, "handle", noted)
+        monkeypatch.setattr(fleet, "handle", record)
 
 
-def counted(fleet: CountingFleet) -> float:
-    """All that the counter holds."""
+def counter_total(fleet: CountingFleet) -> float:
+    """Return the sum of all totals at the counter."""
     return sum(total for part in fleet.counter.copy() for total, _ in part.values())
 
 
-def one_call(end: CallFailure, monkeypatch: pytest.MonkeyPatch) -> tuple[list[str], float]:
-    """The answers to one first call that ends badly, and what the counter has added of it."""
-    fleet = FaultyFleet(QUIET, [FailingCalls(0.0, 1000.0, 1.0, end)])
+def results_of_failing_call(failure: CallFailure, monkeypatch: pytest.MonkeyPatch) -> tuple[list[str], float]:
+    """Return the results of one failing call after 95 ms, and the sum of the counter's totals 0.3 s later."""
+    fleet = FaultyFleet(QUIET, [FailingCalls(0.0, 1000.0, 1.0, failure)])
     replies = Replies(fleet, monkeypatch)
     fleet.run(0.01)
     fleet.request(fleet.customers[0], 0)
@@ -66,11 +66,11 @@
     fleet.run(0.095)
     first = list(replies.results)
     fleet.run(0.3)
-    return first, counted(fleet)
+    return first, counter_total(fleet)
 
 
 @pytest.mark.parametrize(
-    "end, result, adds",
+    "failure, result, added",
     [
         (CallFailure.CUT_ADDED, AttemptResult.CONNECTION_LOST, True),
         (CallFailure.CUT_NOT_ADDED, AttemptResult.CONNECTION_LOST, False),
@@ -78,57 +78,57 @@
         (CallFailure.LATE, AttemptResult.TIMED_OUT, True),
     ],
 )
-def test_a_bad_call_ends_as_it_says_and_is_added_or_not(
-    end: CallFailure, result: str, adds: bool, monkeypatch: pytest.MonkeyPatch
+def test_failing_call_gives_its_result_and_is_added_or_not(
+    failure: CallFailure, result: str, added: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    results, total = one_call(end, monkeypatch)
+    results, total = results_of_failing_call(failure, monkeypatch)
     assert results == [result]
-    assert (total > 0) is adds
+    assert (total > 0) is added
 
 
-def test_an_emptied_counter_has_lost_its_counts() -> None:
+def test_reset_counter_has_lost_its_totals() -> None:
     fleet = FaultyFleet(BUSY, [CounterReset(3000.0)])
     fleet.run(2.9999)
-    assert counted(fleet) > 10
+    assert counter_total(fleet) > 10
     fleet.run(0.0002)
-    assert counted(fleet) < 2
+    assert counter_total(fleet) < 2
 
 
-def test_a_counter_back_with_an_old_copy_knows_what_it_knew_then() -> None:
+def test_rolled_back_counter_has_the_totals_of_the_copy() -> None:
     fleet = FaultyFleet(BUSY, [CounterRolledBack(4000.0, age_ms=2000.0)])
     fleet.run(2.0)
-    then = counted(fleet)
+    copied = counter_total(fleet)
     fleet.run(1.9999)
-    before = counted(fleet)
+    before = counter_total(fleet)
     fleet.run(0.0002)
-    assert then < before
-    assert then <= counted(fleet) < before
+    assert copied < before
+    assert copied <= counter_total(fleet) < before
 
 
-def test_a_killed_gateway_is_passed_over_and_comes_back_knowing_nothing() -> None:
+def test_killed_gateway_gets_no_requests_until_it_starts_without_state() -> None:
     fleet = FaultyFleet(BUSY, [Kill(1000.0, 1, 2000.0)])
     first = fleet.gateways[1]
     fleet.run(2.0)
     assert not first.alive and fleet.gateways[1] is first
-    asked = first.requests
+    requests = first.requests
     fleet.run(1.5)
     assert fleet.gateways[1] is not first and fleet.gateways[1].alive
-    assert first.requests == asked and fleet.gateways[1].requests > 0
+    assert first.requests == requests and fleet.gateways[1].requests > 0
     assert fleet.figures.unserved == 0
 
 
-def test_a_gateway_that_is_cut_off_hears_nothing_until_it_is_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_calls_of_a_gateway_fail_while_the_counter_is_unreachable(monkeypatch: pytest.MonkeyPatch) -> None:
     one = dataclasses.replace(BUSY, gateways=1, replicas=1)
     fleet = FaultyFleet(one, [CounterUnreachable(0.0, 0, 5000.0), CounterUnreachable(1000.0, 0, 500.0)])
     replies = Replies(fleet, monkeypatch)
     fleet.run(4.99)
-    assert counted(fleet) == 0
+    assert counter_total(fleet) == 0
     assert set(replies.results) == {AttemptResult.TIMED_OUT, AttemptResult.CONNECT_FAILED}
     fleet.run(5.0)
     assert replies.results[-1] == AttemptResult.OK
 
 
-def test_clocks_jump_forwards_or_are_off_from_the_start_and_never_run_backwards() -> None:
+def test_clocks_jump_forwards_or_have_an_offset_from_the_start_and_never_run_backwards() -> None:
     seen: dict[int, list[float]] = {}
 
     def inspect(gateway: CountingGateway) -> None:
@@ -145,7 +145,7 @@
         FaultyFleet(BUSY, [ClockJump(1.0, 0, -1.0)])
 
 
-def test_traffic_that_moves_comes_to_one_gateway() -> None:
+def test_moved_traffic_goes_to_one_gateway_until_moved_back() -> None:
     one = dataclasses.replace(BUSY, customers=1)
     fleet = FaultyFleet(one, [TrafficMoved(0.0, 0, 2), TrafficMoved(4000.0, 0, None)])
     fleet.run(4.0)
@@ -154,12 +154,12 @@
     assert all(gateway.requests > 0 for gateway in fleet.gateways)
 
 
-def test_faults_play_the_same_way_each_time() -> None:
+def test_same_seed_gives_same_schedule_and_result() -> None:
     assert draw_schedule(7) == draw_schedule(7) != draw_schedule(8)
     assert play_schedule(7) == play_schedule(7)
 
 
-def test_schedules_keep_to_their_bounds_and_draw_every_fault() -> None:
+def test_schedules_are_within_bounds_and_contain_every_kind_of_fault() -> None:
     kinds: set[type[Fault]] = set()
     for seed in range(200):
         schedule = draw_schedule(seed)
@@ -178,7 +178,7 @@
     }
 
 
-def test_the_seed_of_a_schedule_that_raises_is_kept() -> None:
+def test_exceptions_are_reported_by_the_seed_of_their_schedule() -> None:
     def inspect(gateway: CountingGateway) -> None:
         if gateway.requests >= 3 and gateway.number == 2:
             raise AssertionError("three requests")
@@ -187,7 +187,7 @@
     assert summary.failures == {20: "AssertionError: three requests", 21: "AssertionError: three requests"}
 
 
-def test_a_check_sees_the_fleet_after_each_step() -> None:
+def test_check_is_called_with_the_fleet_after_events() -> None:
     seen: list[int] = []
     fleet = CountingFleet(BUSY, check=lambda fleet: seen.append(fleet.figures.requests))
     fleet.run(1.0)
@@ -195,10 +195,10 @@
 
 
 @pytest.mark.parametrize("count", [0, MAX_SCHEDULES + 1])
-def test_numbers_of_schedules_out_of_bounds_are_refused(count: int) -> None:
+def test_schedule_count_out_of_bounds_is_rejected(count: int) -> None:
     with pytest.raises(ValueError, match=f"count: found {count}, allowed 1 to {MAX_SCHEDULES}"):
         play_schedules(count)
 
 
-def test_a_spread_by_hand() -> None:
+def test_distribution_of_three_values() -> None:
     assert Distribution.of([1.0, 2.0, 6.0]) == Distribution(mean=3.0, p99=pytest.approx(5.92), maximum=6.0)
