--- a/hillmux/demo/__init__.py
+++ b/hillmux/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A gateway with stand-ins on one machine: booking nodes, traffic, and a table of what came of it."""
+"""The demonstration: a gateway, stand-in hosts and traffic on one machine, with a table of the results."""
