--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -332,10 +332,10 @@
                 "answered": load.answered(),
                 "served": load.served,
                 "unsent": load.unsent,
-                "refused": dict(load.refused),
+                "refused": dict(load.rejected),
                 "failed": load.failed,
-                "p50": load.times.quantile(0.5),
-                "p99": load.times.quantile(0.99),
+                "p50": load.latencies.quantile(0.5),
+                "p99": load.latencies.quantile(0.99),
             }
         )
     )
--- a/hillmux/demo/load.py
+++ b/hillmux/demo/load.py
@@ -26,9 +26,9 @@
         served: Requests answered with status 200.
         failed: Requests answered with any status other than 200, 404, 410, 429 and 503.
         unanswered: Requests without an answer, after a connection error or a time-out.
-        refused: Requests answered with status 429 or 503, by the reason in the answer.
-        gone: Requests answered with status 404 or 410.
-        times: Latencies of served requests in milliseconds.
+        rejected: Requests answered with status 429 or 503, by the reason in the answer.
+        not_found: Requests answered with status 404 or 410.
+        latencies: Latencies of served requests in milliseconds.
         units: Units of served requests.
     """
 
@@ -42,15 +42,15 @@
         self._in_flight: set[asyncio.Task[None]] = set()
         self._request_count = 0
         self.sent = self.unsent = self.served = self.failed = self.unanswered = 0
-        self.refused: Counter[str] = Counter()
-        self.gone = 0
-        self.times = LatencyHistogram()
+        self.rejected: Counter[str] = Counter()
+        self.not_found = 0
+        self.latencies = LatencyHistogram()
         self.units = 0.0
         self._stopped = False
 
     def answered(self) -> int:
         """Return the number of requests that have been answered."""
-        return self.served + self.failed + self.gone + sum(self.refused.values())
+        return self.served + self.failed + self.not_found + sum(self.rejected.values())
 
     async def run(self) -> None:
         """Send requests until stopped, then wait for those in flight and close the connections."""
@@ -90,11 +90,11 @@
         if status == 200:
             self.served += 1
             self.units += 1
-            self.times.add((asyncio.get_running_loop().time() - sent_at) * 1000)
+            self.latencies.add((asyncio.get_running_loop().time() - sent_at) * 1000)
         elif status in (404, 410):
-            self.gone += 1
+            self.not_found += 1
         elif status in (429, 503):
-            self.refused[_reject_reason(body)] += 1
+            self.rejected[_reject_reason(body)] += 1
         else:
             self.failed += 1
 
--- a/hillmux/demo/run.py
+++ b/hillmux/demo/run.py
@@ -230,13 +230,14 @@
 
 def _result_line(load: Load, rate: float) -> str:
     return (
-        f"{load.tenant} {rate:.0f}/s served {load.served} refused {_rejections(load)} gone {load.gone} "
-        f"p50 {load.times.quantile(0.5):.1f} ms p99 {load.times.quantile(0.99):.1f} ms units {load.units:g}"
+        f"{load.tenant} {rate:.0f}/s served {load.served} refused {_rejections(load)} gone {load.not_found} "
+        f"p50 {load.latencies.quantile(0.5):.1f} ms p99 {load.latencies.quantile(0.99):.1f} ms "
+        f"units {load.units:g}"
     )
 
 
 def _rejections(load: Load) -> str:
-    return ", ".join(f"{cause} {count}" for cause, count in sorted(load.refused.items())) or "0"
+    return ", ".join(f"{reason} {count}" for reason, count in sorted(load.rejected.items())) or "0"
 
 
 def _table(loads: list[Load], rates: dict[str, float], title: str) -> Table:
@@ -265,11 +266,11 @@
             str(load.sent),
             str(load.served),
             _rejections(load),
-            str(load.gone),
+            str(load.not_found),
             str(load.failed),
             str(load.unanswered),
-            f"{load.times.quantile(0.5):.1f}",
-            f"{load.times.quantile(0.99):.1f}",
+            f"{load.latencies.quantile(0.5):.1f}",
+            f"{load.latencies.quantile(0.99):.1f}",
             f"{load.units:g}",
         )
     return table
