--- a/benchmarks/coming_back.py
+++ b/benchmarks/coming_back.py
@@ -17,7 +17,7 @@
 from hillmux.lab.checks import Verdict
 from hillmux.lab.measures import Figures
 from hillmux.lab.run import play
-from hillmux.lab.virtual.play import judged, not_modelled
+from hillmux.lab.virtual.play import not_modelled, play_and_judge
 
 ROOT = Path(__file__).resolve().parents[1]
 
@@ -88,7 +88,7 @@
             day = scenario(faults, seed)
             if args.virtual:
                 assert not not_modelled(day)
-                plays.append(judged(day))
+                plays.append(play_and_judge(day))
             else:
                 with tempfile.TemporaryDirectory() as out:
                     result = play(day, Path(out) / "run")
--- a/hillmux/lab/virtual/play.py
+++ b/hillmux/lab/virtual/play.py
@@ -20,7 +20,7 @@
     "kill", "term", "start", "crash", "restart", "drain", "remove", "ready", "slow", "well",
     "counter_stop", "counter_keep", "counter_start",
 ))  # fmt: skip
-__all__ = ["START_MS", "judged", "not_modelled", "play", "world"]
+__all__ = ["START_MS", "create_simulation", "not_modelled", "play", "play_and_judge"]
 TAIL_S = 12.0  # time after the end of the traffic in which open requests end
 
 
@@ -29,7 +29,7 @@
     return sorted({f.what for f in scenario.faults} - MODELLED_FAULTS)
 
 
-def world(scenario: Scenario) -> Simulation:
+def create_simulation(scenario: Scenario) -> Simulation:
     """Return the simulation of a scenario, at its start."""
     fleet, traffic = scenario.fleet, scenario.traffic
     model = SimulationModel(
@@ -52,7 +52,7 @@
     Returns:
         The simulation at its end, and its figures.
     """
-    simulation = world(scenario)
+    simulation = create_simulation(scenario)
     if events is not None:
         recorded = events
 
@@ -75,7 +75,7 @@
     return simulation, simulation.run(scenario.length_s + TAIL_S)
 
 
-def judged(scenario: Scenario) -> tuple[list[checks.Verdict], measures.Figures]:
+def play_and_judge(scenario: Scenario) -> tuple[list[checks.Verdict], measures.Figures]:
     """Run a scenario, and check and measure its record as that of a run of real processes."""
     events: list[Event] = []
     play(scenario, events)
--- a/tests/lab/test_play.py
+++ b/tests/lab/test_play.py
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize("name", ["herd", "roll", "zone"])
 def test_a_record_in_virtual_time_is_judged_as_that_of_real_processes(name: str) -> None:
     day = sc.load(ROOT / f"examples/lab/{name}.toml")
-    verdicts, figures = play.judged(day)
+    verdicts, figures = play.play_and_judge(day)
     assert {v.rule: v.says() for v in verdicts} == dict.fromkeys(day.hold.rules, "held")
     assert figures.full_service_s is not None and figures.served_share > 0.75
 
