--- a/hillmux/lab/virtual/counting.py
+++ b/hillmux/lab/virtual/counting.py
@@ -59,9 +59,7 @@
 
     gateways: int
     customers: int
-    replicas: (
-        int  # gateways per customer, with consecutive numbers modulo `gateways`; capped at the fleet size
-    )
+    replicas: int  # gateways per customer, numbered consecutively modulo `gateways`; at most all of them
     requests_per_s: float  # requests per second of each customer, of one unit each
     rate: float  # rate of each customer's plan, in units per second
     burst: float  # burst of each customer's plan, in units
@@ -83,9 +81,7 @@
     requests: int = 0
     unserved: int = 0  # requests that found no running gateway of their customer
     units_forwarded: float = 0.0
-    units_beyond_quota: float = (
-        0.0  # units forwarded while the reference bucket held less than a request needs
-    )
+    units_beyond_quota: float = 0.0  # units forwarded while the reference bucket held less than one unit
     rejected: int = 0
     rejected_with_half_burst: int = 0  # while the reference bucket held half a burst or more
     rejected_with_units: int = 0  # while the reference bucket held the request's units
@@ -117,9 +113,7 @@
     def __init__(self, name: str, first_gateway: int, quota: TokenBucket) -> None:
         self.name, self.first_gateway, self.quota = name, first_gateway, quota
         self.units_beyond_quota = self.units_forwarded = 0.0  # since the start of the simulation
-        self.only_gateway: int | None = (
-            None  # number of the gateway that gets all requests; None: any of the set
-        )
+        self.only_gateway: int | None = None  # gateway that gets all requests; None: any of the set
 
 
 class CountingGateway:
@@ -162,9 +156,7 @@
 
 
 CallInterceptor = Callable[[CounterCall], bool]  # returns True if it delivers or fails the call itself
-RejectionObserver = Callable[
-    [CountingGateway, Customer, str], None
-]  # called with the reason of each rejection
+RejectionObserver = Callable[[CountingGateway, Customer, str], None]  # called with each rejection's reason
 
 
 class CountingFleet:
@@ -249,7 +241,7 @@
         self.gateways[number].alive = False
 
     def start(self, number: int) -> None:
-        """Start a gateway without any state; its clock offset and its reach of the counter don't change."""
+        """Start a gateway without any state; its clock offset and its connection to the counter stay."""
         old = self.gateways[number]
         old.alive = False
         self.gateways[number] = self._create_gateway(number, old.clock_offset_ms)
--- a/hillmux/lab/virtual/counting_schedules.py
+++ b/hillmux/lab/virtual/counting_schedules.py
@@ -29,13 +29,13 @@
 )
 from hillmux.lab.virtual.counting_leases import StrandedLeases
 
-SCHEDULES: Final = 1000
+DEFAULT_SCHEDULES: Final = 1000
 MAX_SCHEDULES: Final = 10_000
 MIN_GATEWAYS, MAX_GATEWAYS = 3, 24
 MIN_CUSTOMERS, MAX_CUSTOMERS = 2, 5
 MIN_LENGTH_S, MAX_LENGTH_S = 20.0, 40.0
 MAX_FAULTS: Final = 6
-LOADS: Final = (0.5, 0.9, 1.5, 3.5)  # requests as multiples of the customer's rate
+LOAD_FACTORS: Final = (0.5, 0.9, 1.5, 3.5)  # requests as multiples of the customer's rate
 MIN_RATE, MAX_RATE = 1.0, 3.0  # units per second
 MIN_BURST_S, MAX_BURST_S = 1.0, 5.0  # burst divided by rate
 LIMITED_SHARE: Final = 0.25  # share of schedules whose counter has a limited capacity
@@ -63,7 +63,7 @@
         gateways=gateways,
         customers=int(draw.integers(MIN_CUSTOMERS, MAX_CUSTOMERS + 1)),
         replicas=int(draw.integers(MIN_GATEWAYS, gateways + 1)),
-        requests_per_s=rate * float(draw.choice(LOADS)),
+        requests_per_s=rate * float(draw.choice(LOAD_FACTORS)),
         rate=rate,
         burst=rate * float(draw.uniform(MIN_BURST_S, MAX_BURST_S)),
         seed=seed,
@@ -229,7 +229,7 @@
 
 
 def play_schedules(
-    count: int = SCHEDULES,
+    count: int = DEFAULT_SCHEDULES,
     first_seed: int = 0,
     inspect: Callable[[CountingGateway], None] | None = None,
     check: Callable[[CountingFleet], None] | None = None,
--- a/hillmux/lab/virtual/gateway.py
+++ b/hillmux/lab/virtual/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway in virtual time: the decision module, with modelled hosts and a modelled counter for sockets.
+"""One gateway in virtual time: the decision module, with models of hosts and counter in place of sockets.
 
 Follows the platform's gateway (hillmux/net) where it affects a fleet: connections are kept alive and opened,
 attempts and counter calls time out, and a killed gateway loses its state.
--- a/hillmux/lab/virtual/hosts.py
+++ b/hillmux/lab/virtual/hosts.py
@@ -9,7 +9,7 @@
 from hillmux.lab.clock import Clock
 
 READY, DRAINING = "ready", "draining"
-# A cold host with a budget of N requests bears N + OVERLOAD_MARGIN x (sqrt(N) + 1) of them.
+# A cold host with a budget of N requests is overloaded by more than N + OVERLOAD_MARGIN x (sqrt(N) + 1).
 OVERLOAD_MARGIN = 2.0
 
 
@@ -125,7 +125,7 @@
         budget = self.model.overload_multiple * self.capacity() * window_ms / mean
         ratio = self._recent_work_sum / mean / (budget + OVERLOAD_MARGIN * budget**0.5 + OVERLOAD_MARGIN)
         self.max_overload_ratio = max(self.max_overload_ratio, ratio)
-        if ratio > 1 and len(self._recent_work) > 2:  # one or two large requests never overload a host
+        if ratio > 1 and len(self._recent_work) > 2:  # one or two large requests alone don't overload a host
             self.overloaded = True
 
     def _start_job(self, job: Job) -> None:
--- a/hillmux/lab/virtual/model.py
+++ b/hillmux/lab/virtual/model.py
@@ -44,7 +44,7 @@
     rejected_with_quota_left: int = 0  # attempts rejected while at least half of the burst was unused
     offered_value: float = 0.0  # value of requests within the quotas
     served_value: float = 0.0  # value of requests within the quotas that met their latency objective
-    units_beyond_quota: float = 0.0  # units of forwarded requests
+    units_beyond_quota: float = 0.0  # units of forwarded requests that exceeded their quota
     units_forwarded: float = 0.0  # including those beyond the quotas
     beyond_quota_cost: float = 0.0  # value that units beyond the quotas cost
     reset: int = 0  # attempts whose connection to the gateway was reset
--- a/tests/capacity/test_counting_faults.py
+++ b/tests/capacity/test_counting_faults.py
@@ -118,8 +118,8 @@
 
 
 def test_calls_of_a_gateway_fail_while_the_counter_is_unreachable(monkeypatch: pytest.MonkeyPatch) -> None:
-    one = dataclasses.replace(BUSY, gateways=1, replicas=1)
-    fleet = FaultyFleet(one, [CounterUnreachable(0.0, 0, 5000.0), CounterUnreachable(1000.0, 0, 500.0)])
+    scenario = dataclasses.replace(BUSY, gateways=1, replicas=1)
+    fleet = FaultyFleet(scenario, [CounterUnreachable(0.0, 0, 5000.0), CounterUnreachable(1000.0, 0, 500.0)])
     replies = Replies(fleet, monkeypatch)
     fleet.run(4.99)
     assert counter_total(fleet) == 0
@@ -128,7 +128,7 @@
     assert replies.results[-1] == AttemptResult.OK
 
 
-def test_clocks_jump_forwards_or_have_an_offset_from_the_start_and_never_run_backwards() -> None:
+def test_clocks_jump_or_have_an_offset_but_never_run_backwards() -> None:
     seen: dict[int, list[float]] = {}
 
     def inspect(gateway: CountingGateway) -> None:
@@ -146,8 +146,8 @@
 
 
 def test_moved_traffic_goes_to_one_gateway_until_moved_back() -> None:
-    one = dataclasses.replace(BUSY, customers=1)
-    fleet = FaultyFleet(one, [TrafficMoved(0.0, 0, 2), TrafficMoved(4000.0, 0, None)])
+    scenario = dataclasses.replace(BUSY, customers=1)
+    fleet = FaultyFleet(scenario, [TrafficMoved(0.0, 0, 2), TrafficMoved(4000.0, 0, None)])
     fleet.run(4.0)
     assert [gateway.requests > 0 for gateway in fleet.gateways] == [False, False, True]
     fleet.run(4.0)
