--- a/tests/lab/test_play.py
+++ b/tests/lab/test_play.py
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize("name", ["herd", "roll", "zone"])
 def test_record_in_virtual_time_is_judged_like_one_of_real_processes(name: str) -> None:
     scenario = sc.load(ROOT / f"examples/lab/{name}.toml")
-    verdicts, figures = play.judged(scenario)
+    verdicts, figures = play.play_and_judge(scenario)
     assert {v.rule: v.status() for v in verdicts} == dict.fromkeys(scenario.hold.rules, "held")
     assert figures.full_service_s is not None and figures.served_share > 0.75
 
