--- a/hillmux/net/client_connection.py
+++ b/hillmux/net/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: requests are taken one at a time, in order, each with exactly one answer."""
+"""One client connection: its requests are processed in order, one at a time, with one response each."""
 
 from __future__ import annotations
 
@@ -36,39 +36,41 @@
 
 
 class ClientConnection(RequestParser):
-    """A connection between its accept and its close.
+    """A client's connection from accept to close.
 
-    An `asyncio.Protocol` by its methods, not by its base (see `ResponseProtocol`).
+    It has the methods of `asyncio.Protocol` without inheriting from it (see `ResponseProtocol`).
     """
 
-    _streamed_body: Any = None  # of the open request, if its body is streamed
-    _body_paused = False  # no host takes that body: nothing more of it is read
-    extra_header_lines = b""  # of the next answer
+    _streamed_body: Any = None  # the body of the open request, if it is streamed
+    _body_paused = False  # reading is paused because no host accepts more of the streamed body
+    extra_header_lines = b""  # complete header lines added to the next response
 
     def __init__(self, listener: Listener[Any]) -> None:
         super().__init__(listener.loop)
         self._listener, self._handler = listener, listener.handler
-        self._request_id: str | None = None  # of the open request
+        self._request_id: str | None = None  # the id of the open request
         self._keep_alive = True
         self._closing = False
-        self.answered = False  # at least one request
+        self.answered = False  # at least one request of this connection has been answered
         self._taking_requests = self._reading_paused = False
         self._unparsed = UnparsedInput(listener.unparsed_total)
-        self._writing_paused = False  # the client does not read its answers
-        self.waiting_since = 0.0  # the loop's time when it was opened, became idle, or a message began
+        self._writing_paused = False  # the write buffer is full: the client does not read its responses
+        # The loop's time when the connection was opened, last became idle, or began to receive a message
+        self.waiting_since = 0.0
 
     # The methods of asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, and register with the listener."""
+        """Store the transport and register with the listener."""
         self.transport = cast(asyncio.Transport, transport)
         self._listener.on_connection_made(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse input, or hold it unparsed while requests wait.
+        """Parse input, or store it unparsed while requests are queued.
 
-        A client may send much and disconnect. Its end stands behind all that it sent and shows only once that
-        has been read; otherwise its requests would be forwarded one by one although nobody waits for them.
+        Reading continues while requests are queued because a client may pipeline many requests and then
+        disconnect. The end of its input becomes visible only after everything before it has been read; until
+        then its requests would be forwarded one by one although nobody waits for the responses.
         """
         if self._closing:
             self._discard(data)
@@ -80,7 +82,7 @@
             self._take_requests()
 
     def _receiving_streamed_body(self) -> bool:
-        """Whether the body that is being received is passed on piece by piece, however many requests wait."""
+        """Whether a streamed body is being received, which is parsed even if requests are queued."""
         return self._message is not None and self._message.streamed_body is not None
 
     def _discard(self, data: bytes) -> None:
@@ -99,8 +101,8 @@
             self._parser.feed_data(data)
             in_head = self._message is not None and self._message.method == b""
             if self._received_bytes > (MAX_HEAD_BYTES if in_head else self.max_request_bytes):
-                self._reject(400)  # bounds the memory of a head without an end
-        except httptools.HttpParserUpgrade:  # none is offered: this request is answered as the last
+                self._reject(400)  # bounds the memory used by a head that never ends
+        except httptools.HttpParserUpgrade:  # upgrades are not supported: answer this request, then close
             self._closing = True
             last = self._queue[-1]
             if isinstance(last, RequestMessage):
@@ -109,42 +111,45 @@
             self._reject(self._parse_error_status)
 
     def pause_writing(self) -> None:
-        """The write buffer is full: take no further request until the client reads, which bounds memory."""
+        """Process no further requests while the write buffer is full, to bound memory."""
         self._writing_paused = True
 
     def resume_writing(self) -> None:
-        """The write buffer has drained: go on with the requests that wait."""
+        """Process the queued requests again: the write buffer has drained."""
         self._writing_paused = False
         self._take_requests()
 
     def eof_received(self) -> None:
-        """The client has disconnected; the transport closes itself once all that was answered has left.
+        """Abandon the open request: the client has closed its sending side.
 
-        With answers that nobody reads that would be never, so the open request ends now, and the connection
-        by `check_timeouts`.
+        The transport closes itself once its write buffer is empty. A client that does not read its responses
+        would prevent that for ever, so the open request is abandoned at once and `check_timeouts` closes the
+        connection.
         """
         self._on_client_disconnected()
         self._listener.mark_idle(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is closed: free its place, and abandon the open request."""
+        """Deregister the closed connection and abandon the open request."""
         self._listener.on_connection_lost(self)
         self._on_client_disconnected()
 
     def has_disconnected(self, behind: bool) -> bool:
-        """Whether the client has closed or reset the connection, even if the loop has not read so yet.
+        """Whether the client has closed or reset the connection, even if the loop has not processed that yet.
 
-        Looked at only if the loop runs `behind` or before the first answer: it costs a system call.
+        Args:
+            behind: Whether the event loop is running late. Otherwise only a connection without any response
+                so far is checked, since the check costs a system call.
         """
         return (behind or not self.answered) and peer_has_closed(self.transport)
 
     def on_hang_up(self) -> None:
-        """The client has disconnected while the connection was not being read."""
+        """Abort the connection: the client has disconnected while reading was paused."""
         self._on_client_disconnected()
         self.transport.abort()
 
     def _on_client_disconnected(self) -> None:
-        """Take no more requests, and abandon the open one: nobody reads the answers."""
+        """Drop the queued requests and abandon the open one: nobody reads the responses."""
         self._closing = True
         self._queue.clear()
         self._unparsed.clear()
@@ -156,7 +161,7 @@
     # Requests
 
     def _reject(self, status: int) -> None:
-        """Answer with an error after all that came before, and read no further requests."""
+        """Queue an error response behind the requests before it, and parse no further requests."""
         if not self._closing:
             self._closing = True
             self._message = None
@@ -164,7 +169,7 @@
             self._queue.append(RejectedRequest(status))
 
     def _take_requests(self) -> None:
-        """Take the requests that wait, one at a time; parse further input only while none waits."""
+        """Process the queued requests one at a time; parse stored input only while none is queued."""
         if (
             self._taking_requests
             or self.transport is NOT_CONNECTED
@@ -178,14 +183,18 @@
                     self._take_request(self._queue.popleft())
                 if self._queue or self._closing or not self._unparsed.size:
                     break
-                self._parse(self._unparsed.popleft())  # MAX_PIPELINED holds for each piece
+                self._parse(self._unparsed.popleft())  # MAX_PIPELINED applies to each piece
         finally:
             self._taking_requests = False
         if self._queue or self._body_paused or self._reading_paused:
             self._update_reading()
 
     def _update_reading(self) -> None:
-        """Pause or resume reading: input is bounded, and answers that are due go before discarded input."""
+        """Pause or resume reading.
+
+        This bounds the input that is stored. After a close has begun, reading also pauses while responses are
+        due, so that the limit on discarded input does not abort the connection before they are sent.
+        """
         answers_due = self._answer_due or bool(self._queue)
         pause = (
             self._body_paused
@@ -207,13 +216,13 @@
         self._listener.mark_busy(self)
         try:
             if isinstance(item, RejectedRequest):
-                raise BadRequestError("unreadable", item.status)
+                raise BadRequestError("request could not be parsed", item.status)
             self._keep_alive = item.keep_alive
             if item.streamed_body is not None:
                 self._streamed_body = item.streamed_body
             self._route(item)
         except BadRequestError as error:
-            self._keep_alive = False  # so that a flood of bad requests has to connect again
+            self._keep_alive = False  # a flood of bad requests has to reconnect for each one
             self.answer(error.status)
 
     def _route(self, message: RequestMessage) -> None:
@@ -225,43 +234,51 @@
         elif path.startswith(API_PREFIX):
             self._forward(message)
         else:
-            raise BadRequestError("path", 404)
+            raise BadRequestError("path: expected /ready or a path below /api/", 404)
 
     def _forward(self, message: RequestMessage) -> None:
         rules = self._listener.request_rules
-        assert rules is not None  # a listener without rules routes in a way of its own
+        assert rules is not None  # a listener without rules overrides `_route`
         request_id = self._handler.request(self, parse_request(message, rules))
         if request_id is None:
-            raise BadRequestError("an id that is in use", 409)
-        if self._answer_due:  # otherwise it has been answered already
+            raise BadRequestError("X-Request-Id: id is in use by an open request", 409)
+        if self._answer_due:  # otherwise the handler has already answered it
             self._request_id = request_id
 
-    # Answers
+    # Responses
 
     def answer(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
-        """Send the one answer to the open request, and take the next one."""
+        """Send the response to the open request, then process the next one.
+
+        Args:
+            status: The response's status.
+            body: The response's body.
+            content_type: The value of Content-Type; no such header if empty.
+            retry_after_ms: The value of Retry-After in milliseconds; no such header if 0.
+        """
         self._request_id, self._answer_due, self.answered = None, False, True
         if self._streamed_body is not None:
             streamed_body, self._streamed_body = self._streamed_body, None
             if not streamed_body.complete:
-                streamed_body.discard()  # the rest is read, so that the client gets this answer
+                streamed_body.discard()  # the rest is still read, so that the client receives this response
         if self.transport.is_closing():
             return
         self._listener.mark_idle(self)
         keep_alive = self._keeps_alive()
-        further_lines = self._retry_after_line(retry_after_ms) if retry_after_ms > 0 else b""
+        header_lines = self._retry_after_line(retry_after_ms) if retry_after_ms > 0 else b""
         if self.extra_header_lines:
-            further_lines += self.extra_header_lines
+            header_lines += self.extra_header_lines
             self.extra_header_lines = b""
-        self.transport.write(encode_response(status, body, content_type, further_lines, keep_alive))
+        self.transport.write(encode_response(status, body, content_type, header_lines, keep_alive))
         self._after_answer(keep_alive)
 
     def _keeps_alive(self) -> bool:
-        """Whether the connection stays open after the answer that is sent now.
+        """Whether the connection stays open after the response being sent.
 
-        While the gateway drains, only if a successor can take it over or more requests have arrived on it.
+        While the gateway is draining, it stays open only if a successor process can take it over or further
+        input has arrived on it.
         """
         return self._keep_alive and (
             self._listener.successor is not None or not self._handler.draining or self._has_more_input()
@@ -275,11 +292,11 @@
         self._take_requests()
 
     def _retry_after_line(self, wait_ms: float) -> bytes:
-        """The header's line, with decimals, which the platform's clients read."""
+        """The Retry-After line in seconds with three decimals, which the platform's clients accept."""
         return b"Retry-After: %.3f\r\n" % (wait_ms / 1000)
 
     def _has_more_input(self) -> bool:
-        """Whether more than the open request has arrived, so that its answer is not the last."""
+        """Whether input after the open request has arrived, so that further responses will be due."""
         return (
             bool(self._queue)
             or self._unparsed.size > 0
@@ -290,7 +307,7 @@
     # Closing
 
     def _close_gracefully(self) -> None:
-        """Shut the sending side after the last answer, and read on for a while (`lingering_close`)."""
+        """Shut down the sending side after the last response, then discard input (`lingering_close`)."""
         if self.transport.is_closing():
             return
         self._closing = True
@@ -302,11 +319,15 @@
         self._update_reading()
 
     def check_timeouts(self, now: float) -> None:
-        """Close if the client has been silent, idle or slow to send its request for too long."""
+        """Close the connection if it has been idle too long, or its request has arrived too slowly.
+
+        Args:
+            now: The loop's time in seconds.
+        """
         waited = now - self.waiting_since
         if self._closing:
             if waited > LINGER_TIMEOUT_S:
-                self.transport.abort()  # also where it never reads its last answer: frees the descriptor
+                self.transport.abort()  # frees the descriptor even if the client does not read its response
         elif self._message is not None:
             if waited > HEAD_TIMEOUT_S and is_receiving_too_slowly(self._message, now):
                 self._reject(408)
@@ -315,21 +336,29 @@
             self.close_if_idle()
 
     def close_if_idle(self) -> None:
-        """Close unless a request is open, is being received, or has arrived and is unread."""
+        """Close unless a request is open or being received, or unread input has arrived."""
         if not (self._answer_due or self._closing or self.transport.is_closing() or self._has_more_input()):
             self._close_gracefully()
 
     def drain(self, now: float) -> None:
-        """Close if idle; one that has not sent any request yet is left FIRST_REQUEST_GRACE_S to do so."""
+        """Close if idle; a new connection first gets FIRST_REQUEST_GRACE_S to send its first request.
+
+        Args:
+            now: The loop's time in seconds.
+        """
         if self.answered or now - self.waiting_since > FIRST_REQUEST_GRACE_S:
             self.close_if_idle()
 
     def can_close_without_loss(self) -> bool:
-        """Whether all answers have left and no input is unread."""
+        """Whether all responses have left this process and no input is unread."""
         return not self.transport.get_write_buffer_size() and not has_unread_input(self.transport)
 
     def migrate(self) -> bool:
-        """Pass the connection to the successor process if it is idle and all answers have left."""
+        """Pass the connection to the successor process if it is idle and all responses have been sent.
+
+        Returns:
+            Whether the connection was passed on.
+        """
         successor, transport = self._listener.successor, self.transport
         if (
             successor is None
@@ -345,5 +374,5 @@
             return False
         successor.pass_connection(os.dup(transport.get_extra_info("socket").fileno()))
         self._closing = True
-        transport.abort()  # closes this process's descriptor only; the client notices nothing
+        transport.abort()  # closes this process's descriptor only; the connection stays open
         return True
--- a/hillmux/net/http1.py
+++ b/hillmux/net/http1.py
@@ -1,6 +1,6 @@
-"""The client side of one HTTP/1.1 connection, shared by hosts, counter and discovery.
+"""The client side of an HTTP/1.1 connection, used for hosts, the counter and discovery.
 
-Decides whether a response is complete, whether it was requested, and whether its connection may be reused.
+Determines whether a response is complete, whether it was requested, and whether its connection is reusable.
 """
 
 from __future__ import annotations
@@ -15,35 +15,35 @@
 
 MAX_BUFFERED_BODY_BYTES: Final = 64 * 1024
 MAX_ENDPOINT_LIST_BYTES: Final = 4 * 1024 * 1024
-MAX_FRAMING_BYTES: Final = 64 * 1024  # of one response: its head and interim responses
-MAX_CHUNK_OVERHEAD: Final = 16  # bytes of chunk lines for each byte of a body; a chunk may hold one byte
-MAX_STREAMED_BODY_BYTES: Final = 64 * 1024 * 1024  # of a streamed response
+MAX_FRAMING_BYTES: Final = 64 * 1024  # bytes per response that are not body: head and interim responses
+MAX_CHUNK_OVERHEAD: Final = 16  # bytes of chunk framing per body byte, as a chunk may hold a single byte
+MAX_STREAMED_BODY_BYTES: Final = 64 * 1024 * 1024  # per streamed response
 DECIMAL_NUMBER: Final = re.compile(rb"-?[0-9]{1,15}(?:\.[0-9]{1,15})?(?:[eE][+-]?[0-9]{1,2})?")
-OPTIONAL_WHITESPACE: Final = b" \t"  # RFC 9110 section 5.5; the parser leaves it behind a value
+OPTIONAL_WHITESPACE: Final = b" \t"  # RFC 9110 section 5.5; httptools leaves it after a value
 BODILESS_STATUSES: Final = frozenset((204, 304))
-NOT_CONNECTED: Final = cast(asyncio.Transport, None)  # the transport until the connection is up
+NOT_CONNECTED: Final = cast(asyncio.Transport, None)  # the transport before the connection is set up
 
 
 class MalformedResponseError(Exception):
-    """The input is no response that can be forwarded."""
+    """The input is not a valid response, or is one that may not be forwarded."""
 
 
 def parse_decimal(text: bytes) -> float | None:
-    """A decimal number as it stands on the wire; None where it is none. `float` reads more, such as `1_0`."""
+    """Parse a decimal number; None if invalid. `float` would also accept values such as `1_0`."""
     return float(text) if DECIMAL_NUMBER.fullmatch(text) else None
 
 
 @dataclass(slots=True, init=False)
 class Response:
-    """One response."""
+    """One response, or the head of a streamed one."""
 
     status: int
     headers: dict[bytes, bytes]
     body: bytes
     keep_alive: bool
-    streamed: bool = False  # its body was forwarded as it arrived
-    content_length: int | None = None  # of a streamed one; None: not announced
-    first_byte_at: float = 0.0  # by time.monotonic; 0: all arrived at once
+    streamed: bool = False  # the body is forwarded as it arrives and is not stored here
+    content_length: int | None = None  # of a streamed response; None if it has no Content-Length
+    first_byte_at: float = 0.0  # time.monotonic at the first byte; 0 if everything arrived in one read
 
     def __init__(
         self,
@@ -59,21 +59,21 @@
         self.streamed, self.content_length, self.first_byte_at = streamed, content_length, first_byte_at
 
     def positive_number(self, name: bytes, maximum: float) -> float:
-        """A header's number if it is above 0 and at most `maximum`; otherwise 0."""
+        """The number in a header if it is above 0 and at most `maximum`, otherwise 0."""
         value = parse_decimal(self.headers.get(name, b""))
         return value if value is not None and 0 < value <= maximum else 0.0
 
 
 class ResponseProtocol:
-    """Parses the responses to what was written; subclasses handle them and the connection's loss.
+    """Parses the responses to written requests; subclasses handle responses and the loss of the connection.
 
-    An `asyncio.Protocol` by its methods, not by its base: a compiled class with a base in Python would keep
-    its attributes in a dictionary.
+    It has the methods of `asyncio.Protocol` without inheriting from it: a compiled class with an interpreted
+    base would keep its attributes in a dictionary.
 
-    One that `accepts_streams` is told of a response longer than the limit when that shows
-    (`on_stream_start`), then of its body piece by piece (`on_stream_data`), and of its end by `on_response`
-    with a response that is `streamed`. It also accepts a response that ends with an orderly close of its
-    connection (RFC 9112 section 6.3, rule 8).
+    A subclass that sets `accepts_streams` gets a response longer than the limit as a stream:
+    `on_stream_start` as soon as the length is known to exceed the limit, `on_stream_data` for each piece of
+    the body, and `on_response` with a `streamed` response at the end. It also accepts a response that is
+    delimited by an orderly close of the connection (RFC 9112 section 6.3, rule 8).
     """
 
     accepts_streams = False
@@ -81,11 +81,11 @@
     def __init__(self, max_body_bytes: int = MAX_BUFFERED_BODY_BYTES) -> None:
         self.transport = NOT_CONNECTED
         self._connected = False
-        self.unsent = False  # part of what was written has not left this process
+        self.unsent = False  # some written bytes have not left this process
         self._parser = httptools.HttpResponseParser(self)
         self._max_body_bytes = max_body_bytes
         self._responses_due = 0
-        self._received_bytes = 0  # of the response that is being received
+        self._received_bytes = 0  # bytes received of the current response, including interim responses
         self._complete_responses: list[Response] = []
         self._reset()
 
@@ -94,13 +94,13 @@
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._response_begun = False
-        self._needs_reset = False  # any of the following was set
+        self._needs_reset = False  # any of the attributes below was set
         self._streaming = self._ends_with_connection = self._in_trailers = False
         self._content_length: int | None = None
         self._first_byte_at = 0.0
 
     def _prepare_next(self) -> None:
-        """Reset for the next response; an ordinary one has changed little."""
+        """Prepare for the next response; most responses do not need the full reset."""
         if self._needs_reset:
             self._reset()
             return
@@ -110,22 +110,26 @@
         self._response_begun = False
 
     def on_response(self, response: Response, reusable: bool) -> None:
-        """The response to the oldest request; `reusable` if the connection may carry another."""
+        """Handle the response to the oldest request; `reusable` if the connection may carry another one."""
         raise NotImplementedError
 
     def on_stream_start(self, response: Response) -> bool:
-        """The head of a long response; whether it may be forwarded, else the connection is aborted."""
+        """Handle the head of a streamed response.
+
+        Returns:
+            Whether to forward the response; otherwise the connection is aborted.
+        """
         return False
 
     def on_stream_data(self, data: bytes) -> None:
-        """More of the body of a streamed response."""
+        """Handle a piece of the body of a streamed response."""
 
     def on_malformed_response(self) -> None:
-        """The input cannot be parsed while responses are due; the connection is aborted."""
+        """Handle unparsable input received while responses are due; the connection is then aborted."""
         raise NotImplementedError
 
     def on_connection_lost(self) -> None:
-        """The connection is closed."""
+        """Handle the close of the connection; called once."""
         raise NotImplementedError
 
     def response_begun(self) -> bool:
@@ -133,7 +137,7 @@
         return self._received_bytes > 0
 
     def write(self, data: bytes) -> None:
-        """Write one request; `unsent` tells whether some of it has not left this process."""
+        """Write one request; `unsent` is then set if some of it has not left this process."""
         self._responses_due += 1
         self.transport.write(data)
         self.unsent = self.transport.get_write_buffer_size() > 0
@@ -144,30 +148,30 @@
             self.transport.abort()
 
     def as_protocol(self) -> asyncio.Protocol:
-        """Itself, as the typed functions of the loop expect it."""
+        """This object, typed as the event loop's functions expect it."""
         return cast(asyncio.Protocol, self)
 
     # The methods of asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; `resume_writing` is called once all that was written has left."""
+        """Store the transport; `resume_writing` will be called whenever its write buffer becomes empty."""
         self.transport = cast(asyncio.Transport, transport)
         self._connected = True
         self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
-        """Part of what was written waits; `write` has noted it."""
+        """Nothing to do: `write` has set `unsent` already."""
 
     def resume_writing(self) -> None:
-        """The last byte of what was written has left this process."""
+        """Clear `unsent`: the last written byte has left this process."""
         self.unsent = False
 
     def data_received(self, data: bytes) -> None:
-        """Parse, then deliver the complete responses that are due; abort the connection on anything else.
+        """Parse input and deliver the complete responses that are due; abort on any other input.
 
-        A response that was not requested, such as a second copy behind a good one, would be read as the
-        response to the next request. So responses are delivered only once all input that came with them has
-        been looked at.
+        A response that was not requested, such as a duplicate after a valid one, would be taken for the
+        response to the next request. Responses are therefore delivered only after all input that arrived with
+        them has been checked.
         """
         if self.transport.is_closing():
             return
@@ -196,7 +200,7 @@
             self._first_byte_at, self._needs_reset = time.monotonic(), True
 
     def eof_received(self) -> None:
-        """Complete a response that ends with its connection, if one is due."""
+        """Complete a response that is delimited by the close of its connection, if one is due."""
         if self._ends_with_connection and self._responses_due == 1 and not self.transport.is_closing():
             self._responses_due = 0
             response = self._make_response(False)
@@ -204,30 +208,31 @@
             self.on_response(response, False)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the subclass by `on_connection_lost`, once."""
+        """Call `on_connection_lost`, at most once."""
         if self._connected:
             self._connected = False
             self.on_connection_lost()
 
     def on_dial_failed(self) -> None:
-        """The dial failed or was cancelled.
+        """Handle a dial that failed or was cancelled.
 
-        If that happens in the turn of the loop in which the connection came up, uvloop closes it and never
-        calls `connection_lost`; its descriptor would be counted as open for ever.
+        If a dial fails or is cancelled in the iteration of the loop in which its connection was established, uvloop
+        closes the connection without calling `connection_lost`; its descriptor would be counted as open for
+        ever.
         """
         self.connection_lost(None)
 
-    # httptools; what these raise reaches data_received as an HttpParserError
+    # Callbacks of httptools; exceptions raised here reach data_received as an HttpParserError
 
     def on_message_begin(self) -> None:
-        """A response begins, possibly an interim one."""
+        """Note that a response has begun, possibly an interim one."""
         self._response_begun = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header under its name in lower case; trailers are ignored.
+        """Store a header under its name in lower case; trailers are ignored.
 
         Raises:
-            MalformedResponseError: a second Content-Length.
+            MalformedResponseError: There is a second Content-Length.
         """
         name = name.lower()
         if self._in_trailers:
@@ -237,36 +242,36 @@
         self._headers[name] = value.strip(OPTIONAL_WHITESPACE)
 
     def on_headers_complete(self) -> None:
-        """Decide how the body is framed.
+        """Determine the framing of the body.
 
         Raises:
-            MalformedResponseError: the framing is ambiguous, or the body is too long.
+            MalformedResponseError: The framing is ambiguous, or the body is too long.
         """
         length, coding = self._headers.get(b"content-length"), self._headers.get(b"transfer-encoding")
         status = self._parser.get_status_code()
         if status < 200 or status in BODILESS_STATUSES:
             return
         if coding is not None and (length is not None or coding.strip().lower() != b"chunked"):
-            raise MalformedResponseError("ambiguous framing")
+            raise MalformedResponseError("Transfer-Encoding: expected chunked, without Content-Length")
         if coding is not None:
             self._in_trailers = self._needs_reset = True  # further headers are trailers
             return
         if length is None and self.accepts_streams and self._announces_close():
             self._ends_with_connection = self._needs_reset = True
             return
-        # One with neither length nor chunks would be cut unnoticed where its connection breaks.
+        # With neither a length nor chunks, a response truncated by a lost connection would look complete.
         if length is None or not length.isdigit():
-            raise MalformedResponseError("no valid length")
+            raise MalformedResponseError("no valid Content-Length")
         if int(length) > self._max_body_bytes:
             if not self.accepts_streams or int(length) > MAX_STREAMED_BODY_BYTES:
-                raise MalformedResponseError("longer than may be forwarded")
+                raise MalformedResponseError("Content-Length too long")
             self._content_length = int(length)
             self._start_stream()
 
     def _announces_close(self) -> bool:
-        """Whether the head says that the connection ends with the response.
+        """Whether the head announces that the connection is closed after the response.
 
-        Without that, a head that lost its length on the way would be waited on for a close that never comes.
+        Without this check, the gateway would wait for a close that never comes if a response lost its length.
         """
         return (
             b"close" in self._headers.get(b"connection", b"").lower()
@@ -274,10 +279,10 @@
         )
 
     def _start_stream(self) -> None:
-        """Begin to forward the response."""
+        """Begin to stream the response."""
         self._streaming = self._needs_reset = True
         if not self.on_stream_start(self._make_response(False)):
-            raise MalformedResponseError("it may not be forwarded")
+            raise MalformedResponseError("response may not be streamed")
 
     def _make_response(self, keep_alive: bool) -> Response:
         body = b"" if self._streaming else b"".join(self._body)
@@ -292,15 +297,15 @@
         )
 
     def on_body(self, data: bytes) -> None:
-        """Buffer the body, or forward it where the response is streamed.
+        """Buffer the body, or forward it if the response is streamed.
 
         Raises:
-            MalformedResponseError: the body exceeds its limit.
+            MalformedResponseError: The body exceeds its limit.
         """
         self._body_bytes += len(data)
         if self._streaming:
             if self._body_bytes > MAX_STREAMED_BODY_BYTES:
-                raise MalformedResponseError("too long")
+                raise MalformedResponseError("streamed body too long")
             self.on_stream_data(data)
         elif self._body_bytes <= self._max_body_bytes:
             self._body.append(data)
@@ -309,10 +314,10 @@
             self.on_stream_data(b"".join(self._body) + data)
             self._body.clear()
         else:
-            raise MalformedResponseError("too long")
+            raise MalformedResponseError("body too long")
 
     def on_message_complete(self) -> None:
-        """A response is complete; interim ones (1xx) are skipped, but count towards its size limit."""
+        """Store the complete response; interim ones (1xx) are skipped, but count towards the size limit."""
         status = self._parser.get_status_code()
         if status >= 200:
             self._received_bytes = 0
--- a/hillmux/net/listener.py
+++ b/hillmux/net/listener.py
@@ -1,4 +1,4 @@
-"""Accepts clients within a bound of descriptors, and keeps their connections until each is closed."""
+"""Accepts client connections within a limit on descriptors, and closes or migrates them."""
 
 from __future__ import annotations
 
@@ -23,40 +23,40 @@
 log = logging.getLogger(__name__)
 Connection = TypeVar("Connection", bound=ClientConnection)
 
-CLIENT_DESCRIPTOR_SHARE: Final = 0.5
-MAX_EVICTION_CANDIDATES: Final = 8  # idle connections that are looked at when one of them has to be closed
-MAX_ACCEPTS_PER_TURN: Final = 16  # of the event loop, which has other work too
+CLIENT_DESCRIPTOR_SHARE: Final = 0.5  # of the process's descriptors
+MAX_EVICTION_CANDIDATES: Final = 8  # idle connections examined for each eviction
+MAX_ACCEPTS_PER_TURN: Final = 16  # per iteration of the event loop, to leave time for its other work
 ACCEPT_RETRY_DELAY_S: Final = 0.05
-MIGRATION_RETRY_INTERVAL_S: Final = 0.005  # between looks for idle connections, while a successor takes over
+MIGRATION_RETRY_INTERVAL_S: Final = 0.005  # between searches for idle connections while migrating
 
 
 class RequestHandler(Protocol):
-    """Takes the requests of one listener."""
+    """Handles the requests of one listener."""
 
     draining: bool
     settings: api.Settings
 
     def request(self, client: Client, forward_request: ForwardRequest) -> str | None:
-        """Take a request; its id, or None if the client's own id is in use."""
+        """Begin to handle a request; return its id, or None if the client's request id is in use."""
 
     def client_disconnected(self, request_id: str) -> None:
-        """The client of an open request has disconnected."""
+        """Abandon an open request whose client has disconnected."""
 
     def abort_request(self, request_id: str, status: int) -> None:
-        """An open request will never be complete: its client is answered `status`."""
+        """End an open request whose body will never be complete; its client is answered `status`."""
 
     def ready(self) -> bool:
-        """Whether requests can be served."""
+        """Whether requests can be handled, as `/ready` reports it."""
 
 
 class SuccessorProcess(Protocol):
-    """The process that takes over our clients."""
+    """The successor process, which takes over the listening socket and the client connections."""
 
     def pass_connection(self, descriptor: int) -> None:
-        """Pass a connection on; the descriptor belongs to the successor from now on."""
+        """Pass a connection to the successor, and take ownership of its descriptor."""
 
     def all_passed(self) -> bool:
-        """Whether all connections that were passed on have left this process."""
+        """Whether all connections passed on have been sent to the successor."""
 
 
 def _as_protocol(connection: ClientConnection) -> asyncio.Protocol:
@@ -64,32 +64,38 @@
 
 
 class Listener(Generic[Connection]):
-    """Accepts clients while there is capacity, and closes or migrates their connections."""
+    """Accepts clients while there is capacity; keeps, closes and migrates their connections."""
 
     connection_type: ClassVar[type[Any]] = ClientConnection
 
     def __init__(self, handler: RequestHandler, loop: asyncio.AbstractEventLoop, sockets: int) -> None:
-        """`sockets`: the descriptors that the process may use."""
+        """Create a listener that does not listen yet.
+
+        Args:
+            handler: Handles the requests.
+            loop: The event loop.
+            sockets: The number of descriptors that the process may use.
+        """
         self.handler, self.loop = handler, loop
         self.request_rules = self._make_request_rules()
         self.hang_up_detector = HangUpDetector(loop)
         self.unparsed_total = UnparsedTotal()
         self.connections: set[Connection] = set()
-        # Idle connections, the longest idle first
+        # Idle connections, ordered by how long they have been idle, longest first
         self._idle_after_answer: dict[Connection, None] = {}
         self._awaiting_first_request: dict[Connection, None] = {}
         self.max_connections = int(CLIENT_DESCRIPTOR_SHARE * sockets)
         self._listening = ListeningSockets(loop, self.accept)
         self._setup_tasks: set[asyncio.Task[Any]] = set()
-        self._being_set_up: set[Connection] = set()  # accepted, and not yet connected to a transport
-        self._evicted: set[Connection] = set()  # aborted to make capacity, and not yet closed
-        self.successor: SuccessorProcess | None = None  # accepts in our place, and takes connections over
+        self._being_set_up: set[Connection] = set()  # accepted, but without a transport so far
+        self._evicted: set[Connection] = set()  # aborted to free capacity, but not closed so far
+        self.successor: SuccessorProcess | None = None  # now accepts clients and takes over connections
 
     def _make_request_rules(self) -> RequestRules | None:
         return RequestRules(self.handler.settings)
 
     def reload_settings(self) -> None:
-        """Check requests by the handler's settings as they are now."""
+        """Check further requests against the handler's current settings."""
         self.request_rules = self._make_request_rules()
 
     # Listening
@@ -100,12 +106,17 @@
         return self._listening.sockets
 
     def start(self, *addresses: Address, shared: bool = False) -> list[Address]:
-        """Listen; the addresses, with the ports that the system chose for 0.
+        """Listen on addresses.
+
+        Args:
+            addresses: Addresses to bind; port 0 lets the system choose.
+            shared: Whether other processes of this user may listen on the same addresses.
 
-        With `shared`, several processes of this user may listen on them.
+        Returns:
+            The bound addresses with their actual ports.
 
         Raises:
-            OSError: an address cannot be listened on; then none is.
+            OSError: An address could not be bound; all sockets are closed again.
         """
         try:
             self._listening.open(addresses, shared)
@@ -115,7 +126,11 @@
         return self._start_listening()
 
     def inherit_socket(self, descriptor: int) -> list[Address]:
-        """Listen on another process's socket; its address. Clients in its backlog are ours."""
+        """Accept on a listening socket of another process, including the clients in its backlog.
+
+        Returns:
+            The socket's address.
+        """
         self._listening.inherit(descriptor)
         return self._start_listening()
 
@@ -131,7 +146,7 @@
         self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
 
     def stop_accepting(self) -> None:
-        """Close the listening sockets, once all clients in their backlogs are accepted."""
+        """Accept the clients that wait in the backlogs, then close the listening sockets."""
         if not self._listening.lent:
             for sock in self._listening.sockets:
                 self.accept(sock, LISTEN_BACKLOG)
@@ -140,24 +155,27 @@
     # Migration to a successor process
 
     def lend_socket(self) -> int:
-        """Accept no more for now; a descriptor of the listening socket, in whose backlog clients wait."""
+        """Pause accepting and return a duplicate descriptor of the first listening socket.
+
+        Clients that connect while accepting is paused wait in the socket's backlog.
+        """
         self._listening.unwatch()
         self._listening.lent = True
         return self._listening.duplicate()
 
     def take_back_socket(self) -> None:
-        """Accept again: the other process did not."""
+        """Resume accepting after a handover that did not take place."""
         self._listening.lent = False
         self._resume_accepting()
 
     def hand_over_to(self, successor: SuccessorProcess) -> None:
-        """Pass idle connections to the process that accepts on our socket, the others after their answers."""
+        """Stop listening and pass on connections: idle ones now, the others after their response."""
         self._listening.close()
         self.successor = successor
         self.migrate_connections()
 
     def migrate_connections(self) -> None:
-        """Pass idle connections on, again and again until no connection is left."""
+        """Pass idle connections to the successor; repeats until no connection is left."""
         if self.successor is None:
             return
         for connection in list(self.connections):
@@ -166,9 +184,10 @@
             self.loop.call_later(MIGRATION_RETRY_INTERVAL_S, self.migrate_connections)
 
     def adopt_connection(self, descriptor: int) -> None:
-        """Take over a connection that another process has answered on; closed where there is no capacity.
+        """Take over a connection on which another process has already answered requests.
 
-        Its client retries on a new connection then.
+        It is closed if there is neither capacity nor a connection to evict; its client then retries on a new
+        connection.
         """
         connection = self.connection_type(self)
         connection.answered = True
@@ -178,7 +197,11 @@
         self._set_up_connection(connection, socket.socket(fileno=descriptor))
 
     def close_idle(self) -> bool:
-        """Close the idle connections, or pass them on; True once none is left."""
+        """Close the idle connections, unless a successor process takes them over.
+
+        Returns:
+            Whether no connection is left or being set up, and all that were passed on have been sent.
+        """
         if self.successor is None:
             now = self.loop.time()
             for connection in list(self.connections):
@@ -186,23 +209,23 @@
         all_sent = self.successor is None or self.successor.all_passed()
         return not self.connections and not self._setup_tasks and all_sent
 
-    # From connections
+    # Called by connections
 
     def on_connection_made(self, connection: Connection) -> None:
-        """A connection is up, and silent so far."""
+        """Register a new connection, which is idle until its first request."""
         self._being_set_up.discard(connection)
         self.connections.add(connection)
         self.mark_idle(connection)
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """A connection is closed; there is capacity for another."""
+        """Deregister a closed connection, and accept another client if one waits."""
         self.connections.discard(connection)
         self._evicted.discard(connection)
         self.mark_busy(connection)
         self._resume_accepting()
 
     def mark_idle(self, connection: Connection) -> None:
-        """No answer is due on a connection from now on."""
+        """Record that no response is due on a connection any more."""
         connection.waiting_since = self.loop.time()
         self.mark_busy(connection)
         idle = self._idle_after_answer if connection.answered else self._awaiting_first_request
@@ -210,18 +233,18 @@
         self._resume_accepting()
 
     def mark_busy(self, connection: Connection) -> None:
-        """An answer is due on a connection."""
+        """Record that a response is due on a connection, or that the connection is closing."""
         self._idle_after_answer.pop(connection, None)
         self._awaiting_first_request.pop(connection, None)
 
     # Capacity
 
     def ensure_capacity(self) -> bool:
-        """Whether a client can be accepted now; if not, an idle connection is evicted for one that waits.
+        """Whether a client can be accepted now; if not, evict an idle connection for a waiting client.
 
-        So those who only hold connections, silent or with half a request, do not shut out those who ask. A
-        connection with an answer goes first: its client retries on a new one, while the first request on a
-        new connection that is closed has failed.
+        Eviction keeps idle clients and clients with incomplete requests from shutting out active ones.
+        Connections that have been answered are evicted first: their clients retry on a new connection, while
+        closing a connection before its first response makes that request fail.
         """
         if self._below_limit():
             return True
@@ -236,10 +259,11 @@
         return self._listening.has_waiting_client()
 
     def _evict_idle(self, idle: dict[Connection, None]) -> bool:
-        """Abort the connection idle for longest that loses nothing by it; whether there was one.
+        """Abort the longest idle connection that can be closed without loss; return whether there was one.
 
-        Its descriptor is free only in the next turn of the loop. A client accepted before that would take one
-        that hosts, counter or discovery need, so there is capacity only once it is closed.
+        Its descriptor becomes free only in the next iteration of the loop. A client accepted before that
+        would use a descriptor that hosts, the counter or discovery need, so there is no capacity until the
+        connection is closed.
         """
         for connection in islice(idle, MAX_EVICTION_CANDIDATES):
             if connection.can_close_without_loss():
@@ -256,14 +280,14 @@
             self._listening.watch()
 
     def accept(self, sock: socket.socket, max_accepts: int = MAX_ACCEPTS_PER_TURN) -> None:
-        """Accept clients that wait on a listening socket.
+        """Accept up to `max_accepts` clients that wait on a listening socket.
 
-        Without capacity they stay in the backlog, and a failed accept is retried later: neither ends the
-        listener.
+        Without capacity the clients stay in the backlog. After a failed accept, accepting resumes
+        ACCEPT_RETRY_DELAY_S later.
         """
         for _ in range(max_accepts):
             if not self.ensure_capacity():
-                if self._client_waiting():  # otherwise the next client finds the socket watched
+                if self._client_waiting():  # if none waits, the socket stays watched for the next one
                     self._listening.unwatch()
                 return
             try:
@@ -290,5 +314,5 @@
         self._setup_tasks.discard(task)
         self._being_set_up.discard(connection)
         if not task.cancelled() and task.exception() is not None:
-            log.warning("client connection lost before it was set up: %s", task.exception())
+            log.warning("client connection lost during set-up: %s", task.exception())
         self._resume_accepting()
--- a/hillmux/net/listening_sockets.py
+++ b/hillmux/net/listening_sockets.py
@@ -1,4 +1,4 @@
-"""The sockets that a listener accepts on: opened, inherited from another process, or lent to one."""
+"""The sockets on which a listener accepts: bound here, inherited from another process, or lent to one."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 class ListeningSockets:
-    """Listening sockets, and whether the loop watches them for connections."""
+    """A listener's sockets, and whether the event loop watches them for new connections."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, accept: Callable[[socket.socket], None]) -> None:
         self._loop, self._accept = loop, accept
         self.sockets: list[socket.socket] = []
-        self.lent = False  # another process accepts on them for now
+        self.lent = False  # another process may accept on them, so this one must not
         self._watched = False
 
     def open(self, addresses: Sequence[Address], shared: bool) -> None:
-        """Listen on addresses; with `shared`, several processes of this user may.
+        """Listen on addresses; with `shared`, several processes of this user may listen on them.
 
         Raises:
-            OSError: an address cannot be listened on; some of the sockets may be open by then.
+            OSError: An address could not be bound; the sockets bound before it stay open.
         """
         for address in addresses:
             family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
@@ -45,31 +45,31 @@
             self.sockets.append(sock)
 
     def inherit(self, descriptor: int) -> None:
-        """Listen on another process's socket, and take what waits in its backlog."""
+        """Listen on the socket of another process, including the clients in its backlog."""
         sock = socket.socket(fileno=descriptor)
         sock.setblocking(False)
         self.sockets.append(sock)
 
     def duplicate(self) -> int:
-        """A further descriptor of the first socket, for another process."""
+        """Duplicate the descriptor of the first socket, to be passed to another process."""
         return os.dup(self.sockets[0].fileno())
 
     def addresses(self) -> list[Address]:
-        """The addresses, with the ports that the system chose for 0."""
+        """The bound addresses with their actual ports."""
         return [sock.getsockname()[:2] for sock in self.sockets]
 
     def can_watch(self) -> bool:
-        """Whether they are not watched and may be."""
+        """Whether there are sockets that are neither watched nor lent."""
         return bool(self.sockets) and not self._watched and not self.lent
 
     def watch(self) -> None:
-        """Call `accept` whenever a client waits on a socket."""
+        """Start to call `accept` whenever a client waits on a socket."""
         self._watched = True
         for sock in self.sockets:
             self._loop.add_reader(sock, self._accept, sock)
 
     def unwatch(self) -> None:
-        """Leave clients in the backlog for now."""
+        """Stop watching; new clients wait in the backlog."""
         if self._watched:
             self._watched = False
             for sock in self.sockets:
@@ -83,7 +83,7 @@
         return bool(poll.poll(0))
 
     def close(self) -> None:
-        """Stop listening."""
+        """Close all sockets."""
         self.unwatch()
         for sock in self.sockets:
             sock.close()
--- a/hillmux/net/request_parser.py
+++ b/hillmux/net/request_parser.py
@@ -1,4 +1,4 @@
-"""Parses the requests of one client connection and queues those that are complete; knows no sockets."""
+"""Parses the requests of one client connection and queues the complete ones; does not read from sockets."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 )
 
 MAX_HEAD_BYTES: Final = 32 * 1024
-MAX_FRAMED_BODY_BYTES: Final = 2 * MAX_BUFFERED_BODY_BYTES  # a buffered body together with its chunk lines
-MAX_PIPELINED: Final = 16  # complete requests that may wait behind the open one
+MAX_FRAMED_BODY_BYTES: Final = 2 * MAX_BUFFERED_BODY_BYTES  # a buffered body including its chunk lines
+MAX_PIPELINED: Final = 16  # complete requests queued behind the open one
 
 
 class RequestParser:
-    """The callbacks of httptools for one connection.
+    """The httptools callbacks of one connection.
 
-    What they raise reaches the caller of `feed_data` as an `HttpParserError`; `_parse_error_status` is the
-    status that the client is answered then.
+    An exception in a callback reaches the caller of `feed_data` as an `HttpParserError`; the client is then
+    answered with `_parse_error_status`.
     """
 
     kept_headers = GATEWAY_HEADERS
-    max_body_bytes = MAX_BUFFERED_BODY_BYTES  # a longer Content-Length is rejected with the head
+    max_body_bytes = MAX_BUFFERED_BODY_BYTES  # a larger Content-Length is rejected when the head is parsed
     max_request_bytes = MAX_HEAD_BYTES + MAX_FRAMED_BODY_BYTES
     message_type: type[RequestMessage] = RequestMessage
 
@@ -39,33 +39,35 @@
         self._loop = loop
         self.transport = NOT_CONNECTED
         self._parser = httptools.HttpRequestParser(self)
-        self._message: RequestMessage | None = None  # the one that is being received
-        self._queue: deque[RequestMessage | RejectedRequest] = deque()  # in order of arrival
-        self._answer_due = False  # a request of this connection is open
+        self._message: RequestMessage | None = None  # the message being received
+        self._queue: deque[RequestMessage | RejectedRequest] = deque()  # requests in order of arrival
+        self._answer_due = False  # a request is open: its response has not been sent
         self._parse_error_status = 400
-        self._received_bytes = 0  # of the message that is being received, or discarded after a rejection
+        # Bytes received of the current message, or discarded after a rejection or the last response
+        self._received_bytes = 0
 
     def on_message_begin(self) -> None:
-        """A request begins.
+        """Start a new request.
 
         Raises:
-            BadRequestError: more than MAX_PIPELINED requests wait already; bounds the connection's memory.
+            BadRequestError: More than MAX_PIPELINED requests are queued; the limit bounds the connection's
+                memory.
         """
         if len(self._queue) > MAX_PIPELINED:
             raise BadRequestError("too many requests at once")
         self._message = self.message_type()
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the request target."""
+        """Append a piece of the request target."""
         message = self._message
         assert message is not None
         message.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header of `kept_headers`; trailers are ignored, since the head has decided the request.
+        """Store a header if it is one of `kept_headers`; trailers are ignored.
 
         Raises:
-            BadRequestError: all headers together exceed MAX_HEAD_BYTES.
+            BadRequestError: The headers exceed MAX_HEAD_BYTES in total.
         """
         message = self._message
         assert message is not None
@@ -82,10 +84,10 @@
             headers[name] = value.strip(OPTIONAL_WHITESPACE)
 
     def on_headers_complete(self) -> None:
-        """Check the framing, and answer `Expect: 100-continue`.
+        """Check the framing, and send the interim response to `Expect: 100-continue`.
 
         Raises:
-            BadRequestError: the framing is ambiguous (400) or the body too long (413).
+            BadRequestError: The framing is ambiguous (400) or the body too long (413).
         """
         message = self._message
         assert message is not None
@@ -99,7 +101,7 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """Buffer the body up to MAX_BUFFERED_BODY_BYTES; what exceeds that goes to `on_oversized_body`."""
+        """Buffer the body up to MAX_BUFFERED_BODY_BYTES; data beyond that goes to `on_oversized_body`."""
         message = self._message
         assert message is not None
         message.body_bytes += len(data)
@@ -110,19 +112,19 @@
             message.body.append(data)
 
     def on_oversized_body(self, data: bytes) -> None:
-        """More of a body that is too long to be buffered.
+        """Handle a piece of a body that exceeds MAX_BUFFERED_BODY_BYTES; rejects it unless overridden.
 
         Raises:
-            BadRequestError: it is not accepted (413).
+            BadRequestError: The body is too long (413).
         """
         self._parse_error_status = 413
         raise BadRequestError("body", 413)
 
     def on_streamed_body_complete(self) -> None:
-        """The last byte of a streamed body has arrived."""
+        """Called when the last byte of a streamed body has arrived."""
 
     def on_message_complete(self) -> None:
-        """Queue the complete request; a streamed one has been queued with its head."""
+        """Queue the complete request; a request with a streamed body was queued before its end."""
         message = self._message
         assert message is not None
         if message.streamed_body is not None:
--- a/hillmux/net/requests.py
+++ b/hillmux/net/requests.py
@@ -1,4 +1,4 @@
-"""Checks a client's request, its framing and headers, and makes a `ForwardRequest` of it; no I/O."""
+"""Validates the framing and headers of a client's request and converts it to a `ForwardRequest`; no I/O."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class BadRequestError(ValueError):
-    """A request that is rejected with `status`."""
+    """A request is invalid and is rejected with `status`."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -42,7 +42,7 @@
 
 
 class RejectedRequest:
-    """A request that could not be parsed, in the queue so that it is answered in its turn."""
+    """Queued in place of a request that could not be parsed, so that its error response is sent in order."""
 
     __slots__ = ("status",)
 
@@ -51,7 +51,7 @@
 
 
 class RequestMessage:
-    """One request as parsed. Times are the event loop's, but for `read_at`."""
+    """One parsed request. Times are the event loop's, except `read_at`, which is by `time.monotonic`."""
 
     __slots__ = (
         "url",
@@ -76,37 +76,38 @@
         self.body_bytes = 0
         self.method = b""
         self.keep_alive = True
-        self.head_bytes = 0  # of its headers
-        self.has_duplicate_header = False  # one of the headers that are kept
-        self.read_at = 0.0  # when its last byte was read, by time.monotonic
-        self.body_started_at = 0.0  # 0: not noted yet
-        self.last_data_at = 0.0  # when a byte of its body arrived last
-        self.streamed_body: Any = None  # a `StreamedBody`, if its body is streamed
-        self.is_http_1_0 = False  # set only by the listener of many tenants
+        self.head_bytes = 0  # total length of the header names and values
+        self.has_duplicate_header = False  # one of the stored headers occurred more than once
+        self.read_at = 0.0  # time.monotonic when it was complete, or when its body began to be streamed
+        self.body_started_at = 0.0  # start of the body's time-outs; 0 until the first check after the head
+        self.last_data_at = 0.0  # time of the last body data; 0 before any
+        self.streamed_body: Any = None  # a `StreamedBody`, if the body is streamed
+        self.is_http_1_0 = False  # set only by connections of the multi-tenant listener
 
 
 class QuotaInfo(NamedTuple):
-    """The header Quota-Info."""
+    """The parsed header Quota-Info."""
 
     units: float
-    replicas: int  # gateways that this customer's requests may come through
+    replicas: int  # gateways over which this customer's requests are spread
     first_replica: int
 
 
 class RequestRules:
-    """What requests may name: classes and plans by their bytes in a header, and bounds of Quota-Info."""
+    """The values accepted in request headers: classes and plans by header value, and limits of Quota-Info."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.classes = {c.name.encode(): c for c in settings.classes}
         self.plans = {p.name.encode(): p.name for p in settings.plans}
         self._max_units, self._fleet_size = settings.max_request_units, settings.fleet_size
-        self.quota_info = lru_cache(maxsize=1024)(self._quota_info)  # few values occur in all traffic
+        self.quota_info = lru_cache(maxsize=1024)(self._quota_info)  # the traffic has few distinct values
 
     def _quota_info(self, value: bytes) -> QuotaInfo:
         """Parse a value such as `units=2,spread=3,first=1`.
 
         Raises:
-            BadRequestError: it is malformed, or a number is out of range and would distort a quota for long.
+            BadRequestError: The value is malformed, or a number is out of range and would distort a quota for
+                a long time.
         """
         fields = dict(part.strip().partition("=")[::2] for part in value.decode("latin-1").split(","))
         units, spread, first = (fields.get(name, "") for name in ("units", "spread", "first"))
@@ -126,23 +127,23 @@
 
 
 def parse_request(message: RequestMessage, rules: RequestRules) -> ForwardRequest:
-    """A request for `/api/` as a `ForwardRequest`, with at most its class's deadline.
+    """Convert a request below `/api/` to a `ForwardRequest`; its deadline is capped by its class's.
 
     Raises:
-        BadRequestError: it breaks the protocol.
+        BadRequestError: A header, the path, the method or the body is missing or invalid.
     """
     headers = message.headers
     path, _, _ = message.url.partition(b"?")
     customer = path.rpartition(b"/")[2]
     if not CUSTOMER_KEY.fullmatch(customer):
-        raise BadRequestError("customer")
+        raise BadRequestError("path: expected a customer key of 33 bits in 16 hexadecimal digits")
     request_class = rules.classes.get(headers.get(b"x-class", b""))
     plan = rules.plans.get(headers.get(b"plan", b""))
     if request_class is None or plan is None:
-        raise BadRequestError("class or plan")
+        raise BadRequestError("class or plan: not in the settings")
     deadline = DEADLINE_VALUE.fullmatch(headers.get(b"x-deadline", b""))
     if deadline is None:
-        raise BadRequestError("X-Deadline")
+        raise BadRequestError("X-Deadline: expected a number and m or u, as in 480m")
     time_left_ms = float(deadline[1]) / (1 if deadline[2] == b"m" else 1000)
     quota_info = rules.quota_info(headers.get(b"quota-info", b""))
     return ForwardRequest(
@@ -163,12 +164,12 @@
 
 
 def check_framing(message: RequestMessage, max_body_bytes: int = MAX_BUFFERED_BODY_BYTES) -> None:
-    """Check that a head frames the body in one way only, and within `max_body_bytes`.
+    """Check that the head frames the body unambiguously and within `max_body_bytes`.
 
-    Otherwise a request could be smuggled in another's body.
+    Ambiguous framing would allow request smuggling.
 
     Raises:
-        BadRequestError: the framing is ambiguous (400), or the body too long (413).
+        BadRequestError: The framing is ambiguous (400), or the body too long (413).
     """
     length = message.headers.get(b"content-length")
     coding = message.headers.get(b"transfer-encoding")
@@ -183,20 +184,23 @@
 
 
 def _encode_head(message: RequestMessage, request_class: api.RequestClass) -> bytes:
-    """The head for the host: method, path, query, id and key unchanged.
+    """Build the head sent to the host; method, path, query, request id and idempotency key are unchanged.
 
-    The method must suit the class: a request that is not idempotent must not come as one that is.
+    The method must match the class: a request that is not idempotent must not arrive as an idempotent one.
+
+    Raises:
+        BadRequestError: The request id, the method, the idempotency key or the body does not fit the class.
     """
     headers, key = message.headers, message.headers.get(b"idempotency-key")
     request_id = headers.get(b"x-request-id", b"")
     if not VISIBLE_TOKEN.fullmatch(request_id) or (key is not None and not VISIBLE_TOKEN.fullmatch(key)):
-        raise BadRequestError("X-Request-Id or Idempotency-Key")
+        raise BadRequestError("X-Request-Id or Idempotency-Key: expected 1 to 128 visible ASCII characters")
     if message.method != (b"GET" if request_class.idempotency == Idempotency.IDEMPOTENT else b"POST"):
-        raise BadRequestError("method")
+        raise BadRequestError("method: expected GET for idempotent classes, POST for others")
     if (request_class.idempotency == Idempotency.KEYED and key is None) or (
         request_class.idempotency == Idempotency.IDEMPOTENT and message.body_bytes
     ):
-        raise BadRequestError("Idempotency-Key or body")
+        raise BadRequestError("Idempotency-Key missing in a keyed class, or body in an idempotent one")
     lines = [
         b"%b %b HTTP/1.1\r\nHost: upstream\r\nX-Request-Id: %b\r\n"
         % (message.method, message.url, request_id)
--- a/hillmux/net/response_writer.py
+++ b/hillmux/net/response_writer.py
@@ -1,4 +1,4 @@
-"""The bytes of a buffered response to a client."""
+"""Encodes buffered responses to clients."""
 
 from __future__ import annotations
 
@@ -27,16 +27,24 @@
 
 
 def encode_response(
-    status: int, body: bytes, content_type: bytes, further_lines: bytes, keep_alive: bool
+    status: int, body: bytes, content_type: bytes, extra_header_lines: bytes, keep_alive: bool
 ) -> bytes:
-    """A whole response; `further_lines` are complete header lines, each with its line end."""
+    """Encode a complete response.
+
+    Args:
+        status: The response's status.
+        body: The response's body.
+        content_type: The value of Content-Type; no such header if empty.
+        extra_header_lines: Complete header lines, each with its line end.
+        keep_alive: Whether the connection stays open; otherwise `Connection: close` is added.
+    """
     parts = [STATUS_LINES.get(status) or b"HTTP/1.1 %d \r\n" % status]
     if status not in BODILESS_STATUSES:
         parts.append(b"Content-Length: %d\r\n" % len(body))
     if content_type:
         parts.append(b"Content-Type: %b\r\n" % content_type)
-    if further_lines:
-        parts.append(further_lines)
+    if extra_header_lines:
+        parts.append(extra_header_lines)
     parts.append(b"\r\n" if keep_alive else b"Connection: close\r\n\r\n")
     parts.append(body)
     return b"".join(parts)
--- a/hillmux/net/unparsed_input.py
+++ b/hillmux/net/unparsed_input.py
@@ -1,23 +1,23 @@
-"""Input that a client has sent behind requests that still wait, read but not yet parsed."""
+"""Input that was read while requests of its connection were queued, and has not been parsed yet."""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import Final
 
-MAX_CONNECTION_BYTES: Final = 1024 * 1024
-MAX_TOTAL_BYTES: Final = 4 * 1024 * 1024
+MAX_CONNECTION_BYTES: Final = 1024 * 1024  # unparsed bytes per connection above which reading pauses
+MAX_TOTAL_BYTES: Final = 4 * 1024 * 1024  # the same for all connections of a listener together
 
 
 class UnparsedTotal:
-    """The bytes of all connections of a listener together."""
+    """The total of unparsed bytes over all connections of a listener."""
 
     def __init__(self) -> None:
         self.size = 0
 
 
 class UnparsedInput:
-    """The pieces of one connection as they arrived, and their size in bytes."""
+    """The unparsed input of one connection: the pieces as read, and their total size in bytes."""
 
     def __init__(self, total: UnparsedTotal) -> None:
         self._total = total
@@ -25,12 +25,12 @@
         self.size = 0
 
     def append(self, data: bytes) -> None:
-        """Add a piece; it is not empty."""
+        """Append a piece, which must not be empty."""
         self._pieces.append(data)
         self._add(len(data))
 
     def popleft(self) -> bytes:
-        """Remove the oldest piece."""
+        """Remove and return the oldest piece."""
         data = self._pieces.popleft()
         self._add(-len(data))
         return data
@@ -41,7 +41,7 @@
         self._add(-self.size)
 
     def over_limit(self) -> bool:
-        """Whether no more may be read: this connection holds too much, or all of them together do."""
+        """Whether reading must pause, because of the limit for this connection or for the whole listener."""
         return self.size > MAX_CONNECTION_BYTES or (self.size > 0 and self._total.size > MAX_TOTAL_BYTES)
 
     def _add(self, size: int) -> None:
