--- a/hillmux/net/http1.py
+++ b/hillmux/net/http1.py
@@ -216,9 +216,8 @@
     def on_dial_failed(self) -> None:
         """Handle a dial that failed or was cancelled.
 
-        If a dial fails or is cancelled in the iteration of the loop in which its connection was established, uvloop
-        closes the connection without calling `connection_lost`; its descriptor would be counted as open for
-        ever.
+        If that happens in the iteration of the loop in which the connection was established, uvloop closes
+        the connection without calling `connection_lost`; its descriptor would be counted as open for ever.
         """
         self.connection_lost(None)
 
