--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""A client that has gone, in every state of its connection: nothing more begins for it, nothing is kept."""
+"""Client disconnects in each state of a connection: no further attempt starts, and no resource is kept."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from fakes.raw import Peer, RawHost
 from fakes.system import Blocked, held, sockets
 
-RESET = struct.pack("ii", 1, 0)
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: the close sends a reset
 
 
 def silent(seen: Seen) -> None:
@@ -20,7 +20,7 @@
 
 
 def leave(writer: asyncio.StreamWriter, how: str) -> None:
-    """End a client's connection: in good order, by half of it, or by a reset."""
+    """Close, half-close or reset a client's connection."""
     sock = writer.get_extra_info("socket")
     if how == "half":
         writer.write_eof()
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("how", ["close", "half", "reset"])
 @pytest.mark.parametrize("size", [0, 60_000])
 def test_pipelined_requests_are_dropped_when_client_disconnects(tmp_path: Path, how: str, size: int) -> None:
-    """What stands behind the open request is never sent on, however much of it lies unread."""
+    """Guards against forwarding requests pipelined behind the open one, even if they are still unread."""
 
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
@@ -43,12 +43,12 @@
             await host.until(lambda fake: len(fake.seen) == 1)
             for i in range(12):
                 writer.write(message("put", rid=b"behind-%d" % i, body=b"x" * size))
-            await asyncio.sleep(0.05)  # what the system takes of it has gone out
+            await asyncio.sleep(0.05)  # the socket buffers have accepted what they can
             leave(writer, how)
-            await host.until(lambda fake: fake.closed == 1)  # the gateway has seen it, and gave the open up
+            await host.until(lambda fake: fake.closed == 1)  # the gateway has abandoned the open attempt
             _, other = await rig.connect()
             other.write(message(rid=b"other"))
-            await host.until(lambda fake: len(fake.seen) > 1)  # whatever came before it would be here by now
+            await host.until(lambda fake: len(fake.seen) > 1)  # earlier requests would have arrived by now
             assert [seen.headers["x-request-id"] for seen in host.seen] == ["open", "other"]
             other.close()
             writer.transport.abort()
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_disconnect_is_noticed_while_body_is_paused(tmp_path: Path, how: str) -> None:
-    """Its connection is not being read then: the end is seen all the same, and the dial called off."""
+    """The connection is not being read then; its end must still be noticed and the dial cancelled."""
 
     async def scenario() -> None:
         with Blocked() as host:
@@ -75,16 +75,16 @@
                 writer.write(b"x" * 1000)
                 while not held(rig):
                     await asyncio.sleep(0.01)
-                both = sockets(rig)
+                sockets_before = sockets(rig)
                 leave(writer, how)
-                while sockets(rig) > both - 2:  # the client's and the dial's are closed
+                while sockets(rig) > sockets_before - 2:  # until the client's and the dial's are closed
                     await asyncio.sleep(0.01)
 
     on_loop(scenario, 10)
 
 
 def test_half_closed_client_that_does_not_read_is_closed(tmp_path: Path) -> None:
-    """A close waits for the client to read what was answered: what is open for it must not wait, too."""
+    """The transport closes only after the client has read its response; the attempt must end before that."""
 
     async def scenario() -> None:
         ended = asyncio.Event()
@@ -105,7 +105,7 @@
             _, writer = await rig.connect()
             writer.transport.pause_reading()
             writer.write(message())
-            await asyncio.sleep(0.5)  # both sides' buffers are full
+            await asyncio.sleep(0.5)  # the buffers of both sides are full
             assert not ended.is_set()
             writer.write_eof()
             await ended.wait()
@@ -115,22 +115,22 @@
     on_loop(scenario, 8)
 
 
-def test_long_bodies_behind_open_requests_are_taken_in_turn(tmp_path: Path) -> None:
-    """More than is read ahead waits with the client, and nothing of it is lost."""
+def test_long_bodies_behind_open_requests_are_forwarded_in_order(tmp_path: Path) -> None:
+    """Guards against losing input beyond the read-ahead limit, where the gateway stops reading."""
 
     async def scenario() -> None:
-        got: list[tuple[str, int]] = []
-        go_on = asyncio.Event()
+        received: list[tuple[str, int]] = []
+        respond = asyncio.Event()
 
-        async def count(peer: Peer) -> None:
+        async def record_sizes(peer: Peer) -> None:
             while True:
                 head = await peer.head()
                 body = await peer.body(head)
-                await go_on.wait()
-                got.append((head.split()[1], len(body)))
+                await respond.wait()
+                received.append((head.split()[1], len(body)))
                 await peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
-        host = await RawHost(count).start()
+        host = await RawHost(record_sizes).start()
         rig = Rig(tmp_path)
         rig.others = [instance("s-0", host.port)]
         async with rig:
@@ -138,10 +138,10 @@
             for i, size in enumerate((0, 100, 3_000_000, 10, 700_000, 0)):
                 writer.write(message("put", rid=b"id-%d" % i, body=b"x" * size))
             await asyncio.sleep(0.2)
-            go_on.set()
+            respond.set()
             for _ in range(6):
                 assert (await read_message(reader, writer)).body == b"ok"
-            assert [size for _, size in got] == [0, 100, 3_000_000, 10, 700_000, 0]
+            assert [size for _, size in received] == [0, 100, 3_000_000, 10, 700_000, 0]
             writer.close()
         host.stop()
 
@@ -149,7 +149,7 @@
 
 
 def test_pipelining_client_gets_all_answers_in_order(tmp_path: Path) -> None:
-    """Reading on behind an open request loses and reorders nothing."""
+    """Guards against losing or reordering requests that are read while an earlier one is open."""
 
     async def scenario() -> None:
         def echo(seen: Seen) -> bytes:
@@ -157,7 +157,7 @@
 
         async with Rig(tmp_path, echo) as rig:
             reader, writer = await rig.connect()
-            for i in range(40):  # more than may stand in one piece of what is read
+            for i in range(40):  # more than MAX_PIPELINED allows in one piece
                 writer.write(message("put", rid=b"id-%d" % i, body=b"x" * (30_000 + i)))
             for i in range(40):
                 assert (await read_message(reader, writer)).body == b"id-%d/%d" % (i, 30_000 + i)
@@ -184,7 +184,7 @@
                 requests[4][middle:] + requests[5] + requests[6][:middle],
             ):
                 writer.write(piece)
-                await asyncio.sleep(0.05)  # so that the gateway reads it alone
+                await asyncio.sleep(0.05)  # so that the gateway reads each piece separately
             host.seen[0].writer.write(reply(b"0"))
             await host.until(lambda fake: len(fake.seen) == 2)
             writer.write(requests[6][middle:] + requests[7])
@@ -205,17 +205,17 @@
 
     async def scenario() -> None:
         def answer(seen: Seen) -> bytes | None:
-            return reply(seen.headers["x-request-id"].encode()) if go_on.is_set() else None
+            return reply(seen.headers["x-request-id"].encode()) if respond.is_set() else None
 
-        go_on = asyncio.Event()
+        respond = asyncio.Event()
         async with Rig(tmp_path, answer) as rig:
             (host,) = rig.hosts
             reader, writer = await rig.connect()
             sent = b"".join(message("put", rid=b"id-%d" % i, body=b"x" * 1000) for i in range(60))
-            for start in range(0, len(sent), 5000):  # four requests and some; most pieces end in a request
+            for start in range(0, len(sent), 5000):  # over four requests; most pieces end within one
                 writer.write(sent[start : start + 5000])
                 await asyncio.sleep(0.02)
-            go_on.set()
+            respond.set()
             first = host.seen[0]
             first.writer.write(reply(first.headers["x-request-id"].encode()))
             for i in range(60):
--- a/tests/net/test_connection_close.py
+++ b/tests/net/test_connection_close.py
@@ -1,4 +1,4 @@
-"""The end of a client's connection: no answer is lost with it, and nothing that had come before it."""
+"""Closing client connections: no response is lost, and no request that had already arrived."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
     desk.server.close_idle()
 
 
-def sweep(desk: Desk) -> None:
+def time_out(desk: Desk) -> None:
     for connection in list(desk.server.connections):
         connection.check_timeouts(asyncio.get_running_loop().time() + KEEP_ALIVE_TIMEOUT_S + 1)
 
 
-def another(desk: Desk) -> None:
-    """There is no descriptor for one more."""
+def evict(desk: Desk) -> None:
+    """Evict an idle connection because the descriptor limit is reached."""
     desk.server.max_connections = len(desk.server.connections)
     desk.server.ensure_capacity()
 
 
-CLOSES = [drain, sweep, another]
+CLOSE_FUNCTIONS = [drain, time_out, evict]
 
 
-@pytest.mark.parametrize("closes", CLOSES)
+@pytest.mark.parametrize("close_connections", CLOSE_FUNCTIONS)
 def test_arrived_request_is_served_before_its_connection_closes(
-    closes: Callable[[Desk], None],
+    close_connections: Callable[[Desk], None],
 ) -> None:
     async def scenario() -> None:
         desk = Desk()
@@ -45,8 +45,8 @@
         assert await reads(client) == [b"first"]
         await asyncio.sleep(0.01)
         client.setblocking(True)
-        client.sendall(message(rid=b"crossing"))  # the system has it; the loop has had no turn since
-        closes(desk)
+        client.sendall(message(rid=b"crossing"))  # in the socket buffer; the loop has not run since
+        close_connections(desk)
         await desk.takes(2)
         desk.answer_all()
         assert await reads(client) == [b"crossing"]
@@ -55,26 +55,26 @@
     on_loop(scenario, 5)
 
 
-@pytest.mark.parametrize("closes", CLOSES)
-def test_answer_just_written_is_sent_before_close(closes: Callable[[Desk], None]) -> None:
+@pytest.mark.parametrize("close_connections", CLOSE_FUNCTIONS)
+def test_response_just_written_is_sent_before_close(close_connections: Callable[[Desk], None]) -> None:
     async def scenario() -> None:
         desk = Desk()
         client = desk.connect()
         client.sendall(message(rid=b"x" * 100))
         await desk.takes(1)
-        desk.answer_all()  # the loop writes at the end of its turn
-        closes(desk)
+        desk.answer_all()  # uvloop writes at the end of the iteration
+        close_connections(desk)
         assert await reads(client) == [b"x" * 100]
         client.close()
 
     on_loop(scenario, 5)
 
 
-@pytest.mark.parametrize("closes", [drain, sweep])
-def test_request_after_close_is_not_taken_and_resets_nothing(
-    closes: Callable[[Desk], None],
+@pytest.mark.parametrize("close_connections", [drain, time_out])
+def test_request_after_close_is_not_accepted_and_causes_no_reset(
+    close_connections: Callable[[Desk], None],
 ) -> None:
-    """Its client sees an end in good order, without an answer, and asks elsewhere."""
+    """The client must see an orderly close without a response, so that it can retry elsewhere."""
 
     async def scenario() -> None:
         desk = Desk()
@@ -83,7 +83,7 @@
         await desk.takes(1)
         desk.answer_all()
         await asyncio.sleep(0.01)
-        closes(desk)
+        close_connections(desk)
         client.sendall(message(rid=b"late"))
         assert await reads(client, 2) == [b"first"]
         assert desk.taken == [b"first"]
@@ -94,7 +94,7 @@
     on_loop(scenario, 5)
 
 
-def test_last_answer_survives_unread_input_behind_its_request() -> None:
+def test_last_response_survives_unread_input_behind_its_request() -> None:
     async def scenario() -> None:
         desk = Desk()
         client = desk.connect()
@@ -122,7 +122,7 @@
         desk.answer_all()
         assert await reads(client, 2) == [b"first"]
         loop = asyncio.get_running_loop()
-        with pytest.raises(ConnectionError):  # it neither stops nor closes
+        with pytest.raises(ConnectionError):  # this client neither stops sending nor closes
             while True:
                 await loop.sock_sendall(client, b"x" * 10_000)
                 await asyncio.sleep(0.001)
@@ -175,7 +175,7 @@
     on_loop(scenario, 5)
 
 
-def test_stop_accepting_takes_all_waiting_clients() -> None:
+def test_stop_accepting_accepts_all_waiting_clients() -> None:
     async def scenario() -> None:
         desk = Desk()
         clients = [desk.connect() for _ in range(3 * MAX_ACCEPTS_PER_TURN)]
@@ -191,15 +191,15 @@
     on_loop(scenario, 10)
 
 
-def test_shutdown_ends_after_last_answers_have_left() -> None:
-    """A client that is slow to read its last answer, or never does, holds the end up for a bounded time."""
+def test_shutdown_completes_after_last_responses_are_sent() -> None:
+    """Shutdown waits a bounded time for clients that read their last response late or never."""
 
     async def scenario() -> None:
         desk = Desk()
-        gateway = Failing(desk)
+        gateway = FailingGateway(desk)
         shutdown = Shutdown(gateway, desk.server, asyncio.get_running_loop())
-        client, never = desk.connect(), desk.connect()
-        for sock in (client, never):
+        client, non_reading_client = desk.connect(), desk.connect()
+        for sock in (client, non_reading_client):
             sock.sendall(message(rid=b"open"))
         await desk.takes(2)
         gateway.draining = desk.draining = True
@@ -208,17 +208,17 @@
         client.sendall(message(rid=b"behind"))  # unread when the answers are written
         assert not shutdown.done.is_set()
         await asyncio.sleep(0.04)
-        assert not shutdown.done.is_set()  # nobody has closed yet
+        assert not shutdown.done.is_set()  # no client has closed its connection so far
         assert (await reads(client, 1)) == [b"failed"]
         client.close()
         await shutdown.done.wait()
-        never.close()
+        non_reading_client.close()
 
     on_loop(scenario, 5)
 
 
-class Failing:
-    """A core that fails all that is open with an answer of its own."""
+class FailingGateway:
+    """A gateway core whose `fail_all` answers each open request with status 200 and the body `failed`."""
 
     draining = False
 
--- a/tests/net/test_pipelined_pieces.py
+++ b/tests/net/test_pipelined_pieces.py
@@ -1,4 +1,4 @@
-"""Pipelined requests, cut into pieces and answered at drawn moments: each arrives whole and in order."""
+"""Pipelined requests split into random pieces and answered at random times arrive complete and in order."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class RecordingHandler:
-    """Takes requests, and leaves them open until the test answers them."""
+    """Records requests and leaves them open until the test answers them."""
 
     draining = False
     settings = SETTINGS
@@ -41,17 +41,17 @@
         return str(len(self.ids))
 
     def client_disconnected(self, request_id: str) -> None:
-        raise AssertionError("no client leaves")
+        raise AssertionError("no client disconnects in this test")
 
     def abort_request(self, request_id: str, status: int) -> None:
-        raise AssertionError(f"request {request_id} is whole, but ended with {status}")
+        raise AssertionError(f"request {request_id} is complete, but ended with status {status}")
 
     def ready(self) -> bool:
         return True
 
 
 class FlowControlledTransport:
-    """A transport that holds what its client sends while reading is paused."""
+    """A transport that records writes and whether reading is paused."""
 
     def __init__(self) -> None:
         self.sock, self._other = socket.socketpair()
@@ -81,8 +81,8 @@
         self._other.close()
 
 
-def cut(data: bytes, rng: random.Random, max_piece: int) -> deque[bytes]:
-    """The data in pieces of drawn lengths."""
+def split_randomly(data: bytes, rng: random.Random, max_piece: int) -> deque[bytes]:
+    """Split data into pieces of random lengths from 1 to `max_piece` bytes."""
     pieces: deque[bytes] = deque()
     while data:
         length = rng.randint(1, max_piece)
@@ -92,8 +92,8 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_requests_arrive_whole_and_in_order_however_they_are_cut(seed: int) -> None:
-    """Guards against input that overtakes other input, and against a 400 for requests that came in time."""
+def test_randomly_split_requests_arrive_complete_and_in_order(seed: int) -> None:
+    """Guards against reordered input, and against a 400 for valid requests that had to wait unparsed."""
 
     async def scenario() -> None:
         rng = random.Random(seed)
@@ -104,12 +104,12 @@
         listener = StreamingListener(handler, asyncio.get_running_loop(), 1024)
         connection, transport = StreamingClientConnection(listener), FlowControlledTransport()
         connection.connection_made(transport)
-        pieces = cut(sent, rng, 4 * size)
-        answers, patience = 0, rng.random()
+        pieces = split_randomly(sent, rng, 4 * size)
+        answers, answer_rate = 0, rng.random()
         while answers < REQUESTS:
-            if pieces and transport.reading and rng.random() > patience / 4:
+            if pieces and transport.reading and rng.random() > answer_rate / 4:
                 connection.data_received(pieces.popleft())
-            elif answers < len(handler.ids) and rng.random() < patience:
+            elif answers < len(handler.ids) and rng.random() < answer_rate:
                 answers += 1
                 connection.answer(200, b"ok")
             elif not pieces and answers == len(handler.ids):
--- a/tests/net/test_rejected_requests.py
+++ b/tests/net/test_rejected_requests.py
@@ -1,4 +1,4 @@
-"""Requests that are rejected: bad input, ambiguous framing, excessive size."""
+"""Rejected requests: invalid input, ambiguous framing, excessive size."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 from fakes.host_behaviours import serve, silent
 
-BAD = [
+BAD_REQUESTS = [
     (b"nonsense\r\n\r\n", 400),
     (b"GET / HTTP/9.9\r\n\r\n", 400),
     (message(target="/other"), 404),
@@ -50,13 +50,13 @@
     (message(method="GET", drop="X", more="Content-Length: 70000\r\n") + b"x" * 70000, 400),
     *((message(drop=name), 400) for name in ("X-Request-Id", "X-Class", "Plan", "X-Deadline", "Quota-Info")),
 ]
-HIDDEN = b"0\r\n\r\n" + message(rid=b"hidden")
+SMUGGLED_REQUEST = b"0\r\n\r\n" + message(rid=b"hidden")
 
 
 def test_bad_request_reaches_no_host(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
-            for data, status in BAD:
+            for data, status in BAD_REQUESTS:
                 assert await rig.status(data) == status, data[:200]
             assert not rig.hosts[0].seen
             assert await rig.status(message("put", body=b"x" * 64 * 1024)) == 200  # the largest allowed
@@ -80,18 +80,18 @@
 
 
 def test_request_id_in_use_is_not_forwarded_twice(tmp_path: Path) -> None:
-    """Hosts know a request by its id: another client's copy of an open one would be its second run."""
+    """Hosts identify a request by its id: a second client's request with that id could run it twice."""
 
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
-            asked = asyncio.create_task(rig.ask(message("put")))
+            response_task = asyncio.create_task(rig.ask(message("put")))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
             assert await rig.status(message("put", customer="0000000000000001")) == 409
             rig.hosts[0].seen[0].writer.write(reply(b"served"))
-            assert (await asked).body == b"served"
+            assert (await response_task).body == b"served"
             assert len(rig.hosts[0].seen) == 1
             rig.hosts[0].behave = serve
-            assert await rig.status(message("put")) == 200  # it is no longer in use
+            assert await rig.status(message("put")) == 200  # the id is no longer in use
 
     on_loop(scenario)
 
@@ -114,8 +114,8 @@
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
-            more = lines.replace("%d", str(len(HIDDEN)))
-            writer.write(message("put", method="POST", drop="Content-Length", more=more) + HIDDEN)
+            more = lines.replace("%d", str(len(SMUGGLED_REQUEST)))
+            writer.write(message("put", method="POST", drop="Content-Length", more=more) + SMUGGLED_REQUEST)
             assert b"HTTP/1.1 400" in (await reader.read())
             assert b"hidden" not in [s.headers["x-request-id"].encode() for s in rig.hosts[0].seen]
 
@@ -123,7 +123,7 @@
 
 
 def test_rejected_request_closes_its_connection(tmp_path: Path) -> None:
-    """Guards the CPU: a flood has to connect again for each bad request, and what follows is not read."""
+    """Bounds the CPU time of a flood: each bad request needs a connection, and later input is not parsed."""
 
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
@@ -150,7 +150,7 @@
 
 
 def test_oversized_body_is_rejected_unread(tmp_path: Path) -> None:
-    """413 at once, whatever is still being sent; what is not read in the end is cut off."""
+    """The 413 is sent before the body is complete; too much further input resets the connection."""
 
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
