--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared helpers: a hand-driven gateway, and the real program between fakes on loopback sockets."""
+"""Shared helpers: a decision module driven event by event, and a gateway process between fake servers."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Pass over the tests that KNOWN-RED.txt names."""
+    """Skip the tests that KNOWN-RED.txt lists."""
     known_red.pass_over(config, items)
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print what was passed over."""
+    """Print the tests that were skipped because KNOWN-RED.txt lists them."""
     known_red.print_passed_over(terminalreporter)
 
 
@@ -85,14 +85,14 @@
 
 
 class Driver:
-    """A gateway with its clock, its open attempts and a counter of request ids."""
+    """Feeds events to a decision module; keeps its clock, a serial of request ids and a log of actions."""
 
     def __init__(self, servers: int = 4, seed: int = 1, now: float = 1e6, **changes: object) -> None:
         self.gateway = Gateway(settings(**changes), seed)
         self.now = now
         self.serial = 0
-        self.totals: dict[str, float] = {}  # the shared counter, and how many calls it has answered
-        self.answered = 0
+        self.totals: dict[str, float] = {}  # units by key in the simulated shared counter
+        self.answered = 0  # calls that the simulated counter has answered
         self.log: list[tuple[float, api.Action]] = []
         self.give(api.EndpointList(ListKind.CACHED, tuple(server(i) for i in range(servers))))
 
@@ -147,7 +147,7 @@
     return [a for a in out if isinstance(a, kind)]
 
 
-# --- The real program over loopback sockets ---------------------------------------------------------------
+# --- A gateway process on loopback sockets ----------------------------------------------------------------
 
 ROOT = Path(__file__).parent.parent
 LOOP = "127.0.0.1"
@@ -190,7 +190,7 @@
     key: bool = True,
     target: str = "",
 ) -> bytes:
-    """A client's request as bytes; `drop` leaves a header out, `more` adds lines."""
+    """Encode a client's request; `drop` omits a header, `more` adds complete header lines."""
     method = method or ("GET" if cls == "read" else "POST")
     lines = {
         "Host": "origin.svc",
@@ -211,7 +211,7 @@
 
 @dataclasses.dataclass
 class Seen:
-    """A message that a fake has read, and the connection that it came on."""
+    """A request or response that was read, with the writer of its connection."""
 
     line: str
     headers: dict[str, str]
@@ -220,7 +220,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Seen:
-    """One request or answer, whole."""
+    """Read one complete request or response."""
     line, *rest = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = {k.lower(): v for k, _, v in (r.partition(": ") for r in rest if r)}
     body = await reader.readexactly(int(headers.get("content-length", 0)))
@@ -228,12 +228,16 @@
 
 
 class Fake:
-    """A scripted HTTP server: `behave` turns a request into bytes; None is silence, b"" a reset."""
+    """A scripted HTTP server.
+
+    `behave` returns the bytes of the response to a request, None to send nothing, or b"" to reset the
+    connection.
+    """
 
     def __init__(self, behave: Behave) -> None:
         self.behave = behave
         self.seen: list[Seen] = []
-        self.opened = self.closed = 0  # connections; those that the other side ended
+        self.opened = self.closed = 0  # connections accepted, and of those closed by the other side
         self.changed = asyncio.Event()
 
     async def start(self) -> Fake:
@@ -262,7 +266,7 @@
             writer.close()
 
     async def until(self, ready: Callable[[Fake], bool]) -> None:
-        """Wait for what the fake sees; a test that waits in vain ends at its own limit."""
+        """Wait until `ready` returns true for this server; the limit of `on_loop` bounds the wait."""
         while not ready(self):
             self.changed.clear()
             await self.changed.wait()
@@ -272,14 +276,14 @@
 
 
 def adding(seen: Seen, totals: dict[str, float]) -> bytes:
-    """The counter: add, and tell the total."""
+    """Add the units of a counter call to its total, and return the response with the new total."""
     name, query = seen.line.split()[1].removeprefix("/v1/count/").split("?")
     totals[name] = totals.get(name, 0.0) + float(query.split("&")[0].removeprefix("add="))
     return reply(f"{totals[name]:g}".encode())
 
 
 class Directory:
-    """Discovery: the whole list at once, a watch held until `tell` or the end of its wait."""
+    """Fake discovery: answers a full request at once, and a watch at `tell` or after its `wait_ms`."""
 
     def __init__(self, instances: list[dict]) -> None:
         self.generation, self.instances = 1, instances
@@ -297,7 +301,7 @@
         return None
 
     def _waited(self, seen: Seen) -> None:
-        """Nothing was newer for as long as the watch waits."""
+        """Answer a watch whose wait has ended without a change."""
         if seen in self.waiting:
             self.waiting.remove(seen)
             seen.writer.write(self.listing([], False))
@@ -307,10 +311,11 @@
         return reply(json.dumps(raw).encode())
 
     async def tell(self, instances: list[dict], whole: bool = False) -> None:
-        """Answer the watch that is out, and wait for the next one."""
+        """Answer the open watch with instances, and wait for the next watch."""
         await self.answer_watch(lambda: self.listing(instances, whole))
 
     async def answer_watch(self, data: Callable[[], bytes]) -> None:
+        """Answer the open watch with `data`, and wait for the next watch."""
         await self.fake.until(lambda fake: bool(self.waiting))
         self.generation += 1
         count = len(self.fake.seen)
@@ -332,20 +337,22 @@
 
 
 class Rig:
-    """The real program between fake hosts, a fake counter and a fake discovery."""
+    """A gateway process with fake hosts, a fake counter and a fake discovery."""
 
     def __init__(self, folder: Path, *behaves: Behave, operated: bool = False, **limits: int) -> None:
         self.folder, self.limits, self.operated = folder, limits, operated
-        self.change: Callable[[dict], None] = lambda config: None  # what a test has different in the file
+        self.change: Callable[[dict], None] = lambda config: None  # a test's changes to the configuration
         self.operator_port = 0
-        self.others: list[dict] = []  # hosts in the list that are no fakes
-        self.old: list[tuple[asyncio.subprocess.Process, asyncio.Task]] = []  # and what reads their logs
+        self.others: list[dict] = []  # listed hosts other than `hosts`
+        self.old: list[
+            tuple[asyncio.subprocess.Process, asyncio.Task]
+        ] = []  # previous processes, each with the task that reads its log
         self.hosts = [Fake(b) for b in behaves]
         self.totals: dict[str, float] = {}
         self.counter = Fake(lambda seen: adding(seen, self.totals))
         self.process: asyncio.subprocess.Process | None = None
-        # Bound for as long as the rig lives: else another test's socket may be given the port of a process
-        # that is dead for the moment.
+        # Kept bound during the whole test: otherwise another test's socket could be assigned the port while
+        # no gateway process is running.
         self.port_reservation = socket.socket()
         self.port_reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.port_reservation.bind((LOOP, 0))
@@ -365,7 +372,7 @@
         return self
 
     def write_config(self) -> Path:
-        """The file that the program reads at its start and on SIGHUP."""
+        """Write the configuration file, which the gateway reads at start and on SIGHUP; return its path."""
         config = {
             "name": "n0",
             "listen": f"{LOOP}:{self.port}",
@@ -394,14 +401,14 @@
         }
         if self.operated:
             config["operator"] = f"{LOOP}:0"
-        config = json.loads(json.dumps(config))  # a test's changes are its own
+        config = json.loads(json.dumps(config))  # deep copy, so that changes do not affect other tests
         self.change(config)
         path = self.folder / "config.json"
         path.write_text(json.dumps(config))
         return path
 
     async def call(self, line: str) -> str:
-        """One operators' call on a connection of its own; its whole answer."""
+        """Make one operators' call on a new connection; return the complete answer."""
         reader, writer = await asyncio.open_connection(LOOP, self.operator_port)
         writer.write(line.encode() + b"\n")
         try:
@@ -410,20 +417,23 @@
             writer.close()
 
     async def figures(self) -> dict:
-        """What the operators' call `vars` shows."""
+        """The figures that the operators' call `vars` returns."""
         first, end, rest = (await self.call("vars")).split("\n")
         assert (end, rest) == ("--", "")
         return json.loads(first)
 
     async def hup(self, line: str) -> None:
-        """SIGHUP, and wait for one more line that tells what came of it."""
-        before = sum(line in said for said in self.log)
+        """Send SIGHUP, and wait until one more log line contains `line`."""
+        before = sum(line in logged for logged in self.log)
         self.process.send_signal(signal.SIGHUP)
-        while sum(line in said for said in self.log) == before:
+        while sum(line in logged for logged in self.log) == before:
             await asyncio.sleep(0.01)
 
     async def reload(self, instances: list[dict]) -> None:
-        """SIGHUP, with a new discovery and a new counter in the file; the old ones answer no more."""
+        """Send SIGHUP with a configuration that names a new discovery and a new counter.
+
+        The previous ones keep listening; `directory` and `counter` refer to the new ones.
+        """
         self.directory, self.counter = Directory(instances), Fake(lambda seen: adding(seen, self.totals))
         await self.directory.fake.start()
         await self.counter.start()
@@ -431,7 +441,7 @@
         self.process.send_signal(signal.SIGHUP)
 
     async def run(self, path: Path) -> asyncio.subprocess.Process:
-        """Start the program with a configuration."""
+        """Start a gateway process with a configuration file."""
         return await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -447,7 +457,7 @@
         )
 
     async def launch(self) -> None:
-        """Start the program, again on the same port if it ran before, and wait until it is ready."""
+        """Start the gateway, on the same port as any previous process, and wait until it is ready."""
         self.process = await self.run(self.write_config())
         while "listening on" not in (line := (await self.process.stderr.readline()).decode()):
             assert line, await self._start_failure()
@@ -462,13 +472,19 @@
             await asyncio.sleep(0.02)
 
     async def _start_failure(self) -> str:
-        """What is known of a start that ended: exit status, the program's own words, who holds its port."""
+        """Describe a failed start: exit status, log, and the processes that hold the port."""
         status = await self.process.wait()
         return "\n".join((f"the program ended at its start with {status}", *self.log, *holders_of(self.port)))
 
     async def upgrade(self, stop: bool = True) -> asyncio.subprocess.Process:
-        """Start the program once more, as the platform does for a new version, and end the old process once
-        the new one says yes; returns the old one."""
+        """Hot restart: start a second process, wait until it answers `check` with ACK, and stop the old one.
+
+        Args:
+            stop: Whether to send SIGTERM to the old process.
+
+        Returns:
+            The old process.
+        """
         old, reading = self.process, self.reading
         await self.launch()
         while await self.call("check") != "ACK\n":
@@ -484,14 +500,14 @@
             self.log.append(line)
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A client's connection, whose bytes are shown if the test fails."""
+        """Open a client connection; its bytes are recorded and printed if the test fails."""
         reader, writer = await asyncio.open_connection(LOOP, self.port)
         self._connections += 1
         self.transcript.record(f"client {self._connections}", reader, writer)
         return reader, writer
 
     async def ask(self, data: bytes) -> Seen:
-        """One request on a connection of its own; its answer."""
+        """Send one request on a new connection and return the response."""
         reader, writer = await self.connect()
         writer.write(data)
         try:
@@ -517,10 +533,10 @@
 
 
 def on_loop(scenario: Callable[[], Coroutine], limit_s: float = 30.0) -> None:
-    """Run a scenario; one that waits for what never happens fails at the limit."""
+    """Run a scenario on uvloop; it fails with a time-out after `limit_s` seconds."""
 
     async def bounded() -> None:
         async with asyncio.timeout(limit_s):
             await scenario()
 
-    uvloop.run(bounded())  # as the program does: its loop fires timers before it reads sockets
+    uvloop.run(bounded())  # as the gateway does; uvloop fires timers before it reads sockets
--- a/tests/fakes/__init__.py
+++ b/tests/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins that tests and benchmarks share."""
+"""Fakes shared by tests and benchmarks."""
--- a/tests/fakes/desk.py
+++ b/tests/fakes/desk.py
@@ -1,4 +1,4 @@
-"""Who takes the requests of a server in this process, and answers them when the test says so."""
+"""A listener in this process whose requests are answered when the test says so."""
 
 from __future__ import annotations
 
@@ -13,8 +13,11 @@
 
 
 class Desk:
-    """Takes requests. Clients are plain sockets: what they send has arrived when `sendall` returns, and lies
-    unread until the loop gets its turn."""
+    """A request handler that records requests and leaves them open until `answer_all`, with its listener.
+
+    Clients are blocking sockets in the same thread: what they send has arrived when `sendall` returns, and
+    stays unread until the event loop runs.
+    """
 
     def __init__(self, sockets: int = 1024) -> None:
         self.settings = parse(
@@ -43,31 +46,31 @@
         self.gone.append(rid)
 
     def abort_request(self, rid: str, status: int) -> None:
-        raise AssertionError("no body flows here")
+        raise AssertionError("no body is streamed here")
 
     def ready(self) -> bool:
         return True
 
     def connect(self) -> socket.socket:
-        """A client that is up for the system; the server has not seen it yet."""
+        """Connect a client; the connection waits in the backlog until the event loop runs."""
         sock = socket.create_connection((LOOP, self.port))
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return sock
 
     async def takes(self, count: int) -> None:
-        """Until so many requests in all have been taken."""
+        """Wait until at least `count` requests in total have been received."""
         while len(self.taken) < count:
             await asyncio.sleep(0)
 
     def answer_all(self) -> None:
-        """Serve what is open."""
-        answered, self.open = self.open, {}  # an answer may bring the next request of its connection
+        """Answer all open requests with status 200 and their request id as the body."""
+        answered, self.open = self.open, {}  # an answer may open its connection's next request
         for client, order in answered.values():
             client.answer(200, order.client_request_id)
 
 
 async def reads(sock: socket.socket, count: int = 1) -> list[bytes]:
-    """The bodies of so many answers of status 200; a shorter list where the connection ended before."""
+    """Read the bodies of `count` responses of status 200, or of fewer if the connection is closed before."""
     sock.setblocking(False)
     loop, data = asyncio.get_running_loop(), b""
     bodies: list[bytes] = []
@@ -82,13 +85,13 @@
                 continue
         more = await loop.sock_recv(sock, 65536)  # a reset raises here
         if not more:
-            assert not data, "an answer was cut"
+            assert not data, "an answer was cut short"
             break
         data += more
     return bodies
 
 
 async def ends(sock: socket.socket) -> bool:
-    """Whether the server ends a connection in good order, with nothing more; a reset raises."""
+    """Whether the server closes a connection in order, without further data; a reset raises."""
     sock.setblocking(False)
     return await asyncio.get_running_loop().sock_recv(sock, 65536) == b""
--- a/tests/fakes/diagnostics.py
+++ b/tests/fakes/diagnostics.py
@@ -1,4 +1,4 @@
-"""What a failed test of the real program shows: the program's words, who holds a port, what was exchanged."""
+"""Diagnostics printed when a test of the gateway process fails: a transcript, and the holders of a port."""
 
 from __future__ import annotations
 
@@ -8,50 +8,53 @@
 from pathlib import Path
 
 MAX_TRANSCRIPT_LINES = 2_000
-MAX_SHOWN_BYTES = 120  # of one piece, from its start
-LISTENING = "0A"  # state of a line in /proc/net/tcp (proc(5))
+MAX_SHOWN_BYTES = 120  # bytes shown from the start of each piece
+LISTENING = "0A"  # the state LISTEN in /proc/net/tcp (proc(5))
 
 
 class Transcript:
-    """The pieces that went over a test's connections, with their times."""
+    """The data read and written on a test's connections, with times in seconds since the start."""
 
     def __init__(self) -> None:
         self._started_at = time.monotonic()
         self.lines: deque[str] = deque(maxlen=MAX_TRANSCRIPT_LINES)
 
-    def note(self, what: str, data: bytes) -> None:
-        """Add a piece."""
-        at = time.monotonic() - self._started_at
-        self.lines.append(f"{at:9.4f} {what} {len(data)} bytes: {data[:MAX_SHOWN_BYTES]!r}")
+    def note(self, direction: str, data: bytes) -> None:
+        """Add a line for one piece of data."""
+        elapsed_s = time.monotonic() - self._started_at
+        self.lines.append(f"{elapsed_s:9.4f} {direction} {len(data)} bytes: {data[:MAX_SHOWN_BYTES]!r}")
 
     def record(self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Note all that a connection reads and writes from now on."""
-        feed, write = reader.feed_data, writer.write
+        """Add everything that a connection reads and writes from now on."""
+        feed_data, write = reader.feed_data, writer.write
 
-        def fed(data: bytes) -> None:
+        def feed_and_note(data: bytes) -> None:
             self.note(f"{name} <-", bytes(data))
-            feed(data)
+            feed_data(data)
 
-        def written(data: bytes) -> None:
+        def write_and_note(data: bytes) -> None:
             self.note(f"{name} ->", bytes(data))
             write(data)
 
-        reader.feed_data, writer.write = fed, written
+        reader.feed_data, writer.write = feed_and_note, write_and_note
 
 
 def holders_of(port: int) -> list[str]:
-    """The sockets of this machine that are bound to a port: state, both ports, and their processes."""
-    found = []
+    """Describe the machine's TCP sockets bound to a port: state, peer port and processes."""
+    descriptions = []
     for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
         local, remote, state, inode = (line.split()[i] for i in (1, 2, 3, 9))
         if int(local.rpartition(":")[2], 16) == port:
             remote_port = int(remote.rpartition(":")[2], 16)
             kind = "listening" if state == LISTENING else f"state {state}"
-            found.append(f"port {port}, {kind}, peer port {remote_port}: {_owners(inode) or 'no process'}")
-    return found
+            descriptions.append(
+                f"port {port}, {kind}, peer port {remote_port}: {_owners(inode) or 'no process'}"
+            )
+    return descriptions
 
 
 def _owners(inode: str) -> str:
+    """The processes that have a socket open, each with pid and command line."""
     owners = []
     for process in Path("/proc").glob("[0-9]*"):
         try:
@@ -60,5 +63,5 @@
                 command = (process / "cmdline").read_bytes().replace(b"\0", b" ").decode(errors="replace")
                 owners.append(f"pid {process.name} {command.strip()}")
         except OSError:
-            continue  # it ended, or a descriptor of it closed, while it was looked at
+            continue  # the process ended, or closed a descriptor, in the meantime
     return ", ".join(owners)
--- a/tests/fakes/discovery.py
+++ b/tests/fakes/discovery.py
@@ -1,4 +1,4 @@
-"""A discovery client at an agent whose answers are given one by one."""
+"""A discovery watch connected to a fake agent with scripted responses."""
 
 from __future__ import annotations
 
@@ -17,7 +17,11 @@
 
 
 class FakeDiscovery:
-    """An agent whose answers are given one by one; None is silence, b"" a reset."""
+    """A fake agent and the watch that polls it.
+
+    Each request gets the next of `answers`: the bytes of a response, None to send nothing, or b"" to reset
+    the connection. After the last one nothing is sent.
+    """
 
     def __init__(self, *answers: bytes | None) -> None:
         self.answers = list(answers)
@@ -36,11 +40,11 @@
         return self
 
     def waits(self) -> list[int]:
-        """How long each call was to wait for news; -1: it asked for the whole list."""
+        """The `wait_ms` of each request, in milliseconds; -1 for a request of the full list."""
         return [int(seen.line.split()[1].partition("wait_ms=")[2] or -1) for seen in self.fake.seen]
 
     def asked(self) -> list[str]:
-        """What was asked for, without the wait."""
+        """The path and first query parameter of each request, without `wait_ms`."""
         return [seen.line.split()[1].partition("&")[0] for seen in self.fake.seen]
 
     def stop(self) -> None:
--- a/tests/fakes/gateway_core.py
+++ b/tests/fakes/gateway_core.py
@@ -1,4 +1,4 @@
-"""A gateway core on real sockets with a scripted decision module, and a loop whose dials are held."""
+"""A gateway core on real sockets with a scripted decision module, and a loop that can delay dials."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ScriptedDecisionModule:
-    """Records events; the next event of a type is answered with the actions, or the error, set for it."""
+    """Records events; the next event of a type returns the actions, or raises the error, set for it."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.events: list[api.Event] = []
@@ -55,7 +55,7 @@
 
 
 def forward_request(deadline_ms: float = 5000) -> ForwardRequest:
-    """A request with an id of its own."""
+    """A request with a unique id."""
     return ForwardRequest(
         client_request_id=b"%d" % next(serials),
         class_name="pay",
@@ -75,7 +75,7 @@
 async def start_gateway_core(
     monkeypatch: pytest.MonkeyPatch, host: Fake
 ) -> tuple[GatewayCore, ScriptedDecisionModule]:
-    """A core whose decision module is scripted and whose one host is `s-0`; discovery does not answer."""
+    """Create a core with a scripted decision module and the one host `s-0`; discovery does not answer."""
     monkeypatch.setattr(event_dispatcher, "Gateway", ScriptedDecisionModule)
     await host.start()
     config = parse(
@@ -94,11 +94,11 @@
 
 
 class LoopWithHeldDials:
-    """A loop whose dials succeed when the test releases them: what happens meanwhile has happened before."""
+    """A loop that starts a dial only once the test sets `release`, after the events under test."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self.started = asyncio.Event()  # a dial is under way
+        self.started = asyncio.Event()  # set once a dial has begun
         self.release = asyncio.Event()
 
     async def create_connection(self, *args: Any, **named: Any) -> Any:
--- a/tests/fakes/host_behaviours.py
+++ b/tests/fakes/host_behaviours.py
@@ -1,4 +1,4 @@
-"""What a scripted host answers to any request."""
+"""Behaviours of scripted hosts: each maps any request to the same response."""
 
 from __future__ import annotations
 
--- a/tests/fakes/raw.py
+++ b/tests/fakes/raw.py
@@ -1,4 +1,4 @@
-"""A host whose every byte is scripted: a coroutine for each connection."""
+"""A host that sends raw bytes, scripted by one coroutine per connection."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
         self.reader, self.writer = reader, writer
 
     async def head(self) -> str:
-        """The next request's head."""
+        """Read the next request's head."""
         return (await self.reader.readuntil(b"\r\n\r\n")).decode()
 
     async def body(self, head: str) -> bytes:
-        """The body that belongs to a head, of a length or in chunks."""
+        """Read the body that belongs to a head, framed by Content-Length or chunks."""
         for line in head.lower().split("\r\n"):
             if line.startswith("content-length:"):
                 return await self.reader.readexactly(int(line.split(":")[1]))
@@ -33,12 +33,12 @@
         return b"".join(pieces)
 
     async def write(self, data: bytes) -> None:
-        """Write, and wait until the other side has room."""
+        """Write, and wait until the write buffer is below its limit."""
         self.writer.write(data)
         await self.writer.drain()
 
     async def closed(self) -> bytes:
-        """What still comes until the other side ends the connection."""
+        """Read until the other side closes the connection, and return those bytes; b"" on a reset."""
         try:
             return await self.reader.read(-1)
         except ConnectionError:
@@ -46,7 +46,7 @@
 
 
 class RawHost:
-    """Listens, and runs the script for each connection; what the script raises is kept."""
+    """Listens and runs the script for each connection; exceptions of the script are stored in `errors`."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -65,7 +65,7 @@
         try:
             await self.script(Peer(reader, writer))
         except (asyncio.IncompleteReadError, ConnectionError):
-            pass  # the gateway ended it: scripts that care look for that themselves
+            pass  # closed by the gateway; scripts that test for this catch it themselves
         except BaseException as error:
             self.errors.append(error)
             raise
@@ -73,5 +73,5 @@
             writer.close()
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         self._server.close()
--- a/tests/fakes/system.py
+++ b/tests/fakes/system.py
@@ -1,4 +1,4 @@
-"""What the system tells of the real program's sockets, and a host on which no connection comes up."""
+"""The state of the gateway process's sockets in /proc, and a host that accepts no connection."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Blocked:
-    """A host on whose address no connection ever comes up: its queue is full, and it takes none."""
+    """A host whose connections are never established: its backlog is full, and it does not accept."""
 
     def __enter__(self) -> Blocked:
         self._listener = socket.socket()
@@ -23,7 +23,7 @@
         return self
 
     def dialled(self) -> bool:
-        """Whether anybody but we has a connection on its way."""
+        """Whether the gateway is dialing this host."""
         return sum(remote == self.port for _, remote, _ in rows()) > len(self._waiting)
 
     def __exit__(self, *exc: object) -> None:
@@ -32,7 +32,7 @@
 
 
 def rows() -> list[tuple[int, int, int]]:
-    """The system's connections: local port, remote port, bytes that lie unread."""
+    """The machine's TCP connections: local port, remote port and number of unread bytes."""
     with open("/proc/net/tcp") as lines:
         parts = [line.split() for line in lines][1:]
     return [
@@ -41,16 +41,16 @@
 
 
 def held(rig: Rig) -> bool:
-    """Whether something lies unread on one of the program's connections to clients."""
+    """Whether a client connection of the gateway has unread input."""
     return any(local == rig.port and remote and unread for local, remote, unread in rows())
 
 
 def sockets(rig: Rig | None = None) -> int:
-    """How many sockets the program has open, or this process."""
+    """The number of open sockets of the gateway process, or of this process without `rig`."""
     count = 0
     for name in os.listdir(folder := f"/proc/{rig.process.pid if rig else 'self'}/fd"):
         try:
             count += os.readlink(f"{folder}/{name}").startswith("socket:")
         except FileNotFoundError:
-            pass  # closed since
+            pass  # closed since the folder was listed
     return count
