--- a/tests/fakes/desk.py
+++ b/tests/fakes/desk.py
@@ -12,7 +12,7 @@
 from hillmux.net.streaming_client import StreamingListener
 
 
-class Desk:
+class FakeRequestHandler:
     """A request handler that records requests and leaves them open until `answer_all`, with its listener.
 
     Clients are blocking sockets in the same thread: what they send has arrived when `sendall` returns, and
@@ -30,20 +30,20 @@
             }
         ).settings
         self.draining = False
-        self.open: dict[str, tuple[Client, ForwardRequest]] = {}
-        self.gone: list[str] = []
-        self.taken: list[bytes] = []
-        self.server = StreamingListener(self, asyncio.get_running_loop(), sockets)
-        ((_, self.port),) = self.server.start((LOOP, 0))
-
-    def request(self, client: Client, order: ForwardRequest) -> str | None:
-        rid = f"r{len(self.taken)}"
-        self.taken.append(order.client_request_id)
-        self.open[rid] = client, order
+        self.open_requests: dict[str, tuple[Client, ForwardRequest]] = {}
+        self.disconnected_ids: list[str] = []
+        self.request_ids: list[bytes] = []
+        self.listener = StreamingListener(self, asyncio.get_running_loop(), sockets)
+        ((_, self.port),) = self.listener.start((LOOP, 0))
+
+    def request(self, client: Client, forward_request: ForwardRequest) -> str | None:
+        rid = f"r{len(self.request_ids)}"
+        self.request_ids.append(forward_request.client_request_id)
+        self.open_requests[rid] = client, forward_request
         return rid
 
     def client_disconnected(self, rid: str) -> None:
-        self.gone.append(rid)
+        self.disconnected_ids.append(rid)
 
     def abort_request(self, rid: str, status: int) -> None:
         raise AssertionError("no body is streamed here")
@@ -57,19 +57,22 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return sock
 
-    async def takes(self, count: int) -> None:
+    async def wait_for_requests(self, count: int) -> None:
         """Wait until at least `count` requests in total have been received."""
-        while len(self.taken) < count:
+        while len(self.request_ids) < count:
             await asyncio.sleep(0)
 
     def answer_all(self) -> None:
         """Answer all open requests with status 200 and their request id as the body."""
-        answered, self.open = self.open, {}  # an answer may open its connection's next request
-        for client, order in answered.values():
-            client.answer(200, order.client_request_id)
+        answered, self.open_requests = (
+            self.open_requests,
+            {},
+        )  # an answer may open its connection's next request
+        for client, forward_request in answered.values():
+            client.answer(200, forward_request.client_request_id)
 
 
-async def reads(sock: socket.socket, count: int = 1) -> list[bytes]:
+async def read_responses(sock: socket.socket, count: int = 1) -> list[bytes]:
     """Read the bodies of `count` responses of status 200, or of fewer if the connection is closed before."""
     sock.setblocking(False)
     loop, data = asyncio.get_running_loop(), b""
@@ -91,7 +94,7 @@
     return bodies
 
 
-async def ends(sock: socket.socket) -> bool:
+async def closes_in_order(sock: socket.socket) -> bool:
     """Whether the server closes a connection in order, without further data; a reset raises."""
     sock.setblocking(False)
     return await asyncio.get_running_loop().sock_recv(sock, 65536) == b""
--- a/tests/net/test_connection_close.py
+++ b/tests/net/test_connection_close.py
@@ -7,26 +7,26 @@
 
 import pytest
 from conftest import message, on_loop
-from fakes.desk import Desk, ends, reads
+from fakes.desk import FakeRequestHandler, closes_in_order, read_responses
 
 from hillmux.net.client_timeouts import FIRST_REQUEST_GRACE_S, KEEP_ALIVE_TIMEOUT_S
 from hillmux.net.listener import MAX_ACCEPTS_PER_TURN
 from hillmux.net.shutdown import Shutdown
 
 
-def drain(desk: Desk) -> None:
-    desk.server.close_idle()
+def drain(handler: FakeRequestHandler) -> None:
+    handler.listener.close_idle()
 
 
-def time_out(desk: Desk) -> None:
-    for connection in list(desk.server.connections):
+def time_out(handler: FakeRequestHandler) -> None:
+    for connection in list(handler.listener.connections):
         connection.check_timeouts(asyncio.get_running_loop().time() + KEEP_ALIVE_TIMEOUT_S + 1)
 
 
-def evict(desk: Desk) -> None:
+def evict(handler: FakeRequestHandler) -> None:
     """Evict an idle connection because the descriptor limit is reached."""
-    desk.server.max_connections = len(desk.server.connections)
-    desk.server.ensure_capacity()
+    handler.listener.max_connections = len(handler.listener.connections)
+    handler.listener.ensure_capacity()
 
 
 CLOSE_FUNCTIONS = [drain, time_out, evict]
@@ -34,37 +34,39 @@
 
 @pytest.mark.parametrize("close_connections", CLOSE_FUNCTIONS)
 def test_arrived_request_is_served_before_its_connection_closes(
-    close_connections: Callable[[Desk], None],
+    close_connections: Callable[[FakeRequestHandler], None],
 ) -> None:
     async def scenario() -> None:
-        desk = Desk()
-        client = desk.connect()
+        handler = FakeRequestHandler()
+        client = handler.connect()
         client.sendall(message(rid=b"first"))
-        await desk.takes(1)
-        desk.answer_all()
-        assert await reads(client) == [b"first"]
+        await handler.wait_for_requests(1)
+        handler.answer_all()
+        assert await read_responses(client) == [b"first"]
         await asyncio.sleep(0.01)
         client.setblocking(True)
         client.sendall(message(rid=b"crossing"))  # in the socket buffer; the loop has not run since
-        close_connections(desk)
-        await desk.takes(2)
-        desk.answer_all()
-        assert await reads(client) == [b"crossing"]
+        close_connections(handler)
+        await handler.wait_for_requests(2)
+        handler.answer_all()
+        assert await read_responses(client) == [b"crossing"]
         client.close()
 
     on_loop(scenario, 5)
 
 
 @pytest.mark.parametrize("close_connections", CLOSE_FUNCTIONS)
-def test_response_just_written_is_sent_before_close(close_connections: Callable[[Desk], None]) -> None:
+def test_response_just_written_is_sent_before_close(
+    close_connections: Callable[[FakeRequestHandler], None],
+) -> None:
     async def scenario() -> None:
-        desk = Desk()
-        client = desk.connect()
+        handler = FakeRequestHandler()
+        client = handler.connect()
         client.sendall(message(rid=b"x" * 100))
-        await desk.takes(1)
-        desk.answer_all()  # uvloop writes at the end of the iteration
-        close_connections(desk)
-        assert await reads(client) == [b"x" * 100]
+        await handler.wait_for_requests(1)
+        handler.answer_all()  # uvloop writes at the end of the iteration
+        close_connections(handler)
+        assert await read_responses(client) == [b"x" * 100]
         client.close()
 
     on_loop(scenario, 5)
@@ -72,23 +74,23 @@
 
 @pytest.mark.parametrize("close_connections", [drain, time_out])
 def test_request_after_close_is_not_accepted_and_causes_no_reset(
-    close_connections: Callable[[Desk], None],
+    close_connections: Callable[[FakeRequestHandler], None],
 ) -> None:
     """The client must see an orderly close without a response, so that it can retry elsewhere."""
 
     async def scenario() -> None:
-        desk = Desk()
-        client = desk.connect()
+        handler = FakeRequestHandler()
+        client = handler.connect()
         client.sendall(message(rid=b"first"))
-        await desk.takes(1)
-        desk.answer_all()
+        await handler.wait_for_requests(1)
+        handler.answer_all()
         await asyncio.sleep(0.01)
-        close_connections(desk)
+        close_connections(handler)
         client.sendall(message(rid=b"late"))
-        assert await reads(client, 2) == [b"first"]
-        assert desk.taken == [b"first"]
+        assert await read_responses(client, 2) == [b"first"]
+        assert handler.request_ids == [b"first"]
         client.close()
-        while desk.server.connections:
+        while handler.listener.connections:
             await asyncio.sleep(0.01)
 
     on_loop(scenario, 5)
@@ -96,18 +98,18 @@
 
 def test_last_response_survives_unread_input_behind_its_request() -> None:
     async def scenario() -> None:
-        desk = Desk()
-        client = desk.connect()
+        handler = FakeRequestHandler()
+        client = handler.connect()
         client.sendall(message(rid=b"first", more="Connection: close\r\n"))
-        await desk.takes(1)
+        await handler.wait_for_requests(1)
         client.sendall(b"GET / HTTP/1.1\r\n" + b"x" * 3000)
         await asyncio.sleep(0.01)
-        desk.answer_all()
+        handler.answer_all()
         client.sendall(b"x" * 3000)  # unread when the answer is written
-        assert await reads(client) == [b"first"]
-        assert await ends(client)
+        assert await read_responses(client) == [b"first"]
+        assert await closes_in_order(client)
         client.close()
-        while desk.server.connections:
+        while handler.listener.connections:
             await asyncio.sleep(0.01)
 
     on_loop(scenario, 5)
@@ -115,18 +117,18 @@
 
 def test_input_after_close_is_discarded_for_a_bounded_time() -> None:
     async def scenario() -> None:
-        desk = Desk()
-        client = desk.connect()
+        handler = FakeRequestHandler()
+        client = handler.connect()
         client.sendall(message(rid=b"first", more="Connection: close\r\n"))
-        await desk.takes(1)
-        desk.answer_all()
-        assert await reads(client, 2) == [b"first"]
+        await handler.wait_for_requests(1)
+        handler.answer_all()
+        assert await read_responses(client, 2) == [b"first"]
         loop = asyncio.get_running_loop()
         with pytest.raises(ConnectionError):  # this client neither stops sending nor closes
             while True:
                 await loop.sock_sendall(client, b"x" * 10_000)
                 await asyncio.sleep(0.001)
-        assert not desk.server.connections and desk.taken == [b"first"]
+        assert not handler.listener.connections and handler.request_ids == [b"first"]
         client.close()
 
     on_loop(scenario, 10)
@@ -134,20 +136,20 @@
 
 def test_drain_answers_requests_behind_the_open_one() -> None:
     async def scenario() -> None:
-        desk = Desk()
-        client = desk.connect()
+        handler = FakeRequestHandler()
+        client = handler.connect()
         client.sendall(message(rid=b"open"))
-        await desk.takes(1)
+        await handler.wait_for_requests(1)
         client.sendall(message(rid=b"behind"))
         await asyncio.sleep(0.01)
-        desk.draining = True
+        handler.draining = True
         client.sendall(message(rid=b"unread"))
-        desk.answer_all()
-        await desk.takes(2)
-        desk.answer_all()
-        await desk.takes(3)
-        desk.answer_all()
-        assert await reads(client, 4) == [b"open", b"behind", b"unread"]
+        handler.answer_all()
+        await handler.wait_for_requests(2)
+        handler.answer_all()
+        await handler.wait_for_requests(3)
+        handler.answer_all()
+        assert await read_responses(client, 4) == [b"open", b"behind", b"unread"]
         client.close()
 
     on_loop(scenario, 5)
@@ -155,21 +157,21 @@
 
 def test_drain_leaves_new_connection_time_for_its_first_request() -> None:
     async def scenario() -> None:
-        desk = Desk()
-        client, silent = desk.connect(), desk.connect()
-        while len(desk.server.connections) < 2:
+        handler = FakeRequestHandler()
+        client, silent = handler.connect(), handler.connect()
+        while len(handler.listener.connections) < 2:
             await asyncio.sleep(0)
-        desk.draining = True
-        assert not desk.server.close_idle()
+        handler.draining = True
+        assert not handler.listener.close_idle()
         await asyncio.sleep(0.01)
         client.sendall(message(rid=b"first"))
-        await desk.takes(1)
-        desk.answer_all()
-        assert await reads(client, 2) == [b"first"]
-        while not desk.server.close_idle():
+        await handler.wait_for_requests(1)
+        handler.answer_all()
+        assert await read_responses(client, 2) == [b"first"]
+        while not handler.listener.close_idle():
             await asyncio.sleep(FIRST_REQUEST_GRACE_S / 10)
             client.close()
-        assert await ends(silent)
+        assert await closes_in_order(silent)
         silent.close()
 
     on_loop(scenario, 5)
@@ -177,14 +179,16 @@
 
 def test_stop_accepting_accepts_all_waiting_clients() -> None:
     async def scenario() -> None:
-        desk = Desk()
-        clients = [desk.connect() for _ in range(3 * MAX_ACCEPTS_PER_TURN)]
+        handler = FakeRequestHandler()
+        clients = [handler.connect() for _ in range(3 * MAX_ACCEPTS_PER_TURN)]
         for i, client in enumerate(clients):
             client.sendall(message(rid=b"%d" % i))
-        desk.server.stop_accepting()
-        await desk.takes(len(clients))
-        desk.answer_all()
-        assert [await reads(client) for client in clients] == [[b"%d" % i] for i in range(len(clients))]
+        handler.listener.stop_accepting()
+        await handler.wait_for_requests(len(clients))
+        handler.answer_all()
+        assert [await read_responses(client) for client in clients] == [
+            [b"%d" % i] for i in range(len(clients))
+        ]
         for client in clients:
             client.close()
 
@@ -195,21 +199,21 @@
     """Shutdown waits a bounded time for clients that read their last response late or never."""
 
     async def scenario() -> None:
-        desk = Desk()
-        gateway = FailingGateway(desk)
-        shutdown = Shutdown(gateway, desk.server, asyncio.get_running_loop())
-        client, non_reading_client = desk.connect(), desk.connect()
+        handler = FakeRequestHandler()
+        gateway = FailingGateway(handler)
+        shutdown = Shutdown(gateway, handler.listener, asyncio.get_running_loop())
+        client, non_reading_client = handler.connect(), handler.connect()
         for sock in (client, non_reading_client):
             sock.sendall(message(rid=b"open"))
-        await desk.takes(2)
-        gateway.draining = desk.draining = True
+        await handler.wait_for_requests(2)
+        gateway.draining = handler.draining = True
         shutdown.stop_accepting()
         shutdown.fail_open_requests()
         client.sendall(message(rid=b"behind"))  # unread when the answers are written
         assert not shutdown.done.is_set()
         await asyncio.sleep(0.04)
         assert not shutdown.done.is_set()  # no client has closed its connection so far
-        assert (await reads(client, 1)) == [b"failed"]
+        assert (await read_responses(client, 1)) == [b"failed"]
         client.close()
         await shutdown.done.wait()
         non_reading_client.close()
@@ -222,13 +226,13 @@
 
     draining = False
 
-    def __init__(self, desk: Desk) -> None:
-        self._desk = desk
+    def __init__(self, handler: FakeRequestHandler) -> None:
+        self._handler = handler
 
     def longest_s(self) -> float:
         return 1.0
 
     def fail_all(self) -> None:
-        failed, self._desk.open = self._desk.open, {}
+        failed, self._handler.open_requests = self._handler.open_requests, {}
         for client, _ in failed.values():
             client.answer(200, b"failed")
--- a/tests/net/test_descriptor_limits.py
+++ b/tests/net/test_descriptor_limits.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from conftest import Rig, Seen, instance, message, on_loop, read_message, reply
-from fakes.desk import Desk, reads
+from fakes.desk import FakeRequestHandler, read_responses
 from fakes.system import sockets
 
 MOST = 128
@@ -58,23 +58,23 @@
     """A close takes a turn of the loop: what hosts, counter and discovery were to have is not lent out."""
 
     async def scenario() -> None:
-        desk = Desk()
-        desk.server.max_connections = 10
-        held = [desk.connect() for _ in range(10)]
-        while len(desk.server.connections) < 10:
+        handler = FakeRequestHandler()
+        handler.listener.max_connections = 10
+        held = [handler.connect() for _ in range(10)]
+        while len(handler.listener.connections) < 10:
             await asyncio.sleep(0)
-        more = [desk.connect() for _ in range(5)]
+        more = [handler.connect() for _ in range(5)]
         before = sockets()
-        (listener,) = desk.server.sockets
-        desk.server.accept(listener)
+        (listener,) = handler.listener.sockets
+        handler.listener.accept(listener)
         assert sockets() == before
         for i, client in enumerate(more):
             client.sendall(message(rid=b"%d" % i))
-        while len(desk.taken) < 5:
+        while len(handler.request_ids) < 5:
             assert sockets() <= before
             await asyncio.sleep(0)
-        desk.answer_all()
-        assert [await reads(client) for client in more] == [[b"%d" % i] for i in range(5)]
+        handler.answer_all()
+        assert [await read_responses(client) for client in more] == [[b"%d" % i] for i in range(5)]
         for client in (*held, *more):
             client.close()
 
