--- a/tests/admin/test_operators_port.py
+++ b/tests/admin/test_operators_port.py
@@ -67,9 +67,9 @@
         async with Rig(tmp_path, serve, serve, operated=True) as rig:
             assert (await rig.call("set-down s-9")).startswith("NAK")
             assert await rig.call("set-down s-0") == await rig.call("set-down s-0") == "ACK\n"
-            await rig.directory.tell([instance("s-0", rig.hosts[0].port)])
-            await rig.directory.tell([instance("s-0", rig.hosts[0].port, "gone")])
-            await rig.directory.tell([instance("s-0", rig.hosts[0].port)])
+            await rig.discovery.send_update([instance("s-0", rig.hosts[0].port)])
+            await rig.discovery.send_update([instance("s-0", rig.hosts[0].port, "gone")])
+            await rig.discovery.send_update([instance("s-0", rig.hosts[0].port)])
             for i in range(20):
                 assert await rig.status(message(rid=b"id-%d" % i)) == 200
             assert not rig.hosts[0].seen
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -282,8 +282,8 @@
     return reply(f"{totals[name]:g}".encode())
 
 
-class Directory:
-    """Fake discovery: answers a full request at once, and a watch at `tell` or after its `wait_ms`."""
+class FakeDiscovery:
+    """Fake discovery: answers a full request at once, and a watch at `send_update` or after its `wait_ms`."""
 
     def __init__(self, instances: list[dict]) -> None:
         self.generation, self.instances = 1, instances
@@ -306,13 +306,13 @@
             self.waiting.remove(seen)
             seen.writer.write(self.listing([], False))
 
-    def listing(self, instances: list[dict], whole: bool) -> bytes:
-        raw = {"generation": self.generation, "reset": whole, "instances": instances}
+    def listing(self, instances: list[dict], is_full: bool) -> bytes:
+        raw = {"generation": self.generation, "reset": is_full, "instances": instances}
         return reply(json.dumps(raw).encode())
 
-    async def tell(self, instances: list[dict], whole: bool = False) -> None:
+    async def send_update(self, instances: list[dict], is_full: bool = False) -> None:
         """Answer the open watch with instances, and wait for the next watch."""
-        await self.answer_watch(lambda: self.listing(instances, whole))
+        await self.answer_watch(lambda: self.listing(instances, is_full))
 
     async def answer_watch(self, data: Callable[[], bytes]) -> None:
         """Answer the open watch with `data`, and wait for the next watch."""
@@ -366,8 +366,8 @@
             await host.start()
         await self.counter.start()
         ours = [instance(f"s-{i}", h.port) for i, h in enumerate(self.hosts)]
-        self.directory = Directory(ours + self.others)
-        await self.directory.fake.start()
+        self.discovery = FakeDiscovery(ours + self.others)
+        await self.discovery.fake.start()
         await self.launch()
         return self
 
@@ -376,7 +376,7 @@
         config = {
             "name": "n0",
             "listen": f"{LOOP}:{self.port}",
-            "discovery": f"{LOOP}:{self.directory.fake.port}",
+            "discovery": f"{LOOP}:{self.discovery.fake.port}",
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, **self.limits},
             "counter": f"{LOOP}:{self.counter.port}",
@@ -432,10 +432,10 @@
     async def reload(self, instances: list[dict]) -> None:
         """Send SIGHUP with a configuration that names a new discovery and a new counter.
 
-        The previous ones keep listening; `directory` and `counter` refer to the new ones.
+        The previous ones keep listening; `discovery` and `counter` refer to the new ones.
         """
-        self.directory, self.counter = Directory(instances), Fake(lambda seen: adding(seen, self.totals))
-        await self.directory.fake.start()
+        self.discovery, self.counter = FakeDiscovery(instances), Fake(lambda seen: adding(seen, self.totals))
+        await self.discovery.fake.start()
         await self.counter.start()
         self.write_config()
         self.process.send_signal(signal.SIGHUP)
@@ -452,7 +452,7 @@
                 **os.environ,
                 "ROUTER_CONFIG": str(path),
                 "TMPDIR": str(self.folder),
-                "ROUTER_DISCOVERY": f"{LOOP}:{self.directory.fake.port}",
+                "ROUTER_DISCOVERY": f"{LOOP}:{self.discovery.fake.port}",
             },
         )
 
@@ -527,7 +527,7 @@
                 process.kill()
                 await process.wait()
             reading.cancel()
-        for fake in (*self.hosts, self.counter, self.directory.fake):
+        for fake in (*self.hosts, self.counter, self.discovery.fake):
             fake.stop()
         self.port_reservation.close()
 
--- a/tests/fakes/discovery.py
+++ b/tests/fakes/discovery.py
@@ -11,12 +11,12 @@
 from hillmux.net.discovery_watch import DiscoveryWatch
 
 
-def listing(generation: int, *names: str, whole: bool = True) -> bytes:
-    raw = {"generation": generation, "reset": whole, "instances": [instance(n, 1) for n in names]}
+def listing(generation: int, *names: str, is_full: bool = True) -> bytes:
+    raw = {"generation": generation, "reset": is_full, "instances": [instance(n, 1) for n in names]}
     return reply(json.dumps(raw).encode())
 
 
-class FakeDiscovery:
+class ScriptedDiscovery:
     """A fake agent and the watch that polls it.
 
     Each request gets the next of `answers`: the bytes of a response, None to send nothing, or b"" to reset
@@ -26,15 +26,15 @@
     def __init__(self, *answers: bytes | None) -> None:
         self.answers = list(answers)
         self.fake = Fake(self._behave)
-        self.told: asyncio.Queue[DiscoveryResponse] = asyncio.Queue()
+        self.responses: asyncio.Queue[DiscoveryResponse] = asyncio.Queue()
 
     def _behave(self, seen: Seen) -> bytes | None:
         return self.answers.pop(0) if self.answers else None
 
-    async def start(self, generation: int = 0) -> FakeDiscovery:
+    async def start(self, generation: int = 0) -> ScriptedDiscovery:
         await self.fake.start()
         self.discovery = DiscoveryWatch(
-            asyncio.get_running_loop(), (LOOP, self.fake.port), self.told.put_nowait, generation, 1
+            asyncio.get_running_loop(), (LOOP, self.fake.port), self.responses.put_nowait, generation, 1
         )
         self.discovery.start()
         return self
--- a/tests/hot_restart/test_processes.py
+++ b/tests/hot_restart/test_processes.py
@@ -121,8 +121,8 @@
 def test_host_known_only_to_the_old_process_can_be_disabled(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, operated=True) as rig:
-            await rig.directory.tell([instance("s-old", 1)])
-            await rig.directory.tell([instance("s-old", 1, "gone")])
+            await rig.discovery.send_update([instance("s-old", 1)])
+            await rig.discovery.send_update([instance("s-old", 1, "gone")])
             await rig.upgrade()
             assert await rig.call("set-down s-old") == "ACK\n"
             assert (await rig.call("set-down s-never")).startswith("NAK")
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -100,8 +100,8 @@
 
         host = await RawHost(long_answer).start()
         async with Rig(tmp_path, silent) as rig:
-            rig.directory.instances[0]["hostPort"] = f"127.0.0.1:{host.port}"
-            await rig.directory.tell(rig.directory.instances, whole=True)
+            rig.discovery.instances[0]["hostPort"] = f"127.0.0.1:{host.port}"
+            await rig.discovery.send_update(rig.discovery.instances, is_full=True)
             _, writer = await rig.connect()
             writer.transport.pause_reading()
             writer.write(message())
--- a/tests/net/test_descriptor_limits.py
+++ b/tests/net/test_descriptor_limits.py
@@ -20,9 +20,9 @@
     async def scenario() -> None:
         async with Rig(tmp_path, serve, serve, sockets=MOST) as rig:
             drained, stays = rig.hosts
-            speaks = rig.directory.fake.behave
-            rig.directory.fake.behave = lambda seen: None
-            rig.directory.waiting.clear()
+            speaks = rig.discovery.fake.behave
+            rig.discovery.fake.behave = lambda seen: None
+            rig.discovery.waiting.clear()
             idle = []
             for i in range(2 * MOST):  # half of them have asked once
                 idle.append(await rig.connect())
@@ -34,14 +34,14 @@
                 assert await rig.status(message(rid=b"ask-%d" % i)) == 200
             assert sockets(rig) < MOST
             # It has given the silent watch up by now or does so; the next call is answered.
-            rig.directory.generation = 7
-            rig.directory.instances = [instance("s-0", drained.port, "draining"), instance("s-1", stays.port)]
-            rig.directory.fake.behave = lambda seen: (
-                rig.directory.listing(rig.directory.instances, True)
+            rig.discovery.generation = 7
+            rig.discovery.instances = [instance("s-0", drained.port, "draining"), instance("s-1", stays.port)]
+            rig.discovery.fake.behave = lambda seen: (
+                rig.discovery.listing(rig.discovery.instances, True)
                 if "after=1&" in seen.line
                 else speaks(seen)
             )
-            await rig.directory.fake.until(lambda fake: any("after=7&" in seen.line for seen in fake.seen))
+            await rig.discovery.fake.until(lambda fake: any("after=7&" in seen.line for seen in fake.seen))
             before = len(drained.seen)
             for i in range(10):
                 assert await rig.status(message(rid=b"told-%d" % i)) == 200
--- a/tests/net/test_discovery_and_counter.py
+++ b/tests/net/test_discovery_and_counter.py
@@ -20,11 +20,13 @@
 def test_draining_host_gets_no_new_request_and_full_list_replaces(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, serve) as rig:
-            await rig.directory.tell([instance("s-0", rig.hosts[0].port, "draining")])
+            await rig.discovery.send_update([instance("s-0", rig.hosts[0].port, "draining")])
             for i in range(6):
                 assert await rig.status(message(rid=b"id-%d" % i)) == 200
             assert len(rig.hosts[0].seen) == 0
-            await rig.directory.tell([instance("s-0", rig.hosts[0].port)], whole=True)  # s-1 is not in it
+            await rig.discovery.send_update(
+                [instance("s-0", rig.hosts[0].port)], is_full=True
+            )  # s-1 is not in it
             await rig.hosts[1].until(lambda fake: fake.closed > 0)  # its kept connection goes
             for i in range(6):
                 assert await rig.status(message(rid=b"more-%d" % i)) == 200
@@ -36,9 +38,9 @@
 def test_host_may_change_its_address(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, serve) as rig:
-            await rig.directory.tell([instance("s-1", rig.hosts[1].port, "gone")])
+            await rig.discovery.send_update([instance("s-1", rig.hosts[1].port, "gone")])
             assert await rig.status(message(rid=b"before")) == 200
-            await rig.directory.tell([instance("s-0", rig.hosts[1].port)])
+            await rig.discovery.send_update([instance("s-0", rig.hosts[1].port)])
             assert await rig.status(message(rid=b"moved")) == 200
             assert [s.headers["x-request-id"] for s in rig.hosts[1].seen] == ["moved"]
 
@@ -57,7 +59,7 @@
 def test_malformed_discovery_response_keeps_the_endpoints(tmp_path: Path, nonsense: bytes) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
-            await rig.directory.answer_watch(lambda: nonsense)  # returns once it has asked again
+            await rig.discovery.answer_watch(lambda: nonsense)  # returns once it has asked again
             assert await rig.status(message()) == 200
 
     on_loop(scenario, 12)  # before the watch's own time-out would begin a new one
--- a/tests/net/test_discovery_races.py
+++ b/tests/net/test_discovery_races.py
@@ -8,7 +8,7 @@
 
 import pytest
 from conftest import LOOP, Seen, on_loop, reply
-from fakes.discovery import FakeDiscovery, listing
+from fakes.discovery import ScriptedDiscovery, listing
 from fakes.gateway_core import LoopWithHeldDials
 
 from hillmux.net import discovery_watch
@@ -58,13 +58,13 @@
             "reset": b"",
             "503": reply(b"", 503),
             "spoilt": SPOILT,
-            "half": listing(3, "c", whole=False)[:-10],
+            "half": listing(3, "c", is_full=False)[:-10],
             "closed": reply(b"", 503, headers=b"Connection: close\r\n"),
         }[state]
-        agent = await FakeDiscovery(
-            listing(1, "a"), failure, listing(2, "b", whole=state == "spoilt")
+        agent = await ScriptedDiscovery(
+            listing(1, "a"), failure, listing(2, "b", is_full=state == "spoilt")
         ).start()
-        assert [(await agent.told.get()).generation for _ in range(2)] == [1, 2]
+        assert [(await agent.responses.get()).generation for _ in range(2)] == [1, 2]
         await agent.fake.until(lambda fake: len(fake.seen) == 4)
         first, failed, missed, watch = agent.waits()
         assert first == -1 and failed > 0 and watch > 0
@@ -78,8 +78,10 @@
     """Discovery was started anew: what it calls 2 is not what we called 2."""
 
     async def scenario() -> None:
-        agent = await FakeDiscovery(listing(9, "a"), listing(2, "b", whole=False), listing(2, "c")).start()
-        assert [(await agent.told.get()).generation for _ in range(2)] == [9, 2]
+        agent = await ScriptedDiscovery(
+            listing(9, "a"), listing(2, "b", is_full=False), listing(2, "c")
+        ).start()
+        assert [(await agent.responses.get()).generation for _ in range(2)] == [9, 2]
         assert agent.waits()[2] == -1
         agent.stop()
 
@@ -88,16 +90,16 @@
 
 def test_dial_that_never_succeeds_is_repeated(quick: None) -> None:
     async def scenario() -> None:
-        agent = FakeDiscovery(listing(1, "a"))
+        agent = ScriptedDiscovery(listing(1, "a"))
         await agent.fake.start()
         dials = LoopWithHeldDials(asyncio.get_running_loop())
-        agent.discovery = DiscoveryWatch(dials, (LOOP, agent.fake.port), agent.told.put_nowait, 0, 1)
+        agent.discovery = DiscoveryWatch(dials, (LOOP, agent.fake.port), agent.responses.put_nowait, 0, 1)
         agent.discovery.start()
         await dials.started.wait()
         dials.started.clear()
         await dials.started.wait()  # the second one, with the first never up
         dials.release.set()
-        assert (await agent.told.get()).generation == 1
+        assert (await agent.responses.get()).generation == 1
         agent.stop()
 
     on_loop(scenario, 5)
@@ -105,16 +107,18 @@
 
 def test_address_change_during_a_dial_polls_the_new_address_only(quick: None) -> None:
     async def scenario() -> None:
-        old, new = FakeDiscovery(listing(1, "a")), FakeDiscovery(listing(1, "b"))
+        old, new = ScriptedDiscovery(listing(1, "a")), ScriptedDiscovery(listing(1, "b"))
         await old.fake.start()
         await new.fake.start()
         dials = LoopWithHeldDials(asyncio.get_running_loop())
-        discovery = new.discovery = DiscoveryWatch(dials, (LOOP, old.fake.port), new.told.put_nowait, 0, 1)
+        discovery = new.discovery = DiscoveryWatch(
+            dials, (LOOP, old.fake.port), new.responses.put_nowait, 0, 1
+        )
         discovery.start()
         await dials.started.wait()
         discovery.change_address((LOOP, new.fake.port))
         dials.release.set()
-        assert [s.name for s in (await new.told.get()).endpoints] == ["b"]
+        assert [s.name for s in (await new.responses.get()).endpoints] == ["b"]
         assert not old.fake.seen
         old.fake.stop()
         new.stop()
@@ -163,7 +167,7 @@
     """What was given up once is waited for longer: else a slow whole list would never be had."""
 
     async def scenario() -> None:
-        agent = FakeDiscovery()
+        agent = ScriptedDiscovery()
         calls: list[Seen] = []
 
         def slow(seen: Seen) -> bytes | None:
@@ -175,7 +179,7 @@
 
         agent.fake.behave = slow
         await agent.start()
-        assert (await agent.told.get()).generation == 1
+        assert (await agent.responses.get()).generation == 1
         agent.stop()
 
     on_loop(scenario, 5)
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -6,7 +6,7 @@
 
 import pytest
 from conftest import on_loop, reply
-from fakes.discovery import FakeDiscovery, listing
+from fakes.discovery import ScriptedDiscovery, listing
 
 from hillmux.net.discovery_response import DiscoveryResponse
 from hillmux.net.discovery_watch import DiscoveryWatch
@@ -14,8 +14,8 @@
 
 def test_known_generation_is_not_requested_again() -> None:
     async def scenario() -> None:
-        watch = await FakeDiscovery(listing(43, "b", whole=False)).start(41)
-        assert [s.name for s in (await watch.told.get()).endpoints] == ["b"]
+        watch = await ScriptedDiscovery(listing(43, "b", is_full=False)).start(41)
+        assert [s.name for s in (await watch.responses.get()).endpoints] == ["b"]
         await watch.fake.until(lambda fake: len(fake.seen) == 2)
         assert watch.asked() == ["/v1/endpoints?after=41", "/v1/endpoints?after=43"]
         watch.stop()
@@ -28,21 +28,23 @@
 
     async def scenario() -> None:
         busy = reply(b"", 503)
-        watch = await FakeDiscovery(listing(7, "a"), busy, busy, busy, listing(8, "b", whole=False)).start()
-        assert (await watch.told.get()).is_full
-        assert not (await watch.told.get()).is_full
+        watch = await ScriptedDiscovery(
+            listing(7, "a"), busy, busy, busy, listing(8, "b", is_full=False)
+        ).start()
+        assert (await watch.responses.get()).is_full
+        assert not (await watch.responses.get()).is_full
         assert watch.asked()[:5] == ["/v1/endpoints", *["/v1/endpoints?after=7"] * 4]
         watch.stop()
 
     on_loop(scenario)
 
 
-@pytest.mark.parametrize("spoilt", [reply(b"{"), listing(3, "a", whole=False)])
+@pytest.mark.parametrize("spoilt", [reply(b"{"), listing(3, "a", is_full=False)])
 def test_malformed_answer_makes_the_watch_request_the_full_list(spoilt: bytes) -> None:
     async def scenario() -> None:
-        watch = await FakeDiscovery(listing(7, "a"), spoilt, listing(9, "b")).start()
-        await watch.told.get()
-        assert (await watch.told.get()).is_full
+        watch = await ScriptedDiscovery(listing(7, "a"), spoilt, listing(9, "b")).start()
+        await watch.responses.get()
+        assert (await watch.responses.get()).is_full
         assert watch.asked()[:3] == ["/v1/endpoints", "/v1/endpoints?after=7", "/v1/endpoints"]
         watch.stop()
 
@@ -80,12 +82,12 @@
     """What the loop has not yet told of: the watch is begun anew, and nothing is raised."""
 
     async def scenario() -> None:
-        watch = await FakeDiscovery(listing(1, "a"), None, listing(2, "b")).start()
-        await watch.told.get()
+        watch = await ScriptedDiscovery(listing(1, "a"), None, listing(2, "b")).start()
+        await watch.responses.get()
         await watch.fake.until(lambda fake: len(fake.seen) == 2)
         watch.discovery._connection.transport.abort()
         watch.discovery._poll()
-        assert (await watch.told.get()).generation == 2
+        assert (await watch.responses.get()).generation == 2
         watch.stop()
 
     on_loop(scenario, 10)
--- a/tests/net/test_process_signals.py
+++ b/tests/net/test_process_signals.py
@@ -103,15 +103,15 @@
 
     async def scenario() -> None:
         async with Rig(tmp_path, silent, serve) as rig:
-            await rig.directory.tell([instance("s-1", rig.hosts[1].port, "gone")])
+            await rig.discovery.send_update([instance("s-1", rig.hosts[1].port, "gone")])
             asked = asyncio.create_task(rig.ask(message(rid=b"old")))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
-            old_directory, old_counter = rig.directory, rig.counter
+            old_directory, old_counter = rig.discovery, rig.counter
             for _ in range(2):
                 await rig.reload([instance("s-1", rig.hosts[1].port)])
-                await rig.directory.fake.until(lambda fake: any("after=" in s.line for s in fake.seen))
+                await rig.discovery.fake.until(lambda fake: any("after=" in s.line for s in fake.seen))
             await old_directory.fake.until(lambda fake: fake.closed > 0)
-            assert "after=" not in rig.directory.fake.seen[0].line  # the whole list first
+            assert "after=" not in rig.discovery.fake.seen[0].line  # the whole list first
             assert await rig.status(message(rid=b"new", customer="0000000000000007")) == 200
             assert [s.headers["x-request-id"] for s in rig.hosts[1].seen] == ["new"]
             rig.hosts[0].seen[0].writer.write(reply(b"served"))
@@ -136,7 +136,7 @@
                 while sum("configuration is kept" in line for line in rig.log) < count:
                     await asyncio.sleep(0.01)
             assert await rig.status(message()) == 200
-            assert rig.directory.fake.closed == 0
+            assert rig.discovery.fake.closed == 0
 
     on_loop(scenario)
 
@@ -148,7 +148,7 @@
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
             rig.process.send_signal(signal.SIGTERM)
             await rig.reload([instance("s-0", rig.hosts[0].port)])
-            await rig.directory.fake.until(lambda fake: len(fake.seen) > 0)
+            await rig.discovery.fake.until(lambda fake: len(fake.seen) > 0)
             rig.hosts[0].seen[0].writer.write(reply(b"served"))
             assert (await asked).body == b"served"
             rig.process.send_signal(signal.SIGHUP)
