--- a/tests/admin/test_disabled_hosts.py
+++ b/tests/admin/test_disabled_hosts.py
@@ -5,7 +5,7 @@
 import dataclasses
 
 import pytest
-from conftest import KEYED, PLAN, SAFE, UNSAFE, Driver, of, server, settings
+from conftest import KEYED, PLAN, SAFE, UNSAFE, Driver, of_type, server, settings
 
 from hillmux import interface as api
 from hillmux.interface import AttemptResult, HostStatus, Idempotency, KeyScope, ListKind, RejectReason
@@ -16,7 +16,7 @@
     names = []
     for _ in range(rounds):
         rid, out = d.ask(after=1.0)
-        names += [a.host for a in of(out, api.SendAttempt)]
+        names += [a.host for a in of_type(out, api.SendAttempt)]
         d.end(rid, after=1.0)
     return names
 
@@ -40,10 +40,10 @@
 def test_retry_avoids_a_host_disabled_meanwhile() -> None:
     d = Driver(servers=2)
     rid, out = d.ask()
-    (first,) = of(out, api.SendAttempt)
+    (first,) = of_type(out, api.SendAttempt)
     other = {"h0": "h1", "h1": "h0"}[first.host]
     d.give(api.HostDisabled(other, True))
-    again = of(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
+    again = of_type(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
     assert [a.host for a in again] == [first.host]
 
 
@@ -52,7 +52,7 @@
     for name in ("h0", "h1"):
         d.give(api.HostDisabled(name, True))
     _, out = d.ask()
-    (refused,) = of(out, api.Reject)
+    (refused,) = of_type(out, api.Reject)
     assert refused.reason == RejectReason.NO_HOST
 
 
@@ -107,10 +107,10 @@
         )
     )
     for _ in range(3):  # four attempts, as when it came
-        assert of(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
-    assert of(d.end(rid, AttemptResult.ERROR), api.Fail)
+        assert of_type(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
+    assert of_type(d.end(rid, AttemptResult.ERROR), api.Fail)
     rid, _ = d.ask("read")  # under the new rules
-    assert of(d.end(rid, AttemptResult.ERROR), api.Fail)
+    assert of_type(d.end(rid, AttemptResult.ERROR), api.Fail)
 
 
 def test_open_request_of_a_removed_class_continues_and_new_ones_are_rejected() -> None:
@@ -118,8 +118,8 @@
     rid, _ = d.ask("read")
     d.give(changed(classes=(KEYED, UNSAFE)))
     _, out = d.ask("read")
-    assert of(out, api.Reject)[0].reason == RejectReason.UNKNOWN_CLASS_OR_PLAN
-    assert of(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
+    assert of_type(out, api.Reject)[0].reason == RejectReason.UNKNOWN_CLASS_OR_PLAN
+    assert of_type(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
     assert d.end(rid) == []
     assert not d.gateway.pending
 
@@ -128,7 +128,7 @@
     d = Driver(servers=3)
     rid, out = d.ask("read", "basic", customer="c", units=1)
     for _ in range(8):  # until one has to wait for the counter
-        if not of(out, api.SendAttempt):
+        if not of_type(out, api.SendAttempt):
             break
         d.end(rid)
         rid, out = d.ask("read", "basic", customer="c", units=1)
@@ -156,8 +156,8 @@
     keyed = dataclasses.replace(KEYED, key_scope=KeyScope.ZONE)
     d.give(changed(classes=(keyed,)))
     rid, out = d.ask("put")
-    (first,) = of(out, api.SendAttempt)
-    (again,) = of(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
+    (first,) = of_type(out, api.SendAttempt)
+    (again,) = of_type(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
     zones = {s: d.gateway.hosts[s].zone for s in (first.host, again.host)}
     assert len(set(zones.values())) == 1
 
@@ -183,7 +183,7 @@
     d.give(api.ResponseStarted(streams[0], 7))
     assert (host.open_requests, fleet.host_set.open_on_healthy) == (0, 0)
     for rid in streams:
-        assert of(d.end(rid, took=40, after=5000), api.SendAttempt | api.Reject) == []
+        assert of_type(d.end(rid, took=40, after=5000), api.SendAttempt | api.Reject) == []
     assert (host.open_requests, fleet.host_set.open_on_healthy, d.gateway.pending) == (0, 0, {})
 
 
@@ -191,5 +191,5 @@
     d = Driver(servers=3)
     rid, _ = d.ask()
     d.give(api.ResponseStarted(rid, 0))
-    assert not of(d.end(rid, AttemptResult.RESET), api.SendAttempt)
+    assert not of_type(d.end(rid, AttemptResult.RESET), api.SendAttempt)
     assert all(h.open_requests == 0 for h in d.gateway.hosts.values())
--- a/tests/balancing/test_selection.py
+++ b/tests/balancing/test_selection.py
@@ -7,7 +7,7 @@
 
 import pytest
 from balancing.balancers import KEYED_CLASSES, endpoint, make_balancer
-from conftest import Driver, of, server
+from conftest import Driver, of_type, server
 
 from hillmux import interface as api
 from hillmux.balancing.host_pool import MAX_PROBE_BUDGET
@@ -71,7 +71,7 @@
     chosen: collections.Counter[str] = collections.Counter()
     for _ in range(requests):
         request_id, actions = driver.ask(after=5)
-        chosen[of(actions, api.SendAttempt)[0].host] += 1
+        chosen[of_type(actions, api.SendAttempt)[0].host] += 1
         driver.end(request_id, took=took_ms)
     return chosen
 
@@ -202,7 +202,7 @@
     for rid in rids:  # their outcomes come from hosts that are off the list
         d.end(rid)
     assert balancer.host_set.open_on_healthy == 0 and len(balancer.host_set.pools[""].inside.by_rank) < 20
-    sent = [of(d.ask()[1], api.SendAttempt)[0].host for _ in range(50)]
+    sent = [of_type(d.ask()[1], api.SendAttempt)[0].host for _ in range(50)]
     assert len(set(sent)) > 40 and all(int(name[1:]) >= 100 for name in sent)
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -143,7 +143,7 @@
     return dataclasses.replace(api.Endpoint(f"h{i}", "ab"[i % 2], i % 2), **changes)
 
 
-def of(out: list[api.Action], kind: type) -> list:
+def of_type(out: list[api.Action], kind: type) -> list:
     return [a for a in out if isinstance(a, kind)]
 
 
--- a/tests/decision/test_admission.py
+++ b/tests/decision/test_admission.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from conftest import Driver, of
+from conftest import Driver, of_type
 
 from hillmux import interface as api
 from hillmux.decision import admission, occupancy
@@ -33,7 +33,7 @@
     d.ask()
     share = d.gateway.admission.shares[("read", "open")]
     share.admit_fraction, share.accumulator = 0.4, 0.0
-    sent = [bool(of(d.ask()[1], api.SendAttempt)) for _ in range(10)]
+    sent = [bool(of_type(d.ask()[1], api.SendAttempt)) for _ in range(10)]
     assert sent == [False, False, True, False, True] * 2
 
 
@@ -59,7 +59,7 @@
     served = 0
     for _ in range(20):  # two requests a second, answered fast
         request_id, out = d.ask(after=0)
-        if of(out, api.SendAttempt):
+        if of_type(out, api.SendAttempt):
             d.end(request_id, took=50, after=50)
             served += 1
         d.sweep(5)
@@ -108,7 +108,7 @@
     pending_on_slow_host = None
     for _ in range(200):
         request_id, out = d.ask(after=5)
-        send = of(out, api.SendAttempt)[0]
+        send = of_type(out, api.SendAttempt)[0]
         if send.host == "h0":
             pending_on_slow_host = request_id
             d.end(request_id, AttemptResult.TIMED_OUT, took=1000)
--- a/tests/decision/test_answers.py
+++ b/tests/decision/test_answers.py
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from conftest import Driver, of, server, settings
+from conftest import Driver, of_type, server, settings
 
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
@@ -118,12 +118,12 @@
 
 def test_request_that_cannot_be_served_is_rejected_once() -> None:
     d = Driver(servers=0)
-    assert len(of(d.ask()[1], api.Reject)) == 1
+    assert len(of_type(d.ask()[1], api.Reject)) == 1
     d = Driver()
-    assert len(of(d.ask(cls="unknown")[1], api.Reject)) == 1
-    assert len(of(d.ask(plan="unknown")[1], api.Reject)) == 1
-    assert len(of(d.ask(left=0)[1], api.Reject)) == 1
-    assert len(of(d.ask(left=-5)[1], api.Reject)) == 1
+    assert len(of_type(d.ask(cls="unknown")[1], api.Reject)) == 1
+    assert len(of_type(d.ask(plan="unknown")[1], api.Reject)) == 1
+    assert len(of_type(d.ask(left=0)[1], api.Reject)) == 1
+    assert len(of_type(d.ask(left=-5)[1], api.Reject)) == 1
 
 
 def test_late_and_unknown_events_are_ignored() -> None:
@@ -155,8 +155,8 @@
     d = Driver()
     for _ in range(50):
         d.end(d.ask(left=3900, after=10)[0])
-    assert of(d.ask(left=2500)[1], api.Reject)  # 1500 ms are gone, the aim was 1000
-    late_but_in_time = of(d.ask(left=3500)[1], api.SendAttempt)[0]  # 500 ms are gone
+    assert of_type(d.ask(left=2500)[1], api.Reject)  # 1500 ms are gone, the aim was 1000
+    late_but_in_time = of_type(d.ask(left=3500)[1], api.SendAttempt)[0]  # 500 ms are gone
     assert late_but_in_time.timeout_ms <= 500
 
 
@@ -165,15 +165,15 @@
     rng = random.Random(3)
     for _ in range(200):
         request_id, out = d.ask(left=rng.uniform(1000, 4000), after=10)
-        assert of(out, api.SendAttempt)
+        assert of_type(out, api.SendAttempt)
         d.end(request_id)
 
 
 def test_rejection_says_when_to_retry() -> None:
     d = Driver(servers=0)
-    (rejected,) = of(d.ask()[1], api.Reject)
+    (rejected,) = of_type(d.ask()[1], api.Reject)
     assert 0 < rejected.retry_after_ms <= 2000
     d = Driver(servers=1, max_attempts=1)
     request_id, _ = d.ask()
-    (rejected,) = of(d.end(request_id, AttemptResult.QUEUE_FULL), api.Reject)
+    (rejected,) = of_type(d.end(request_id, AttemptResult.QUEUE_FULL), api.Reject)
     assert 0 < rejected.retry_after_ms <= 2000
--- a/tests/decision/test_attempts.py
+++ b/tests/decision/test_attempts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from conftest import Driver, of
+from conftest import Driver, of_type
 
 from hillmux import interface as api
 from hillmux.balancing.outliers import BASE_EJECTION_MS
@@ -32,7 +32,7 @@
     request_id, _ = d.ask()
     d.end(request_id, AttemptResult.CONNECT_FAILED)
     request_id, out = d.ask(after=600)
-    assert of(out, api.SendAttempt)
+    assert of_type(out, api.SendAttempt)
     d.end(request_id)
     host = d.gateway.hosts["h0"]
     assert d.gateway.fleet.capacity_share(host) < 0.3
@@ -56,7 +56,7 @@
     d = Driver(servers=1, max_attempts=1)
     for _ in range(times):
         request_id, out = d.ask()
-        assert of(out, api.SendAttempt)
+        assert of_type(out, api.SendAttempt)
         d.end(request_id, result)
     host = d.gateway.hosts["h0"]
     assert (host.connection_refused, host.ejections > 0) == (result == AttemptResult.CONNECT_FAILED, rests)
@@ -67,7 +67,7 @@
     d = Driver(servers=4)
     request_id, _ = d.ask()
     out = d.end(request_id, AttemptResult.LOCAL_LIMIT)
-    assert of(out, api.Reject) and not of(out, api.SendAttempt)
+    assert of_type(out, api.Reject) and not of_type(out, api.SendAttempt)
 
 
 def test_ejected_host_is_used_again_after_its_backoff() -> None:
@@ -76,9 +76,9 @@
     host = d.gateway.hosts["h0"]
     d.gateway.fleet.eject(host)
     d.gateway.fleet.reindex(host)
-    seen = {of(d.ask(after=1)[1], api.SendAttempt)[0].host for _ in range(20)}
+    seen = {of_type(d.ask(after=1)[1], api.SendAttempt)[0].host for _ in range(20)}
     assert "h0" not in seen
-    assert of(d.ask(after=BASE_EJECTION_MS)[1], api.SendAttempt)[0].host == "h0"
+    assert of_type(d.ask(after=BASE_EJECTION_MS)[1], api.SendAttempt)[0].host == "h0"
 
 
 def test_retries_stay_within_their_budget() -> None:
@@ -86,11 +86,11 @@
     sends = 0
     for _ in range(300):
         request_id, out = d.ask(after=50)
-        sends += len(of(out, api.SendAttempt))
+        sends += len(of_type(out, api.SendAttempt))
         for _ in range(4):
             if request_id not in d.gateway.pending:
                 break
-            sends += len(of(d.end(request_id, AttemptResult.QUEUE_FULL), api.SendAttempt))
+            sends += len(of_type(d.end(request_id, AttemptResult.QUEUE_FULL), api.SendAttempt))
     assert sends <= 300 * (1 + retries.RETRY_RATIO) + retries.MAX_RETRY_BALANCE + 1
 
 
@@ -99,7 +99,7 @@
 
     def first_timeout(request_class: str) -> float:
         request_id, out = d.ask(request_class, after=100)
-        timeout = of(out, api.SendAttempt)[0].timeout_ms
+        timeout = of_type(out, api.SendAttempt)[0].timeout_ms
         d.end(request_id, took=50)
         return timeout
 
--- a/tests/decision/test_ceiling.py
+++ b/tests/decision/test_ceiling.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from conftest import Driver, of, settings
+from conftest import Driver, of_type, settings
 
 from hillmux import interface as api
 from hillmux.interface import AttemptResult
@@ -22,14 +22,14 @@
 
     def note(d: Driver, out: list[api.Action]) -> None:
         nonlocal store, last, sends
-        for action in of(out, api.SendAttempt):
+        for action in of_type(out, api.SendAttempt):
             store = min(plan.ceiling_burst, store + (now - last) * plan.ceiling_rate / 1000)
             last = now
             store -= units[action.request_id]
             sends += 1
             assert store >= -1e-6
             note(d, d.give(api.AttemptEnded(action.request_id, 0, action.host, AttemptResult.OK, 50, True)))
-        for action in of(out, api.IncrementCounter):
+        for action in of_type(out, api.IncrementCounter):
             result = rng.choice([AttemptResult.OK, AttemptResult.TIMED_OUT, AttemptResult.QUEUE_FULL])
             note(d, d.give(api.CounterReply(action.name, result, rng.choice([action.amount, 0.0, 50.0]))))
 
@@ -59,10 +59,10 @@
         d = fleet[i]
         d.now, d.serial = now, step
         request_id, out = d.ask(plan="capped", width=10)
-        for action in of(out, api.IncrementCounter):
+        for action in of_type(out, api.IncrementCounter):
             result = rng.choice([AttemptResult.OK, AttemptResult.TIMED_OUT])
             out = out + d.give(api.CounterReply(action.name, result, rng.choice([0.0, 90.0])))
-        for _ in of(out, api.SendAttempt):
+        for _ in of_type(out, api.SendAttempt):
             store = min(plan.ceiling_burst, store + (now - last) * plan.ceiling_rate / 1000) - 1
             last, sends = now, sends + 1
             assert store >= -1e-6
--- a/tests/decision/test_customers.py
+++ b/tests/decision/test_customers.py
@@ -5,7 +5,7 @@
 import collections
 
 import pytest
-from conftest import CAPPED, PLAN, Driver, of, server, settings
+from conftest import CAPPED, PLAN, Driver, of_type, server, settings
 
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
@@ -18,7 +18,7 @@
     d = Driver()
     for i in range(300):
         request_id, out = d.ask(plan="basic", customer=f"k{i}")
-        for action in of(out, api.IncrementCounter):
+        for action in of_type(out, api.IncrementCounter):
             d.give(api.CounterReply(action.name, AttemptResult.TIMED_OUT, 0.0))
         if request_id in d.gateway.pending:
             d.end(request_id)
@@ -35,31 +35,31 @@
 def test_customer_long_unseen_gets_a_share_before_the_counter_is_called() -> None:
     d = Driver()
     _, out = d.ask(plan="basic")
-    (call,) = of(out, api.IncrementCounter)
+    (call,) = of_type(out, api.IncrementCounter)
     d.give(api.CounterReply(call.name, AttemptResult.OK, 1.0))
     d.now += 30_000  # it spends all of its burst elsewhere in the meantime
     sent, called = 0, False
     while not called:
         request_id, out = d.ask(plan="basic", after=1.0)
-        sent += len(of(out, api.SendAttempt))
-        called = bool(of(out, api.IncrementCounter))
+        sent += len(of_type(out, api.SendAttempt))
+        called = bool(of_type(out, api.IncrementCounter))
     assert 0 < sent <= PLAN.burst / 3 + 1
-    (call,) = of(out, api.IncrementCounter)
+    (call,) = of_type(out, api.IncrementCounter)
     out = d.give(api.CounterReply(call.name, AttemptResult.OK, 100.0))
-    assert not of(d.ask(plan="basic", after=1.0)[1], api.SendAttempt)
+    assert not of_type(d.ask(plan="basic", after=1.0)[1], api.SendAttempt)
     d.now += 30_000  # who was seen to spend much elsewhere is asked for first
     out = d.ask(plan="basic")[1]
-    assert of(out, api.IncrementCounter) and not of(out, api.SendAttempt)
+    assert of_type(out, api.IncrementCounter) and not of_type(out, api.SendAttempt)
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_customer_long_unseen_gets_a_share_and_no_more_while_the_counter_is_silent(seed: int) -> None:
     d = Driver(seed=seed, now=1e6 + 700 * seed)  # at any place in the customer's window
     _, out = d.ask(plan="basic")
-    (call,) = of(out, api.IncrementCounter)
+    (call,) = of_type(out, api.IncrementCounter)
     d.give(api.CounterReply(call.name, AttemptResult.OK, 1.0))
     d.now += 30_000  # all three gateways may be in this place at once
-    sent = sum(len(of(d.ask(plan="basic", after=1.0)[1], api.SendAttempt)) for _ in range(20))
+    sent = sum(len(of_type(d.ask(plan="basic", after=1.0)[1], api.SendAttempt)) for _ in range(20))
     assert 0 < sent <= PLAN.burst / 3
 
 
@@ -69,7 +69,7 @@
     d.now += 700_000
     for _ in range(70):
         request_id, out = d.ask(plan="slow", customer="spent", width=1)
-        if of(out, api.SendAttempt):
+        if of_type(out, api.SendAttempt):
             d.end(request_id)
     d.give(api.Request("open", "pay", "basic", "out", 1e6))
     d.ask(plan="basic", customer="left")
@@ -79,7 +79,7 @@
     again = 0
     for _ in range(30):
         request_id, out = d.ask(plan="slow", customer="spent", width=1)
-        if of(out, api.SendAttempt):
+        if of_type(out, api.SendAttempt):
             again += 1
             d.end(request_id)
     assert 10 <= again <= 14  # what 130 s have filled, not all of it
@@ -113,13 +113,13 @@
     d.ask(plan="open", customer="busy")  # its request stays out
     for i in range(300):
         request_id, out = d.ask(plan="basic", customer=f"k{i}")
-        assert of(out, api.SendAttempt)
+        assert of_type(out, api.SendAttempt)
         d.end(request_id)
         assert len(d.gateway.quotas.registry.states) == len(d.gateway.quotas.registry.sweep_queue) <= 50
     assert ("busy", "open") in d.gateway.quotas.registry.states
     for i in range(60):
         d.ask(plan="open", customer=f"busy{i}")
-    assert [out.reason for out in of(d.ask(plan="open", customer="one more")[1], api.Reject)] == [
+    assert [out.reason for out in of_type(d.ask(plan="open", customer="one more")[1], api.Reject)] == [
         RejectReason.TOO_MANY_CUSTOMERS
     ]
 
@@ -133,15 +133,15 @@
     start, forgotten = d.now, 0
     for i in range(6000):  # 2,000 new ones a second for three seconds
         request_id, out = d.ask(plan="capped", customer=f"new{i}", after=0.5, width=3)
-        rejected += len(of(out, api.Reject))
-        if of(out, api.SendAttempt):
+        rejected += len(of_type(out, api.Reject))
+        if of_type(out, api.SendAttempt):
             d.end(request_id)
         if i % 10 == 0:
             d.log.clear()
             known = f"known{i // 10 % 5}"
             forgotten += (known, "capped") not in d.gateway.quotas.registry.states
             request_id, out = d.ask(plan="capped", customer=known, width=3)
-            if of(out, api.SendAttempt):
+            if of_type(out, api.SendAttempt):
                 admitted[known] += 1
                 d.end(request_id)
     assert rejected <= 6000 * 0.01  # two slots shared with others is rare
@@ -163,7 +163,7 @@
     def ask(request_id: str, customer: str) -> bool:
         nonlocal rejected
         request = api.Request(request_id, "read", "capped", customer, 4000, 1.0, 3, 0)
-        sent = of(gateway.handle(now, request), api.SendAttempt)
+        sent = of_type(gateway.handle(now, request), api.SendAttempt)
         if sent:
             gateway.handle(now, api.AttemptEnded(request_id, 0, sent[0].host, AttemptResult.OK, 50, True))
         return bool(sent)
--- a/tests/decision/test_quota.py
+++ b/tests/decision/test_quota.py
@@ -5,7 +5,7 @@
 import dataclasses
 
 import pytest
-from conftest import CAPPED, PLAN, Driver, of
+from conftest import CAPPED, PLAN, Driver, of_type
 
 from hillmux import interface as api
 from hillmux.interface import AttemptResult
@@ -52,9 +52,13 @@
     # The estimate says no; the last total left one unit.
     d.gateway.quotas.registry.states["c", "basic"].remaining = 0.0
     request_id, out = d.ask(plan="basic")
-    assert not of(out, api.SendAttempt) and not of(out, api.Reject) and of(out, api.IncrementCounter)
+    assert (
+        not of_type(out, api.SendAttempt)
+        and not of_type(out, api.Reject)
+        and of_type(out, api.IncrementCounter)
+    )
     out = d.give(api.CounterReply(calls_of(d)[-1].name, AttemptResult.TIMED_OUT, 0.0), 30)
-    assert len(of(out, api.SendAttempt)) + len(of(out, api.Reject)) == 1
+    assert len(of_type(out, api.SendAttempt)) + len(of_type(out, api.Reject)) == 1
     assert request_id not in d.gateway.new_requests.waiting
 
 
@@ -72,7 +76,7 @@
 def test_request_with_little_time_left_does_not_wait_for_the_counter(left: float) -> None:
     d = Driver(counter_timeout_ms=30)
     request_id, out = d.ask(plan="basic", left=left)
-    assert len(of(out, api.SendAttempt)) + len(of(out, api.Reject)) == 1
+    assert len(of_type(out, api.SendAttempt)) + len(of_type(out, api.Reject)) == 1
     assert request_id not in d.gateway.new_requests.waiting
 
 
@@ -94,9 +98,9 @@
     sent = 0
     for _ in range(12):
         _, out = d.ask(plan="basic")
-        for action in of(out, api.IncrementCounter):
+        for action in of_type(out, api.IncrementCounter):
             out = out + d.give(api.CounterReply(action.name, AttemptResult.TIMED_OUT, 0.0))
-        sent += len(of(out, api.SendAttempt))
+        sent += len(of_type(out, api.SendAttempt))
     assert sent <= PLAN.burst / 3 + 1
 
 
@@ -140,11 +144,11 @@
     twin = dataclasses.replace(PLAN, name="twin")
     d = Driver(plans=(PLAN, twin, CAPPED))
     names = [
-        of(d.ask(plan=plan, customer="c")[1], api.IncrementCounter)[0].name
+        of_type(d.ask(plan=plan, customer="c")[1], api.IncrementCounter)[0].name
         for plan in ("basic", "twin", "capped")
     ]
     assert len(set(names)) == 3
-    alone = of(Driver().ask(plan="basic", customer="c")[1], api.IncrementCounter)[0].name
+    alone = of_type(Driver().ask(plan="basic", customer="c")[1], api.IncrementCounter)[0].name
     assert names[0] != alone == names[0].replace(".0.", ".")  # where no other window is as long: no tag
 
 
@@ -156,7 +160,7 @@
         made = 0
         for _ in range(n):
             request_id, out = d.ask(plan="basic", customer=f"k{d.serial}", after=20)
-            for action in of(out, api.IncrementCounter):
+            for action in of_type(out, api.IncrementCounter):
                 made += 1
                 out = out + d.give(api.CounterReply(action.name, result, action.amount))
             if request_id in d.gateway.pending:
@@ -178,9 +182,9 @@
 def test_malformed_total_is_an_answer_and_its_amount_counts() -> None:
     d = Driver()
     request_id, out = d.ask(plan="basic", customer="k", units=2)
-    (call,) = of(out, api.IncrementCounter)
+    (call,) = of_type(out, api.IncrementCounter)
     out = d.give(api.CounterReply(call.name, AttemptResult.MALFORMED_RESPONSE, 0.0))
-    assert of(out, api.SendAttempt)  # decided at once
+    assert of_type(out, api.SendAttempt)  # decided at once
     use = d.gateway.quotas.registry.states["k", "basic"]
     assert d.gateway.quotas.throttle.answer_rate == 1.0
     assert use.reported == 2 and not use.call_open
@@ -196,6 +200,6 @@
         d.now += age_s * 1000
         for _ in range(3):
             request_id, out = d.ask(plan="basic", width=300)
-            sent += len(of(out, api.SendAttempt))
+            sent += len(of_type(out, api.SendAttempt))
     extra = sent - 300  # the first one of each gateway is let in: most customers are far from their quota
     assert extra <= 2 * EVEN_SPLIT_FACTOR * min(PLAN.burst, PLAN.rate * age_s) + 3
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from conftest import Driver, of, server
+from conftest import Driver, of_type, server
 
 from hillmux import interface as api
 from hillmux.balancing.slow_start import BUDGET_SHARE
@@ -22,8 +22,8 @@
     for i in range(200):
         request_id, out = d.ask(after=10)
         to_all += 1
-        to_cold += of(out, api.SendAttempt)[0].host == "h9"
-        d.end(request_id, took=10 if of(out, api.SendAttempt)[0].host == "h9" else 100)
+        to_cold += of_type(out, api.SendAttempt)[0].host == "h9"
+        d.end(request_id, took=10 if of_type(out, api.SendAttempt)[0].host == "h9" else 100)
         if i % 10 == 9:
             d.give(api.TimerFired("sweep"))
     assert to_cold <= BUDGET_SHARE * 3 * 0.4 * to_all / 4 + 1
@@ -40,7 +40,7 @@
     gateway.latency.per_unit_ms["read"] = saved / 4.5
     outs = [d.ask()[1] for _ in range(20)]
     assert (
-        4 <= sum(len(of(out, api.SendAttempt)) for out in outs) <= 5
+        4 <= sum(len(of_type(out, api.SendAttempt)) for out in outs) <= 5
     )  # other hosts gone: the budget still holds
 
 
@@ -55,7 +55,7 @@
         )  # 2 of 10 s: at least 0.36 warm
         d.give(api.EndpointList(ListKind.FULL, (server(9, started_at_ms=d.now - 2000),)))
         d.gateway.latency.per_unit_ms["read"] = work
-        sent += any(of(d.ask()[1], api.SendAttempt) for _ in range(10))
+        sent += any(of_type(d.ask()[1], api.SendAttempt) for _ in range(10))
     assert abs(sent - 300 * part) < 3 * (300 * part * (1 - part)) ** 0.5 + 1
 
 
@@ -64,5 +64,5 @@
     for i in range(300):
         d = Driver(servers=1, seed=i, fleet_size=300)
         d.give(api.EndpointList(ListKind.FULL, (server(9, started_at_ms=d.now),)))
-        sent += len(of(d.ask()[1], api.SendAttempt))
+        sent += len(of_type(d.ask()[1], api.SendAttempt))
     assert sent <= 5
--- a/tests/fakes/successors.py
+++ b/tests/fakes/successors.py
@@ -6,7 +6,7 @@
 import random
 from typing import Any
 
-from conftest import Driver, of, server
+from conftest import Driver, of_type, server
 
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
@@ -29,7 +29,7 @@
             units=rng.choice([1, 2, 4]),
             after=rng.expovariate(1 / 30),
         )
-        for attempt in of(actions, api.SendAttempt):
+        for attempt in of_type(actions, api.SendAttempt):
             failing, slow = faults and attempt.host == "h1", faults and attempt.host == "h2"
             driver.end(
                 request_id,
--- a/tests/hosted/test_rest.py
+++ b/tests/hosted/test_rest.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from conftest import SAFE, Driver, Seen, of, on_loop, server
+from conftest import SAFE, Driver, Seen, of_type, on_loop, server
 from fakes.hosted import Hosted, request, status
 
 from hillmux import interface as api
@@ -187,9 +187,9 @@
             decided = []
             for driver in (stays, rests):
                 rid, out = driver.ask(plan=plan[0], customer=customer, width=1)
-                for name in [a.name for a in of(out, api.IncrementCounter)]:
+                for name in [a.name for a in of_type(out, api.IncrementCounter)]:
                     reply = driver.totals[name] = driver.totals.get(name, 0.0) + sum(
-                        a.amount for a in of(out, api.IncrementCounter) if a.name == name
+                        a.amount for a in of_type(out, api.IncrementCounter) if a.name == name
                     )
                     out = out + driver.give(api.CounterReply(name, AttemptResult.OK, reply, 1.0))
                 sent = any(isinstance(a, api.SendAttempt) and a.request_id == rid for a in out)
--- a/tests/hot_restart/test_state_codec.py
+++ b/tests/hot_restart/test_state_codec.py
@@ -8,7 +8,7 @@
 import random
 
 import pytest
-from conftest import CAPPED, Driver, of, server
+from conftest import CAPPED, Driver, of_type, server
 from fakes.successors import busy_gateway, exported_documents, successor_of
 
 from hillmux import interface as api
@@ -37,7 +37,7 @@
         for i in range(200):
             rid, out = module.ask("read", "capped", f"c{i % 7}", units=2, after=r.expovariate(1 / 20))
             said.append([type(a).__name__ for a in out if isinstance(a, api.SendAttempt | api.Reject)])
-            for _ in of(out, api.SendAttempt):
+            for _ in of_type(out, api.SendAttempt):
                 module.end(rid, after=1.0)
         answers.append(said)
     assert answers[0] == answers[1]
@@ -54,7 +54,7 @@
         for module in (d, new):
             module.now = before + 10 * i
             rid, out = module.ask("read", "capped", "c0", units=1)
-            if of(out, api.SendAttempt):
+            if of_type(out, api.SendAttempt):
                 assert module is new
                 spent += 1
                 module.end(rid)
@@ -67,9 +67,9 @@
     d = busy_gateway(faults=False)
     d.give(api.TakenOver(True))
     rid, out = d.ask("read", "capped", "new", units=1)
-    assert of(out, api.Reject)[0].reason == RejectReason.CEILING
+    assert of_type(out, api.Reject)[0].reason == RejectReason.CEILING
     d.give(api.TakenOver(False))
-    assert of(d.ask("read", "capped", "new", units=1)[1], api.SendAttempt)
+    assert of_type(d.ask("read", "capped", "new", units=1)[1], api.SendAttempt)
 
 
 def test_record_of_a_host_restarted_since_is_not_restored() -> None:
--- a/tests/quotas/test_lease_records.py
+++ b/tests/quotas/test_lease_records.py
@@ -5,7 +5,7 @@
 import json
 
 import pytest
-from conftest import Driver, of
+from conftest import Driver, of_type
 from quotas.gateway_fleet import NAME, PLAN, GatewayFleet
 
 from hillmux import interface as api
@@ -86,7 +86,7 @@
     rows = json.loads(json.dumps(list(export(fleet.gateways[0].gateway))))
     new = fleet.fresh(0)
     _, out = new.ask(plan=PLAN.name, customer=NAME, width=1)
-    (call,) = of(out, api.IncrementCounter)
+    (call,) = of_type(out, api.IncrementCounter)
     new.give(api.CounterReply(call.name, AttemptResult.OK, call.amount))
     restore(new.gateway, rows)
     (restored,) = new.gateway.quotas.registry.states.values()
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from conftest import PLAN, Driver, of
+from conftest import PLAN, Driver, of_type
 
 from hillmux import interface as api
 from hillmux.interface import AttemptResult
@@ -24,8 +24,8 @@
     start = window_start(Driver(), "c")
     d = Driver(fleet_size=100, now=start + into_ms)
     rid, out = d.ask(plan="basic", customer="c", width=100)
-    (call,) = of(out, api.IncrementCounter)
-    assert of(d.give(api.CounterReply(call.name, AttemptResult.OK, call.amount + 3.0)), api.SendAttempt)
+    (call,) = of_type(out, api.IncrementCounter)
+    assert of_type(d.give(api.CounterReply(call.name, AttemptResult.OK, call.amount + 3.0)), api.SendAttempt)
     use = d.gateway.quotas.registry.states["c", "basic"]
     assert use.others_rate == pytest.approx(3.0 / into_ms)
     assert use.remaining == pytest.approx(PLAN.burst - 3 - 1)
@@ -35,9 +35,9 @@
     start = window_start(Driver(), "c")
     d = Driver(fleet_size=100, now=start + 1000.0)
     _, out = d.ask(plan="basic", customer="c", width=100)
-    (call,) = of(out, api.IncrementCounter)
+    (call,) = of_type(out, api.IncrementCounter)
     out = d.give(api.CounterReply(call.name, AttemptResult.OK, call.amount + PLAN.burst + PLAN.rate))
-    assert of(out, api.Reject) and not of(out, api.SendAttempt)
+    assert of_type(out, api.Reject) and not of_type(out, api.SendAttempt)
 
 
 def test_first_total_gives_the_rate_of_the_others_over_the_window() -> None:
@@ -45,8 +45,8 @@
     start = window_start(Driver(), "c")
     d = Driver(fleet_size=100, now=start + 2000.0)
     _, out = d.ask(plan="basic", customer="c", width=100)
-    (call,) = of(out, api.IncrementCounter)
-    rid = of(d.give(api.CounterReply(call.name, AttemptResult.OK, call.amount + 2.0)), api.SendAttempt)[
+    (call,) = of_type(out, api.IncrementCounter)
+    rid = of_type(d.give(api.CounterReply(call.name, AttemptResult.OK, call.amount + 2.0)), api.SendAttempt)[
         0
     ].request_id
     d.end(rid)
@@ -58,6 +58,6 @@
 def test_a_lone_gateway_that_starts_anew_finds_what_it_had_spent(into_ms: float) -> None:
     d = Driver(now=window_start(Driver(), "c") + into_ms)
     _, out = d.ask(plan="basic", customer="c", width=1)
-    (call,) = of(out, api.IncrementCounter)
+    (call,) = of_type(out, api.IncrementCounter)
     out = d.give(api.CounterReply(call.name, AttemptResult.OK, call.amount + PLAN.burst))
-    assert of(out, api.Reject) and not of(out, api.SendAttempt)
+    assert of_type(out, api.Reject) and not of_type(out, api.SendAttempt)
--- a/tests/recovery/test_process_restart.py
+++ b/tests/recovery/test_process_restart.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import Driver, of
+from conftest import Driver, of_type
 from lab.test_run import count, day, held
 
 from hillmux import interface as api
@@ -20,7 +20,7 @@
     out = []
     for number in range(count):
         rid, acts = d.ask("read", ("basic", "open")[number % 2], f"c{number % 200}", after=every_ms)
-        if of(acts, api.SendAttempt):
+        if of_type(acts, api.SendAttempt):
             out.append((d.now, rid))
         while out and d.now - out[0][0] > 900:
             d.end(out.pop(0)[1], AttemptResult.OK, took=900)
@@ -43,7 +43,7 @@
     sent = 0
     for number in range(customers):
         rid, acts = d.ask("read", "open", f"new{number}", after=2)
-        if of(acts, api.SendAttempt):
+        if of_type(acts, api.SendAttempt):
             sent += 1
             d.end(rid, AttemptResult.OK, took=10)
     return sent
--- a/tests/recovery/test_retention.py
+++ b/tests/recovery/test_retention.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from conftest import CAPPED, Driver, of
+from conftest import CAPPED, Driver, of_type
 from fakes.successors import busy_gateway, exported_documents, successor_of
 
 from hillmux import interface as api
@@ -207,7 +207,7 @@
         assert exported_documents(new.gateway) == before
     else:
         rid, acts = new.ask("read", "open", "c1", after=5)  # and decides on
-        assert acts and new.end(rid, AttemptResult.OK) is not None if of(acts, api.SendAttempt) else acts
+        assert acts and new.end(rid, AttemptResult.OK) is not None if of_type(acts, api.SendAttempt) else acts
         new.sweep(2)
 
 
