--- a/tests/admin/test_disabled_hosts.py
+++ b/tests/admin/test_disabled_hosts.py
@@ -5,7 +5,7 @@
 import dataclasses
 
 import pytest
-from conftest import KEYED, PLAN, SAFE, UNSAFE, Driver, of_type, server, settings
+from conftest import KEYED, PLAN, SAFE, UNSAFE, Driver, make_endpoint, of_type, settings
 
 from hillmux import interface as api
 from hillmux.interface import AttemptResult, HostStatus, Idempotency, KeyScope, ListKind, RejectReason
@@ -25,10 +25,10 @@
     d = Driver(servers=3)
     d.give(api.HostDisabled("h0", True))
     assert "h0" not in sends(d)
-    d.give(api.EndpointList(ListKind.CHANGES, (server(0, status=HostStatus.REMOVED),)))
-    d.give(api.EndpointList(ListKind.CHANGES, (server(0),)))
-    d.give(api.EndpointList(ListKind.FULL, tuple(server(i, capacity=2.0) for i in range(3))))
-    d.give(api.EndpointList(ListKind.CHANGES, (server(0, started_at_ms=d.now),)))
+    d.give(api.EndpointList(ListKind.CHANGES, (make_endpoint(0, status=HostStatus.REMOVED),)))
+    d.give(api.EndpointList(ListKind.CHANGES, (make_endpoint(0),)))
+    d.give(api.EndpointList(ListKind.FULL, tuple(make_endpoint(i, capacity=2.0) for i in range(3))))
+    d.give(api.EndpointList(ListKind.CHANGES, (make_endpoint(0, started_at_ms=d.now),)))
     assert "h0" not in sends(d)
     assert d.gateway.fleet.skipped_count() == 1
     d.give(api.HostDisabled("h0", True))
@@ -64,10 +64,10 @@
     host = d.gateway.hosts["h0"]
     assert d.gateway.fleet.capacity_share(host) == pytest.approx(0.2)
     back = d.now
-    d.give(api.EndpointList(ListKind.CHANGES, (server(0, started_at_ms=back - 1000),)), after=500)
+    d.give(api.EndpointList(ListKind.CHANGES, (make_endpoint(0, started_at_ms=back - 1000),)), after=500)
     assert host.warming_since_ms == back - 1000
     d.give(api.HostDisabled("h1", True), after=100)
-    d.give(api.EndpointList(ListKind.CHANGES, (server(1, started_at_ms=d.now),)), after=100)
+    d.give(api.EndpointList(ListKind.CHANGES, (make_endpoint(1, started_at_ms=d.now),)), after=100)
     born = d.now - 100
     d.give(api.HostDisabled("h1", False), after=2000)
     assert d.gateway.hosts["h1"].warming_since_ms == born
@@ -87,7 +87,7 @@
 def test_disabled_host_that_was_never_listed_costs_one_name() -> None:
     d = Driver(servers=2)
     d.give(api.HostDisabled("h9", True))
-    d.give(api.EndpointList(ListKind.CHANGES, (server(9),)))
+    d.give(api.EndpointList(ListKind.CHANGES, (make_endpoint(9),)))
     assert "h9" not in sends(d)
     d.give(api.HostDisabled("h9", False))
     assert d.gateway.fleet.disabled_since == {}
--- a/tests/balancing/test_selection.py
+++ b/tests/balancing/test_selection.py
@@ -7,7 +7,7 @@
 
 import pytest
 from balancing.balancers import KEYED_CLASSES, endpoint, make_balancer
-from conftest import Driver, of_type, server
+from conftest import Driver, make_endpoint, of_type
 
 from hillmux import interface as api
 from hillmux.balancing.host_pool import MAX_PROBE_BUDGET
@@ -196,7 +196,7 @@
 def test_a_list_replaced_under_load_forgets_the_old_hosts() -> None:
     d = Driver(servers=50)
     rids = [d.ask()[0] for _ in range(100)]
-    d.give(api.EndpointList(ListKind.FULL, tuple(server(i) for i in range(100, 150))))
+    d.give(api.EndpointList(ListKind.FULL, tuple(make_endpoint(i) for i in range(100, 150))))
     balancer = d.gateway.fleet
     assert balancer.host_set.open_on_healthy == 0 and balancer.host_set.available_count == 50
     for rid in rids:  # their outcomes come from hosts that are off the list
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -94,7 +94,7 @@
         self.totals: dict[str, float] = {}  # units by key in the simulated shared counter
         self.answered = 0  # calls that the simulated counter has answered
         self.log: list[tuple[float, api.Action]] = []
-        self.give(api.EndpointList(ListKind.CACHED, tuple(server(i) for i in range(servers))))
+        self.give(api.EndpointList(ListKind.CACHED, tuple(make_endpoint(i) for i in range(servers))))
 
     def give(self, event: api.Event, after: float = 0.0) -> list[api.Action]:
         self.now += after
@@ -139,7 +139,7 @@
             self.give(api.TimerFired("sweep"), every)
 
 
-def server(i: int, **changes: object) -> api.Endpoint:
+def make_endpoint(i: int, **changes: object) -> api.Endpoint:
     return dataclasses.replace(api.Endpoint(f"h{i}", "ab"[i % 2], i % 2), **changes)
 
 
--- a/tests/decision/test_answers.py
+++ b/tests/decision/test_answers.py
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from conftest import Driver, of_type, server, settings
+from conftest import Driver, make_endpoint, of_type, settings
 
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
@@ -92,7 +92,11 @@
         if step % 40 == 0:
             name = rng.choice(sorted(status))
             status[name] = rng.choice([HostStatus.UP, HostStatus.DRAINING])
-            note(d.give(api.EndpointList(ListKind.CHANGES, (server(int(name[1:]), status=status[name]),))))
+            note(
+                d.give(
+                    api.EndpointList(ListKind.CHANGES, (make_endpoint(int(name[1:]), status=status[name]),))
+                )
+            )
         note(d.give(api.TimerFired("sweep")))
     while open_attempts:
         key = min(open_attempts)
--- a/tests/decision/test_customers.py
+++ b/tests/decision/test_customers.py
@@ -5,7 +5,7 @@
 import collections
 
 import pytest
-from conftest import CAPPED, PLAN, Driver, of_type, server, settings
+from conftest import CAPPED, PLAN, Driver, make_endpoint, of_type, settings
 
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
@@ -155,7 +155,7 @@
     """As many as the default lets be known, and a dozen times more; known ones try all the time."""
     gateway = Gateway(settings(counter_available=False), 1)
     now = 1e6
-    gateway.handle(now, api.EndpointList(ListKind.FULL, tuple(server(i) for i in range(20))))
+    gateway.handle(now, api.EndpointList(ListKind.FULL, tuple(make_endpoint(i) for i in range(20))))
     full, rate = CAPPED.ceiling_burst / 3, CAPPED.ceiling_rate / 1000 / 3
     now += full / rate
     start, admitted, rejected = now, collections.Counter[str](), 0
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from conftest import Driver, of_type, server
+from conftest import Driver, make_endpoint, of_type
 
 from hillmux import interface as api
 from hillmux.balancing.slow_start import BUDGET_SHARE
@@ -17,7 +17,7 @@
         d.end(request_id, took=100)
         if i % 10 == 9:
             d.give(api.TimerFired("sweep"))
-    d.give(api.EndpointList(ListKind.CHANGES, (server(9, started_at_ms=d.now),)))
+    d.give(api.EndpointList(ListKind.CHANGES, (make_endpoint(9, started_at_ms=d.now),)))
     to_cold = to_all = 0
     for i in range(200):
         request_id, out = d.ask(after=10)
@@ -33,7 +33,7 @@
     d = Driver(servers=1)
     gateway = d.gateway
     gateway.fleet.slow_start.warm_work_rate = 0.1  # work sent to a warm host each ms
-    d.give(api.EndpointList(ListKind.FULL, (server(9, started_at_ms=d.now - 5000),)))
+    d.give(api.EndpointList(ListKind.FULL, (make_endpoint(9, started_at_ms=d.now - 5000),)))
     cold = gateway.hosts["h9"]
     saved = 0.2 * 0.1 * 2000 / 2  # at most half a span's worth is saved up
     assert gateway.fleet.slow_start.has_budget(cold, 0.2, saved - 0.1, gateway.fleet.now)
@@ -53,7 +53,7 @@
             0.1,
             0.36 * 0.1 * 1000 / part,
         )  # 2 of 10 s: at least 0.36 warm
-        d.give(api.EndpointList(ListKind.FULL, (server(9, started_at_ms=d.now - 2000),)))
+        d.give(api.EndpointList(ListKind.FULL, (make_endpoint(9, started_at_ms=d.now - 2000),)))
         d.gateway.latency.per_unit_ms["read"] = work
         sent += any(of_type(d.ask()[1], api.SendAttempt) for _ in range(10))
     assert abs(sent - 300 * part) < 3 * (300 * part * (1 - part)) ** 0.5 + 1
@@ -63,6 +63,6 @@
     sent = 0
     for i in range(300):
         d = Driver(servers=1, seed=i, fleet_size=300)
-        d.give(api.EndpointList(ListKind.FULL, (server(9, started_at_ms=d.now),)))
+        d.give(api.EndpointList(ListKind.FULL, (make_endpoint(9, started_at_ms=d.now),)))
         sent += len(of_type(d.ask()[1], api.SendAttempt))
     assert sent <= 5
--- a/tests/fakes/successors.py
+++ b/tests/fakes/successors.py
@@ -6,7 +6,7 @@
 import random
 from typing import Any
 
-from conftest import Driver, of_type, server
+from conftest import Driver, make_endpoint, of_type
 
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
@@ -18,7 +18,7 @@
     """A gateway after a while of traffic from customers of all plans; `faults`: a slow and a failing host."""
     driver = Driver(servers=6, seed=seed, counter_available=False, **changes)
     rng = random.Random(seed)
-    restarted = server(5, started_at_ms=driver.now)
+    restarted = make_endpoint(5, started_at_ms=driver.now)
     driver.give(api.EndpointList(ListKind.CHANGES, (restarted,)), after=5000)
     for number in range(40 * customers // 10):
         class_name, plan = rng.choice(["read", "put"]), rng.choice(["capped", "basic", "open"])
--- a/tests/hosted/test_rest.py
+++ b/tests/hosted/test_rest.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from conftest import SAFE, Driver, Seen, of_type, on_loop, server
+from conftest import SAFE, Driver, Seen, make_endpoint, of_type, on_loop
 from fakes.hosted import Hosted, request, status
 
 from hillmux import interface as api
@@ -92,7 +92,7 @@
         ),
         1,
     )
-    cold.handle(1e6, api.EndpointList(ListKind.FULL, (server(0, started_at_ms=1e6),)))
+    cold.handle(1e6, api.EndpointList(ListKind.FULL, (make_endpoint(0, started_at_ms=1e6),)))
     assert not cold.is_quiescent()
     cold.handle(1e6 + 5001, api.TimerFired("sweep"))
     assert cold.is_quiescent()
@@ -106,7 +106,7 @@
     slow = api.Plan("slow", ceiling_rate=0.5, ceiling_burst=10)  # full after 20 s
     plans = (slow, api.Plan("open"))
     gateway = Gateway(api.Settings(classes=(SAFE,), plans=plans, max_customers=1), 1)
-    gateway.handle(1e6, api.EndpointList(ListKind.FULL, (server(0),)))
+    gateway.handle(1e6, api.EndpointList(ListKind.FULL, (make_endpoint(0),)))
 
     def ask(at: float, rid: str, plan: str) -> bool:
         out = gateway.handle(at, api.Request(rid, "read", plan, rid, 4000.0))
@@ -180,7 +180,7 @@
             fresh += 1
             rests.gateway = Gateway(rests.gateway.settings, seed)
             rests.gateway.handle(born, api.EndpointList(ListKind.CACHED, ()))
-            rests.give(api.EndpointList(ListKind.FULL, tuple(server(i) for i in range(4))))
+            rests.give(api.EndpointList(ListKind.FULL, tuple(make_endpoint(i) for i in range(4))))
         plan, count = rng.choice((("basic", 4), ("capped", 9), ("open", 3))), rng.randint(1, 12)
         customer = rng.choice(("x", "y"))
         for _ in range(count):
--- a/tests/hot_restart/test_state_codec.py
+++ b/tests/hot_restart/test_state_codec.py
@@ -8,7 +8,7 @@
 import random
 
 import pytest
-from conftest import CAPPED, Driver, of_type, server
+from conftest import CAPPED, Driver, make_endpoint, of_type
 from fakes.successors import busy_gateway, exported_documents, successor_of
 
 from hillmux import interface as api
@@ -75,7 +75,7 @@
 def test_record_of_a_host_restarted_since_is_not_restored() -> None:
     d = busy_gateway()
     new = Driver(servers=6, seed=99, now=d.now, counter_available=False)
-    new.give(api.EndpointList(ListKind.CHANGES, (server(2, started_at_ms=d.now),)))
+    new.give(api.EndpointList(ListKind.CHANGES, (make_endpoint(2, started_at_ms=d.now),)))
     restore(new.gateway, exported_documents(d.gateway))
     assert new.gateway.hosts["h2"].latency_ratio == 1.0
     assert new.gateway.fleet.capacity_share(new.gateway.hosts["h2"]) < 1
@@ -95,7 +95,11 @@
     d = Driver(servers=2, counter_available=False)
     for i in range(3 * AT_ONCE):
         d.ask("read", "open", f"{i:016x}")
-    d.give(api.EndpointList(ListKind.FULL, tuple(server(i, name=f"{i:0>200}") for i in range(3 * AT_ONCE))))
+    d.give(
+        api.EndpointList(
+            ListKind.FULL, tuple(make_endpoint(i, name=f"{i:0>200}") for i in range(3 * AT_ONCE))
+        )
+    )
     documents = list(export(d.gateway))
     assert max(len(json.dumps(doc)) for doc in documents) < MAX_PACKET_BYTES
     assert sum(len(doc.get("hosts", ())) for doc in documents) == 3 * AT_ONCE
