--- a/tests/admin/test_disabled_hosts.py
+++ b/tests/admin/test_disabled_hosts.py
@@ -23,16 +23,16 @@
 
 def test_disabled_host_gets_no_request_whatever_discovery_lists() -> None:
     d = Driver(servers=3)
-    d.give(api.HostDisabled("h0", True))
+    d.handle(api.HostDisabled("h0", True))
     assert "h0" not in sends(d)
-    d.give(api.EndpointList(ListKind.CHANGES, (make_endpoint(0, status=HostStatus.REMOVED),)))
-    d.give(api.EndpointList(ListKind.CHANGES, (make_endpoint(0),)))
-    d.give(api.EndpointList(ListKind.FULL, tuple(make_endpoint(i, capacity=2.0) for i in range(3))))
-    d.give(api.EndpointList(ListKind.CHANGES, (make_endpoint(0, started_at_ms=d.now),)))
+    d.handle(api.EndpointList(ListKind.CHANGES, (make_endpoint(0, status=HostStatus.REMOVED),)))
+    d.handle(api.EndpointList(ListKind.CHANGES, (make_endpoint(0),)))
+    d.handle(api.EndpointList(ListKind.FULL, tuple(make_endpoint(i, capacity=2.0) for i in range(3))))
+    d.handle(api.EndpointList(ListKind.CHANGES, (make_endpoint(0, started_at_ms=d.now),)))
     assert "h0" not in sends(d)
     assert d.gateway.fleet.skipped_count() == 1
-    d.give(api.HostDisabled("h0", True))
-    d.give(api.HostDisabled("h0", False))  # one call back ends it, however often it was taken out
+    d.handle(api.HostDisabled("h0", True))
+    d.handle(api.HostDisabled("h0", False))  # one call back ends it, however often it was taken out
     assert "h0" in sends(d, 200)
     assert d.gateway.fleet.skipped_count() == 0
 
@@ -42,7 +42,7 @@
     rid, out = d.ask()
     (first,) = of_type(out, api.SendAttempt)
     other = {"h0": "h1", "h1": "h0"}[first.host]
-    d.give(api.HostDisabled(other, True))
+    d.handle(api.HostDisabled(other, True))
     again = of_type(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
     assert [a.host for a in again] == [first.host]
 
@@ -50,7 +50,7 @@
 def test_request_is_rejected_when_all_hosts_are_disabled() -> None:
     d = Driver(servers=2)
     for name in ("h0", "h1"):
-        d.give(api.HostDisabled(name, True))
+        d.handle(api.HostDisabled(name, True))
     _, out = d.ask()
     (refused,) = of_type(out, api.Reject)
     assert refused.reason == RejectReason.NO_HOST
@@ -59,17 +59,17 @@
 def test_enabled_host_warms_up_unless_discovery_listed_its_restart() -> None:
     d = Driver(servers=4)
     sends(d)
-    d.give(api.HostDisabled("h0", True), after=100)
-    d.give(api.HostDisabled("h0", False), after=3000)  # restarted meanwhile: the list has not told yet
+    d.handle(api.HostDisabled("h0", True), after=100)
+    d.handle(api.HostDisabled("h0", False), after=3000)  # restarted meanwhile: the list has not told yet
     host = d.gateway.hosts["h0"]
     assert d.gateway.fleet.capacity_share(host) == pytest.approx(0.2)
     back = d.now
-    d.give(api.EndpointList(ListKind.CHANGES, (make_endpoint(0, started_at_ms=back - 1000),)), after=500)
+    d.handle(api.EndpointList(ListKind.CHANGES, (make_endpoint(0, started_at_ms=back - 1000),)), after=500)
     assert host.warming_since_ms == back - 1000
-    d.give(api.HostDisabled("h1", True), after=100)
-    d.give(api.EndpointList(ListKind.CHANGES, (make_endpoint(1, started_at_ms=d.now),)), after=100)
+    d.handle(api.HostDisabled("h1", True), after=100)
+    d.handle(api.EndpointList(ListKind.CHANGES, (make_endpoint(1, started_at_ms=d.now),)), after=100)
     born = d.now - 100
-    d.give(api.HostDisabled("h1", False), after=2000)
+    d.handle(api.HostDisabled("h1", False), after=2000)
     assert d.gateway.hosts["h1"].warming_since_ms == born
 
 
@@ -79,17 +79,17 @@
     fleet.eject(host)
     fleet.reindex(host)
     before = fleet.host_set.open_on_healthy
-    d.give(api.HostDisabled("h0", True))
-    d.give(api.HostDisabled("h0", False))
+    d.handle(api.HostDisabled("h0", True))
+    d.handle(api.HostDisabled("h0", False))
     assert (host.ejections, fleet.host_set.ejected_count, fleet.host_set.open_on_healthy) == (0, 0, before)
 
 
 def test_disabled_host_that_was_never_listed_costs_one_name() -> None:
     d = Driver(servers=2)
-    d.give(api.HostDisabled("h9", True))
-    d.give(api.EndpointList(ListKind.CHANGES, (make_endpoint(9),)))
+    d.handle(api.HostDisabled("h9", True))
+    d.handle(api.EndpointList(ListKind.CHANGES, (make_endpoint(9),)))
     assert "h9" not in sends(d)
-    d.give(api.HostDisabled("h9", False))
+    d.handle(api.HostDisabled("h9", False))
     assert d.gateway.fleet.disabled_since == {}
 
 
@@ -100,7 +100,7 @@
 def test_open_requests_keep_their_class_and_attempts() -> None:
     d = Driver(servers=6)
     rid, _ = d.ask("read")
-    d.give(
+    d.handle(
         changed(
             classes=(dataclasses.replace(SAFE, idempotency=Idempotency.NOT_IDEMPOTENT), KEYED),
             max_attempts=1,
@@ -116,7 +116,7 @@
 def test_open_request_of_a_removed_class_continues_and_new_ones_are_rejected() -> None:
     d = Driver(servers=3)
     rid, _ = d.ask("read")
-    d.give(changed(classes=(KEYED, UNSAFE)))
+    d.handle(changed(classes=(KEYED, UNSAFE)))
     _, out = d.ask("read")
     assert of_type(out, api.Reject)[0].reason == RejectReason.UNKNOWN_CLASS_OR_PLAN
     assert of_type(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
@@ -133,9 +133,9 @@
         d.end(rid)
         rid, out = d.ask("read", "basic", customer="c", units=1)
     assert rid in d.gateway.new_requests.waiting
-    d.give(changed(classes=(KEYED, UNSAFE)))
+    d.handle(changed(classes=(KEYED, UNSAFE)))
     (use,) = d.gateway.quotas.registry.states.values()
-    d.give(api.CounterReply(use.count_name, AttemptResult.OK, 0.0), after=5)
+    d.handle(api.CounterReply(use.count_name, AttemptResult.OK, 0.0), after=5)
     answers = [a for _, a in d.log if isinstance(a, api.SendAttempt | api.Reject) and a.request_id == rid]
     assert len(answers) == 1
 
@@ -144,7 +144,7 @@
     d = Driver(servers=3)
     for i in range(50):
         name = f"read{i}"
-        d.give(changed(classes=(dataclasses.replace(SAFE, name=name),)))
+        d.handle(changed(classes=(dataclasses.replace(SAFE, name=name),)))
         d.end(d.ask(name)[0])
     gateway = d.gateway
     assert set(gateway.latency.per_unit_ms) == set(gateway.new_requests.deadline_samples) == {"read49"}
@@ -154,7 +154,7 @@
 def test_retry_follows_a_changed_idempotency_key_scope() -> None:
     d = Driver(servers=4, classes=(SAFE,))
     keyed = dataclasses.replace(KEYED, key_scope=KeyScope.ZONE)
-    d.give(changed(classes=(keyed,)))
+    d.handle(changed(classes=(keyed,)))
     rid, out = d.ask("put")
     (first,) = of_type(out, api.SendAttempt)
     (again,) = of_type(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
@@ -165,7 +165,7 @@
 def test_changed_plans_are_rejected_and_change_nothing() -> None:
     d = Driver(servers=2)
     with pytest.raises(ValueError, match="plans"):
-        d.give(changed(plans=(PLAN,), classes=(KEYED,)))
+        d.handle(changed(plans=(PLAN,), classes=(KEYED,)))
     assert set(d.gateway.context.classes) == {"read", "put", "pay"}
 
 
@@ -178,9 +178,9 @@
     streams = [d.ask()[0] for _ in range(5)]
     assert (host.open_requests, fleet.host_set.open_on_healthy) == (5, 5)
     for rid in streams:
-        d.give(api.ResponseStarted(rid, 0))
-        d.give(api.ResponseStarted(rid, 0))  # told twice, it counts once
-    d.give(api.ResponseStarted(streams[0], 7))
+        d.handle(api.ResponseStarted(rid, 0))
+        d.handle(api.ResponseStarted(rid, 0))  # told twice, it counts once
+    d.handle(api.ResponseStarted(streams[0], 7))
     assert (host.open_requests, fleet.host_set.open_on_healthy) == (0, 0)
     for rid in streams:
         assert of_type(d.end(rid, took=40, after=5000), api.SendAttempt | api.Reject) == []
@@ -190,6 +190,6 @@
 def test_response_that_breaks_off_is_not_retried() -> None:
     d = Driver(servers=3)
     rid, _ = d.ask()
-    d.give(api.ResponseStarted(rid, 0))
+    d.handle(api.ResponseStarted(rid, 0))
     assert not of_type(d.end(rid, AttemptResult.RESET), api.SendAttempt)
     assert all(h.open_requests == 0 for h in d.gateway.hosts.values())
--- a/tests/balancing/test_selection.py
+++ b/tests/balancing/test_selection.py
@@ -90,9 +90,9 @@
 def test_enabled_host_is_chosen_at_once_where_hosts_are_fast() -> None:
     """Guards against a host that an operator has enabled and that gets nothing."""
     driver = Driver(servers=2, slow_start_ms=0.0)
-    driver.give(api.HostDisabled("h0", True))
+    driver.handle(api.HostDisabled("h0", True))
     assert hosts_of(driver, 20, 1.0) == {"h1": 20}
-    driver.give(api.HostDisabled("h0", False))
+    driver.handle(api.HostDisabled("h0", False))
     assert hosts_of(driver, 20, 1.0)["h0"] >= 4
 
 
@@ -196,7 +196,7 @@
 def test_a_list_replaced_under_load_forgets_the_old_hosts() -> None:
     d = Driver(servers=50)
     rids = [d.ask()[0] for _ in range(100)]
-    d.give(api.EndpointList(ListKind.FULL, tuple(make_endpoint(i) for i in range(100, 150))))
+    d.handle(api.EndpointList(ListKind.FULL, tuple(make_endpoint(i) for i in range(100, 150))))
     balancer = d.gateway.fleet
     assert balancer.host_set.open_on_healthy == 0 and balancer.host_set.available_count == 50
     for rid in rids:  # their outcomes come from hosts that are off the list
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -94,9 +94,9 @@
         self.totals: dict[str, float] = {}  # units by key in the simulated shared counter
         self.answered = 0  # calls that the simulated counter has answered
         self.log: list[tuple[float, api.Action]] = []
-        self.give(api.EndpointList(ListKind.CACHED, tuple(make_endpoint(i) for i in range(servers))))
+        self.handle(api.EndpointList(ListKind.CACHED, tuple(make_endpoint(i) for i in range(servers))))
 
-    def give(self, event: api.Event, after: float = 0.0) -> list[api.Action]:
+    def handle(self, event: api.Event, after: float = 0.0) -> list[api.Action]:
         self.now += after
         out = self.gateway.handle(self.now, event)
         self.log += [(self.now, act) for act in out]
@@ -114,7 +114,7 @@
     ) -> tuple[str, list[api.Action]]:
         self.serial += 1
         rid = f"r{self.serial}"
-        return rid, self.give(api.Request(rid, cls, plan, customer, left, units, width, 0), after)
+        return rid, self.handle(api.Request(rid, cls, plan, customer, left, units, width, 0), after)
 
     def end(
         self,
@@ -127,7 +127,7 @@
     ) -> list[api.Action]:
         sends = [a for _, a in self.log if isinstance(a, api.SendAttempt) and a.request_id == rid]
         n = len(sends) - 1 if attempt is None else attempt
-        return self.give(
+        return self.handle(
             api.AttemptEnded(
                 rid, n, sends[n].host, result, took, result == AttemptResult.OK, actual_units=true_units
             ),
@@ -136,7 +136,7 @@
 
     def sweep(self, times: int = 1, every: float = 100) -> None:
         for _ in range(times):
-            self.give(api.TimerFired("sweep"), every)
+            self.handle(api.TimerFired("sweep"), every)
 
 
 def make_endpoint(i: int, **changes: object) -> api.Endpoint:
--- a/tests/decision/test_admission.py
+++ b/tests/decision/test_admission.py
@@ -138,5 +138,5 @@
                 d.end(request_id, AttemptResult.TIMED_OUT, took=took)
             if request_id in d.gateway.pending:
                 d.end(request_id, took=took)
-            d.give(api.TimerFired("sweep"))
+            d.handle(api.TimerFired("sweep"))
         assert (d.gateway.admission.admit_fraction < 1) == pressed
--- a/tests/decision/test_answers.py
+++ b/tests/decision/test_answers.py
@@ -87,24 +87,26 @@
                 served.add(key[0])
             final = done or result == AttemptResult.OK
             note(
-                d.give(api.AttemptEnded(key[0], key[1], attempt.host, result, d.now - attempt.sent_at, final))
+                d.handle(
+                    api.AttemptEnded(key[0], key[1], attempt.host, result, d.now - attempt.sent_at, final)
+                )
             )
         if step % 40 == 0:
             name = rng.choice(sorted(status))
             status[name] = rng.choice([HostStatus.UP, HostStatus.DRAINING])
             note(
-                d.give(
+                d.handle(
                     api.EndpointList(ListKind.CHANGES, (make_endpoint(int(name[1:]), status=status[name]),))
                 )
             )
-        note(d.give(api.TimerFired("sweep")))
+        note(d.handle(api.TimerFired("sweep")))
     while open_attempts:
         key = min(open_attempts)
         del open_attempts[key]
         attempt = attempts[key[0]][key[1]]
         attempt.may_have_run, attempt.open = True, False
         note(
-            d.give(
+            d.handle(
                 api.AttemptEnded(
                     key[0],
                     key[1],
@@ -135,16 +137,16 @@
     request_id, _ = d.ask()
     d.end(request_id)
     assert d.end(request_id) == []
-    assert d.give(api.AttemptEnded("nobody", 0, "h0", AttemptResult.OK, 5, True)) == []
-    assert d.give(api.CounterReply("no.such", AttemptResult.OK, 5)) == []
-    assert d.give(api.TimerFired("of an earlier life")) == []
-    assert d.give(api.ClientDisconnected("nobody")) == []
+    assert d.handle(api.AttemptEnded("nobody", 0, "h0", AttemptResult.OK, 5, True)) == []
+    assert d.handle(api.CounterReply("no.such", AttemptResult.OK, 5)) == []
+    assert d.handle(api.TimerFired("of an earlier life")) == []
+    assert d.handle(api.ClientDisconnected("nobody")) == []
 
 
 def test_error_names_the_event_or_the_setting() -> None:
     d = Driver()
     with pytest.raises(TypeError, match="not an event|object expected; got str"):  # as source, compiled
-        d.give("hello")
+        d.handle("hello")
     for changes, word in [
         ({"classes": ()}, "classes"),
         ({"gateway_index": 3}, "me"),
--- a/tests/decision/test_attempts.py
+++ b/tests/decision/test_attempts.py
@@ -13,7 +13,7 @@
 
 def test_keyed_retry_stays_in_its_zone_and_within_the_idempotency_window() -> None:
     d = Driver(servers=4)
-    d.give(api.Request("k", "put", "open", "c", 4000.0))
+    d.handle(api.Request("k", "put", "open", "c", 4000.0))
     pending = d.gateway.pending["k"]
     first = pending.attempts[0].host
     other = [h for h in d.gateway.hosts.values() if h.zone != first.zone][0]
--- a/tests/decision/test_ceiling.py
+++ b/tests/decision/test_ceiling.py
@@ -28,10 +28,10 @@
             store -= units[action.request_id]
             sends += 1
             assert store >= -1e-6
-            note(d, d.give(api.AttemptEnded(action.request_id, 0, action.host, AttemptResult.OK, 50, True)))
+            note(d, d.handle(api.AttemptEnded(action.request_id, 0, action.host, AttemptResult.OK, 50, True)))
         for action in of_type(out, api.IncrementCounter):
             result = rng.choice([AttemptResult.OK, AttemptResult.TIMED_OUT, AttemptResult.QUEUE_FULL])
-            note(d, d.give(api.CounterReply(action.name, result, rng.choice([action.amount, 0.0, 50.0]))))
+            note(d, d.handle(api.CounterReply(action.name, result, rng.choice([action.amount, 0.0, 50.0]))))
 
     for step in range(3000):
         now += rng.expovariate(1 / 10)
@@ -42,7 +42,7 @@
         d.now, d.serial = now, step
         units[f"r{step + 1}"] = size = rng.choice([1, 1, 2])
         note(d, d.ask(plan="capped", units=size)[1])
-        note(d, d.give(api.TimerFired("sweep")))
+        note(d, d.handle(api.TimerFired("sweep")))
     assert sends > 100
 
 
@@ -61,7 +61,7 @@
         request_id, out = d.ask(plan="capped", width=10)
         for action in of_type(out, api.IncrementCounter):
             result = rng.choice([AttemptResult.OK, AttemptResult.TIMED_OUT])
-            out = out + d.give(api.CounterReply(action.name, result, rng.choice([0.0, 90.0])))
+            out = out + d.handle(api.CounterReply(action.name, result, rng.choice([0.0, 90.0])))
         for _ in of_type(out, api.SendAttempt):
             store = min(plan.ceiling_burst, store + (now - last) * plan.ceiling_rate / 1000) - 1
             last, sends = now, sends + 1
--- a/tests/decision/test_customers.py
+++ b/tests/decision/test_customers.py
@@ -19,7 +19,7 @@
     for i in range(300):
         request_id, out = d.ask(plan="basic", customer=f"k{i}")
         for action in of_type(out, api.IncrementCounter):
-            d.give(api.CounterReply(action.name, AttemptResult.TIMED_OUT, 0.0))
+            d.handle(api.CounterReply(action.name, AttemptResult.TIMED_OUT, 0.0))
         if request_id in d.gateway.pending:
             d.end(request_id)
     d.sweep(1210)
@@ -36,7 +36,7 @@
     d = Driver()
     _, out = d.ask(plan="basic")
     (call,) = of_type(out, api.IncrementCounter)
-    d.give(api.CounterReply(call.name, AttemptResult.OK, 1.0))
+    d.handle(api.CounterReply(call.name, AttemptResult.OK, 1.0))
     d.now += 30_000  # it spends all of its burst elsewhere in the meantime
     sent, called = 0, False
     while not called:
@@ -45,7 +45,7 @@
         called = bool(of_type(out, api.IncrementCounter))
     assert 0 < sent <= PLAN.burst / 3 + 1
     (call,) = of_type(out, api.IncrementCounter)
-    out = d.give(api.CounterReply(call.name, AttemptResult.OK, 100.0))
+    out = d.handle(api.CounterReply(call.name, AttemptResult.OK, 100.0))
     assert not of_type(d.ask(plan="basic", after=1.0)[1], api.SendAttempt)
     d.now += 30_000  # who was seen to spend much elsewhere is asked for first
     out = d.ask(plan="basic")[1]
@@ -57,7 +57,7 @@
     d = Driver(seed=seed, now=1e6 + 700 * seed)  # at any place in the customer's window
     _, out = d.ask(plan="basic")
     (call,) = of_type(out, api.IncrementCounter)
-    d.give(api.CounterReply(call.name, AttemptResult.OK, 1.0))
+    d.handle(api.CounterReply(call.name, AttemptResult.OK, 1.0))
     d.now += 30_000  # all three gateways may be in this place at once
     sent = sum(len(of_type(d.ask(plan="basic", after=1.0)[1], api.SendAttempt)) for _ in range(20))
     assert 0 < sent <= PLAN.burst / 3
@@ -71,7 +71,7 @@
         request_id, out = d.ask(plan="slow", customer="spent", width=1)
         if of_type(out, api.SendAttempt):
             d.end(request_id)
-    d.give(api.Request("open", "pay", "basic", "out", 1e6))
+    d.handle(api.Request("open", "pay", "basic", "out", 1e6))
     d.ask(plan="basic", customer="left")
     d.end("r71")
     d.sweep(1300)
--- a/tests/decision/test_quota.py
+++ b/tests/decision/test_quota.py
@@ -29,7 +29,7 @@
             action = calls[d.answered]
             d.answered += 1
             d.totals[action.name] = d.totals.get(action.name, 0.0) + action.amount
-            d.give(api.CounterReply(action.name, AttemptResult.OK, d.totals[action.name]))
+            d.handle(api.CounterReply(action.name, AttemptResult.OK, d.totals[action.name]))
         sent += any(isinstance(a, api.SendAttempt) and a.request_id == request_id for _, a in d.log)
     return sent
 
@@ -57,7 +57,7 @@
         and not of_type(out, api.Reject)
         and of_type(out, api.IncrementCounter)
     )
-    out = d.give(api.CounterReply(calls_of(d)[-1].name, AttemptResult.TIMED_OUT, 0.0), 30)
+    out = d.handle(api.CounterReply(calls_of(d)[-1].name, AttemptResult.TIMED_OUT, 0.0), 30)
     assert len(of_type(out, api.SendAttempt)) + len(of_type(out, api.Reject)) == 1
     assert request_id not in d.gateway.new_requests.waiting
 
@@ -68,7 +68,7 @@
         d.ask(plan="basic")
         d.gateway.quotas.throttle.answer_rate = heard
         d.gateway.rng.random = lambda: 0.5
-        d.give(api.CounterReply(calls_of(d)[0].name, AttemptResult.OK, 100.0))
+        d.handle(api.CounterReply(calls_of(d)[0].name, AttemptResult.OK, 100.0))
         assert [c.amount for c in calls_of(d)] == amounts
 
 
@@ -99,7 +99,7 @@
     for _ in range(12):
         _, out = d.ask(plan="basic")
         for action in of_type(out, api.IncrementCounter):
-            out = out + d.give(api.CounterReply(action.name, AttemptResult.TIMED_OUT, 0.0))
+            out = out + d.handle(api.CounterReply(action.name, AttemptResult.TIMED_OUT, 0.0))
         sent += len(of_type(out, api.SendAttempt))
     assert sent <= PLAN.burst / 3 + 1
 
@@ -162,7 +162,7 @@
             request_id, out = d.ask(plan="basic", customer=f"k{d.serial}", after=20)
             for action in of_type(out, api.IncrementCounter):
                 made += 1
-                out = out + d.give(api.CounterReply(action.name, result, action.amount))
+                out = out + d.handle(api.CounterReply(action.name, result, action.amount))
             if request_id in d.gateway.pending:
                 d.end(request_id)
         return made
@@ -183,7 +183,7 @@
     d = Driver()
     request_id, out = d.ask(plan="basic", customer="k", units=2)
     (call,) = of_type(out, api.IncrementCounter)
-    out = d.give(api.CounterReply(call.name, AttemptResult.MALFORMED_RESPONSE, 0.0))
+    out = d.handle(api.CounterReply(call.name, AttemptResult.MALFORMED_RESPONSE, 0.0))
     assert of_type(out, api.SendAttempt)  # decided at once
     use = d.gateway.quotas.registry.states["k", "basic"]
     assert d.gateway.quotas.throttle.answer_rate == 1.0
@@ -196,7 +196,7 @@
     sent = 0
     for i in range(300):
         d = Driver(seed=i, gateway_index=i, fleet_size=300, counter_available=False)
-        d.give(api.TimerFired("sweep"))
+        d.handle(api.TimerFired("sweep"))
         d.now += age_s * 1000
         for _ in range(3):
             request_id, out = d.ask(plan="basic", width=300)
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -16,8 +16,8 @@
         request_id, _ = d.ask(after=10)
         d.end(request_id, took=100)
         if i % 10 == 9:
-            d.give(api.TimerFired("sweep"))
-    d.give(api.EndpointList(ListKind.CHANGES, (make_endpoint(9, started_at_ms=d.now),)))
+            d.handle(api.TimerFired("sweep"))
+    d.handle(api.EndpointList(ListKind.CHANGES, (make_endpoint(9, started_at_ms=d.now),)))
     to_cold = to_all = 0
     for i in range(200):
         request_id, out = d.ask(after=10)
@@ -25,7 +25,7 @@
         to_cold += of_type(out, api.SendAttempt)[0].host == "h9"
         d.end(request_id, took=10 if of_type(out, api.SendAttempt)[0].host == "h9" else 100)
         if i % 10 == 9:
-            d.give(api.TimerFired("sweep"))
+            d.handle(api.TimerFired("sweep"))
     assert to_cold <= BUDGET_SHARE * 3 * 0.4 * to_all / 4 + 1
 
 
@@ -33,7 +33,7 @@
     d = Driver(servers=1)
     gateway = d.gateway
     gateway.fleet.slow_start.warm_work_rate = 0.1  # work sent to a warm host each ms
-    d.give(api.EndpointList(ListKind.FULL, (make_endpoint(9, started_at_ms=d.now - 5000),)))
+    d.handle(api.EndpointList(ListKind.FULL, (make_endpoint(9, started_at_ms=d.now - 5000),)))
     cold = gateway.hosts["h9"]
     saved = 0.2 * 0.1 * 2000 / 2  # at most half a span's worth is saved up
     assert gateway.fleet.slow_start.has_budget(cold, 0.2, saved - 0.1, gateway.fleet.now)
@@ -53,7 +53,7 @@
             0.1,
             0.36 * 0.1 * 1000 / part,
         )  # 2 of 10 s: at least 0.36 warm
-        d.give(api.EndpointList(ListKind.FULL, (make_endpoint(9, started_at_ms=d.now - 2000),)))
+        d.handle(api.EndpointList(ListKind.FULL, (make_endpoint(9, started_at_ms=d.now - 2000),)))
         d.gateway.latency.per_unit_ms["read"] = work
         sent += any(of_type(d.ask()[1], api.SendAttempt) for _ in range(10))
     assert abs(sent - 300 * part) < 3 * (300 * part * (1 - part)) ** 0.5 + 1
@@ -63,6 +63,6 @@
     sent = 0
     for i in range(300):
         d = Driver(servers=1, seed=i, fleet_size=300)
-        d.give(api.EndpointList(ListKind.FULL, (make_endpoint(9, started_at_ms=d.now),)))
+        d.handle(api.EndpointList(ListKind.FULL, (make_endpoint(9, started_at_ms=d.now),)))
         sent += len(of_type(d.ask()[1], api.SendAttempt))
     assert sent <= 5
--- a/tests/fakes/successors.py
+++ b/tests/fakes/successors.py
@@ -19,7 +19,7 @@
     driver = Driver(servers=6, seed=seed, counter_available=False, **changes)
     rng = random.Random(seed)
     restarted = make_endpoint(5, started_at_ms=driver.now)
-    driver.give(api.EndpointList(ListKind.CHANGES, (restarted,)), after=5000)
+    driver.handle(api.EndpointList(ListKind.CHANGES, (restarted,)), after=5000)
     for number in range(40 * customers // 10):
         class_name, plan = rng.choice(["read", "put"]), rng.choice(["capped", "basic", "open"])
         request_id, actions = driver.ask(
@@ -53,6 +53,6 @@
     """A gateway of the same settings and endpoints that restores documents, by default the predecessor's."""
     successor = Driver(servers=6, seed=99, now=predecessor.now + after_ms, counter_available=False)
     restarted = predecessor.gateway.hosts["h5"].endpoint
-    successor.give(api.EndpointList(ListKind.CHANGES, (restarted,)))
+    successor.handle(api.EndpointList(ListKind.CHANGES, (restarted,)))
     restore(successor.gateway, exported_documents(predecessor.gateway) if documents is None else documents)
     return successor
--- a/tests/hosted/test_rest.py
+++ b/tests/hosted/test_rest.py
@@ -180,7 +180,7 @@
             fresh += 1
             rests.gateway = Gateway(rests.gateway.settings, seed)
             rests.gateway.handle(born, api.EndpointList(ListKind.CACHED, ()))
-            rests.give(api.EndpointList(ListKind.FULL, tuple(make_endpoint(i) for i in range(4))))
+            rests.handle(api.EndpointList(ListKind.FULL, tuple(make_endpoint(i) for i in range(4))))
         plan, count = rng.choice((("basic", 4), ("capped", 9), ("open", 3))), rng.randint(1, 12)
         customer = rng.choice(("x", "y"))
         for _ in range(count):
@@ -191,7 +191,7 @@
                     reply = driver.totals[name] = driver.totals.get(name, 0.0) + sum(
                         a.amount for a in of_type(out, api.IncrementCounter) if a.name == name
                     )
-                    out = out + driver.give(api.CounterReply(name, AttemptResult.OK, reply, 1.0))
+                    out = out + driver.handle(api.CounterReply(name, AttemptResult.OK, reply, 1.0))
                 sent = any(isinstance(a, api.SendAttempt) and a.request_id == rid for a in out)
                 if sent:
                     driver.end(rid, after=5)
--- a/tests/hot_restart/test_state_codec.py
+++ b/tests/hot_restart/test_state_codec.py
@@ -47,7 +47,7 @@
     """The old one nothing, the new one what was left and what it earns; both together within the store."""
     d = busy_gateway()
     new = successor_of(d)
-    d.give(api.TakenOver(True))
+    d.handle(api.TakenOver(True))
     before, use = d.now, d.gateway.quotas.registry.states["c0", "capped"]
     spent = 0
     for i in range(400):
@@ -65,17 +65,17 @@
 
 def test_resumed_process_spends_of_its_ceilings_again() -> None:
     d = busy_gateway(faults=False)
-    d.give(api.TakenOver(True))
+    d.handle(api.TakenOver(True))
     rid, out = d.ask("read", "capped", "new", units=1)
     assert of_type(out, api.Reject)[0].reason == RejectReason.CEILING
-    d.give(api.TakenOver(False))
+    d.handle(api.TakenOver(False))
     assert of_type(d.ask("read", "capped", "new", units=1)[1], api.SendAttempt)
 
 
 def test_record_of_a_host_restarted_since_is_not_restored() -> None:
     d = busy_gateway()
     new = Driver(servers=6, seed=99, now=d.now, counter_available=False)
-    new.give(api.EndpointList(ListKind.CHANGES, (make_endpoint(2, started_at_ms=d.now),)))
+    new.handle(api.EndpointList(ListKind.CHANGES, (make_endpoint(2, started_at_ms=d.now),)))
     restore(new.gateway, exported_documents(d.gateway))
     assert new.gateway.hosts["h2"].latency_ratio == 1.0
     assert new.gateway.fleet.capacity_share(new.gateway.hosts["h2"]) < 1
@@ -95,7 +95,7 @@
     d = Driver(servers=2, counter_available=False)
     for i in range(3 * AT_ONCE):
         d.ask("read", "open", f"{i:016x}")
-    d.give(
+    d.handle(
         api.EndpointList(
             ListKind.FULL, tuple(make_endpoint(i, name=f"{i:0>200}") for i in range(3 * AT_ONCE))
         )
--- a/tests/net/test_sending_races.py
+++ b/tests/net/test_sending_races.py
@@ -306,11 +306,11 @@
     rid, out = driver.ask("read", "capped", units=2, width=1)
     (use,) = driver.gateway.quotas.registry.states.values()
     took = (use.remaining, use.ceiling_remaining)
-    driver.give(api.ClientDisconnected(rid))
-    driver.give(api.AttemptEnded(rid, 0, "h0", AttemptResult.NOT_SENT, 0.0, True))
+    driver.handle(api.ClientDisconnected(rid))
+    driver.handle(api.AttemptEnded(rid, 0, "h0", AttemptResult.NOT_SENT, 0.0, True))
     assert (use.remaining, use.ceiling_remaining, use.used) == (took[0] + 2, took[1] + 2, 0.0)
     rid, out = driver.ask("read", "capped", units=2, width=1)
-    driver.give(
+    driver.handle(
         api.AttemptEnded(rid, 0, "h0", AttemptResult.QUEUE_FULL, 0.0, True)
     )  # it came whole to its host
     assert (use.remaining, use.ceiling_remaining) == took
--- a/tests/quotas/gateway_fleet.py
+++ b/tests/quotas/gateway_fleet.py
@@ -58,7 +58,7 @@
             self.now = min(self.now + 100.0, end)
             for number, driver in enumerate(self.gateways):
                 driver.now = self.now + self.off[number]
-                driver.give(api.TimerFired("sweep"))
+                driver.handle(api.TimerFired("sweep"))
                 self.answer(number)
 
     def ask(self, number: int, units: float = 1.0, true_units: float = 0.0, after: float = 1.0) -> bool:
@@ -86,7 +86,7 @@
                 continue
             if adds:
                 self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
-            driver.give(api.CounterReply(call.name, result, self.totals.get(call.name, 0.0)))
+            driver.handle(api.CounterReply(call.name, result, self.totals.get(call.name, 0.0)))
 
     def calls(self, number: int) -> list[api.IncrementCounter]:
         return [act for _, act in self.gateways[number].log if isinstance(act, api.IncrementCounter)]
--- a/tests/quotas/test_lease_calls.py
+++ b/tests/quotas/test_lease_calls.py
@@ -59,7 +59,7 @@
     assert not state.call_open and fleet.lease(0) == 0.0
     late = fleet.calls(0)[-1]
     reported = state.reported
-    driver.give(api.CounterReply(late.name, AttemptResult.OK, fleet.totals[late.name]))
+    driver.handle(api.CounterReply(late.name, AttemptResult.OK, fleet.totals[late.name]))
     assert (state.reported, fleet.lease(0)) == (reported, 0.0)
 
 
--- a/tests/quotas/test_lease_records.py
+++ b/tests/quotas/test_lease_records.py
@@ -87,7 +87,7 @@
     new = fleet.fresh(0)
     _, out = new.ask(plan=PLAN.name, customer=NAME, width=1)
     (call,) = of_type(out, api.IncrementCounter)
-    new.give(api.CounterReply(call.name, AttemptResult.OK, call.amount))
+    new.handle(api.CounterReply(call.name, AttemptResult.OK, call.amount))
     restore(new.gateway, rows)
     (restored,) = new.gateway.quotas.registry.states.values()
     assert restored.replicas == 8
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -25,7 +25,9 @@
     d = Driver(fleet_size=100, now=start + into_ms)
     rid, out = d.ask(plan="basic", customer="c", width=100)
     (call,) = of_type(out, api.IncrementCounter)
-    assert of_type(d.give(api.CounterReply(call.name, AttemptResult.OK, call.amount + 3.0)), api.SendAttempt)
+    assert of_type(
+        d.handle(api.CounterReply(call.name, AttemptResult.OK, call.amount + 3.0)), api.SendAttempt
+    )
     use = d.gateway.quotas.registry.states["c", "basic"]
     assert use.others_rate == pytest.approx(3.0 / into_ms)
     assert use.remaining == pytest.approx(PLAN.burst - 3 - 1)
@@ -36,7 +38,7 @@
     d = Driver(fleet_size=100, now=start + 1000.0)
     _, out = d.ask(plan="basic", customer="c", width=100)
     (call,) = of_type(out, api.IncrementCounter)
-    out = d.give(api.CounterReply(call.name, AttemptResult.OK, call.amount + PLAN.burst + PLAN.rate))
+    out = d.handle(api.CounterReply(call.name, AttemptResult.OK, call.amount + PLAN.burst + PLAN.rate))
     assert of_type(out, api.Reject) and not of_type(out, api.SendAttempt)
 
 
@@ -46,9 +48,9 @@
     d = Driver(fleet_size=100, now=start + 2000.0)
     _, out = d.ask(plan="basic", customer="c", width=100)
     (call,) = of_type(out, api.IncrementCounter)
-    rid = of_type(d.give(api.CounterReply(call.name, AttemptResult.OK, call.amount + 2.0)), api.SendAttempt)[
-        0
-    ].request_id
+    rid = of_type(
+        d.handle(api.CounterReply(call.name, AttemptResult.OK, call.amount + 2.0)), api.SendAttempt
+    )[0].request_id
     d.end(rid)
     d.sweep(20)
     assert d.gateway.quotas.remaining(d.gateway.quotas.registry.states["c", "basic"]) >= PLAN.burst - 2
@@ -59,5 +61,5 @@
     d = Driver(now=window_start(Driver(), "c") + into_ms)
     _, out = d.ask(plan="basic", customer="c", width=1)
     (call,) = of_type(out, api.IncrementCounter)
-    out = d.give(api.CounterReply(call.name, AttemptResult.OK, call.amount + PLAN.burst))
+    out = d.handle(api.CounterReply(call.name, AttemptResult.OK, call.amount + PLAN.burst))
     assert of_type(out, api.Reject) and not of_type(out, api.SendAttempt)
--- a/tests/recovery/test_retention.py
+++ b/tests/recovery/test_retention.py
@@ -120,7 +120,7 @@
     documents = exported_documents(d.gateway)
     new = Driver(servers=6, seed=99, now=d.now + 100, counter_available=False)
     restarted = api.Endpoint("h2", "a", 0, started_at_ms=new.now - 50)
-    new.give(api.EndpointList(ListKind.CHANGES, (restarted,)))
+    new.handle(api.EndpointList(ListKind.CHANGES, (restarted,)))
     restore(new.gateway, retained(documents, d.now, True, new.now, new.now))
     host = new.gateway.hosts["h2"]
     assert new.gateway.fleet.capacity_share(host) < 1 and host.latency_ratio == 1.0
@@ -157,7 +157,7 @@
         named = {tuple(row[:2]) for document in documents for row in document.get("uses", ())}
         assert (use.key in named) == kept
     use.ceiling_remaining, use.ceiling_at = 0.0, use.seen_at  # all of it was spent with its last request
-    d.give(api.TimerFired("none"), after=use.seen_at + rest - d.now)
+    d.handle(api.TimerFired("none"), after=use.seen_at + rest - d.now)
     assert quotas.ceiling_has_units(use, full)
 
 
