--- a/tests/admin/test_disabled_hosts.py
+++ b/tests/admin/test_disabled_hosts.py
@@ -15,7 +15,7 @@
     """The hosts that new requests go to; each is served."""
     names = []
     for _ in range(rounds):
-        rid, out = d.ask(after=1.0)
+        rid, out = d.request(after=1.0)
         names += [a.host for a in of_type(out, api.SendAttempt)]
         d.end(rid, after=1.0)
     return names
@@ -39,7 +39,7 @@
 
 def test_retry_avoids_a_host_disabled_meanwhile() -> None:
     d = Driver(servers=2)
-    rid, out = d.ask()
+    rid, out = d.request()
     (first,) = of_type(out, api.SendAttempt)
     other = {"h0": "h1", "h1": "h0"}[first.host]
     d.handle(api.HostDisabled(other, True))
@@ -51,7 +51,7 @@
     d = Driver(servers=2)
     for name in ("h0", "h1"):
         d.handle(api.HostDisabled(name, True))
-    _, out = d.ask()
+    _, out = d.request()
     (refused,) = of_type(out, api.Reject)
     assert refused.reason == RejectReason.NO_HOST
 
@@ -99,7 +99,7 @@
 
 def test_open_requests_keep_their_class_and_attempts() -> None:
     d = Driver(servers=6)
-    rid, _ = d.ask("read")
+    rid, _ = d.request("read")
     d.handle(
         changed(
             classes=(dataclasses.replace(SAFE, idempotency=Idempotency.NOT_IDEMPOTENT), KEYED),
@@ -109,15 +109,15 @@
     for _ in range(3):  # four attempts, as when it came
         assert of_type(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
     assert of_type(d.end(rid, AttemptResult.ERROR), api.Fail)
-    rid, _ = d.ask("read")  # under the new rules
+    rid, _ = d.request("read")  # under the new rules
     assert of_type(d.end(rid, AttemptResult.ERROR), api.Fail)
 
 
 def test_open_request_of_a_removed_class_continues_and_new_ones_are_rejected() -> None:
     d = Driver(servers=3)
-    rid, _ = d.ask("read")
+    rid, _ = d.request("read")
     d.handle(changed(classes=(KEYED, UNSAFE)))
-    _, out = d.ask("read")
+    _, out = d.request("read")
     assert of_type(out, api.Reject)[0].reason == RejectReason.UNKNOWN_CLASS_OR_PLAN
     assert of_type(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
     assert d.end(rid) == []
@@ -126,12 +126,12 @@
 
 def test_request_that_awaits_a_counter_total_keeps_its_class() -> None:
     d = Driver(servers=3)
-    rid, out = d.ask("read", "basic", customer="c", units=1)
+    rid, out = d.request("read", "basic", customer="c", units=1)
     for _ in range(8):  # until one has to wait for the counter
         if not of_type(out, api.SendAttempt):
             break
         d.end(rid)
-        rid, out = d.ask("read", "basic", customer="c", units=1)
+        rid, out = d.request("read", "basic", customer="c", units=1)
     assert rid in d.gateway.new_requests.waiting
     d.handle(changed(classes=(KEYED, UNSAFE)))
     (use,) = d.gateway.quotas.registry.states.values()
@@ -145,7 +145,7 @@
     for i in range(50):
         name = f"read{i}"
         d.handle(changed(classes=(dataclasses.replace(SAFE, name=name),)))
-        d.end(d.ask(name)[0])
+        d.end(d.request(name)[0])
     gateway = d.gateway
     assert set(gateway.latency.per_unit_ms) == set(gateway.new_requests.deadline_samples) == {"read49"}
     assert len(gateway.admission.shares) == 1
@@ -155,7 +155,7 @@
     d = Driver(servers=4, classes=(SAFE,))
     keyed = dataclasses.replace(KEYED, key_scope=KeyScope.ZONE)
     d.handle(changed(classes=(keyed,)))
-    rid, out = d.ask("put")
+    rid, out = d.request("put")
     (first,) = of_type(out, api.SendAttempt)
     (again,) = of_type(d.end(rid, AttemptResult.ERROR), api.SendAttempt)
     zones = {s: d.gateway.hosts[s].zone for s in (first.host, again.host)}
@@ -175,7 +175,7 @@
 def test_response_that_a_client_reads_slowly_does_not_count_as_load_of_its_host() -> None:
     d = Driver(servers=1)
     fleet, host = d.gateway.fleet, d.gateway.hosts["h0"]
-    streams = [d.ask()[0] for _ in range(5)]
+    streams = [d.request()[0] for _ in range(5)]
     assert (host.open_requests, fleet.host_set.open_on_healthy) == (5, 5)
     for rid in streams:
         d.handle(api.ResponseStarted(rid, 0))
@@ -189,7 +189,7 @@
 
 def test_response_that_breaks_off_is_not_retried() -> None:
     d = Driver(servers=3)
-    rid, _ = d.ask()
+    rid, _ = d.request()
     d.handle(api.ResponseStarted(rid, 0))
     assert not of_type(d.end(rid, AttemptResult.RESET), api.SendAttempt)
     assert all(h.open_requests == 0 for h in d.gateway.hosts.values())
--- a/tests/balancing/test_selection.py
+++ b/tests/balancing/test_selection.py
@@ -70,7 +70,7 @@
     """Where lone requests went, each answered after the same time."""
     chosen: collections.Counter[str] = collections.Counter()
     for _ in range(requests):
-        request_id, actions = driver.ask(after=5)
+        request_id, actions = driver.request(after=5)
         chosen[of_type(actions, api.SendAttempt)[0].host] += 1
         driver.end(request_id, took=took_ms)
     return chosen
@@ -195,14 +195,14 @@
 
 def test_a_list_replaced_under_load_forgets_the_old_hosts() -> None:
     d = Driver(servers=50)
-    rids = [d.ask()[0] for _ in range(100)]
+    rids = [d.request()[0] for _ in range(100)]
     d.handle(api.EndpointList(ListKind.FULL, tuple(make_endpoint(i) for i in range(100, 150))))
     balancer = d.gateway.fleet
     assert balancer.host_set.open_on_healthy == 0 and balancer.host_set.available_count == 50
     for rid in rids:  # their outcomes come from hosts that are off the list
         d.end(rid)
     assert balancer.host_set.open_on_healthy == 0 and len(balancer.host_set.pools[""].inside.by_rank) < 20
-    sent = [of_type(d.ask()[1], api.SendAttempt)[0].host for _ in range(50)]
+    sent = [of_type(d.request()[1], api.SendAttempt)[0].host for _ in range(50)]
     assert len(set(sent)) > 40 and all(int(name[1:]) >= 100 for name in sent)
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -102,7 +102,7 @@
         self.log += [(self.now, act) for act in out]
         return out
 
-    def ask(
+    def request(
         self,
         cls: str = "read",
         plan: str = "open",
--- a/tests/decision/test_admission.py
+++ b/tests/decision/test_admission.py
@@ -30,10 +30,10 @@
 
 def test_accumulator_admits_two_of_five_requests_at_a_fraction_of_0_4() -> None:
     d = Driver()
-    d.ask()
+    d.request()
     share = d.gateway.admission.shares[("read", "open")]
     share.admit_fraction, share.accumulator = 0.4, 0.0
-    sent = [bool(of_type(d.ask()[1], api.SendAttempt)) for _ in range(10)]
+    sent = [bool(of_type(d.request()[1], api.SendAttempt)) for _ in range(10)]
     assert sent == [False, False, True, False, True] * 2
 
 
@@ -41,12 +41,12 @@
     d = Driver()
     d.gateway.occupancy.samples_seen = 100  # a fresh gateway's q is the plain mean
     for _ in range(2):
-        request_id, _ = d.ask()
+        request_id, _ = d.request()
         d.end(request_id, took=500)
     assert d.gateway.occupancy.interval_count == 2
     d.sweep()
     assert d.gateway.occupancy.smoothed == pytest.approx(occupancy.OCCUPANCY_WEIGHT * 0.5)
-    request_id, _ = d.ask()
+    request_id, _ = d.request()
     d.sweep()
     assert d.gateway.occupancy.smoothed == pytest.approx(
         occupancy.OCCUPANCY_WEIGHT * 0.5
@@ -58,7 +58,7 @@
     d.gateway.occupancy.smoothed = 1.0
     served = 0
     for _ in range(20):  # two requests a second, answered fast
-        request_id, out = d.ask(after=0)
+        request_id, out = d.request(after=0)
         if of_type(out, api.SendAttempt):
             d.end(request_id, took=50, after=50)
             served += 1
@@ -68,7 +68,7 @@
 
 def test_new_gateway_notices_an_overload_by_its_open_attempts() -> None:
     d = Driver()
-    rids = [d.ask(after=20)[0] for _ in range(8)]
+    rids = [d.request(after=20)[0] for _ in range(8)]
     d.sweep(6)
     assert (
         d.gateway.admission.admit_fraction < 0.1
@@ -82,8 +82,8 @@
 def test_least_priority_per_work_is_shed_first() -> None:
     d = Driver()
     for _ in range(5):
-        d.ask("read")
-        d.ask("put")
+        d.request("read")
+        d.request("put")
     d.gateway.occupancy.smoothed = (occupancy.MIN_OCCUPANCY + occupancy.MAX_OCCUPANCY) / 2
     d.sweep()
     shares = d.gateway.admission.shares
@@ -93,11 +93,11 @@
 def test_attempt_open_during_a_stall_gives_no_sample() -> None:
     """Guards against a paused machine whose backlog looks like slow hosts."""
     d = Driver()
-    request_id, _ = d.ask()
+    request_id, _ = d.request()
     d.end(request_id, took=5000, after=5000)
     assert d.gateway.occupancy.interval_count == 0
     d.sweep()
-    request_id, _ = d.ask()
+    request_id, _ = d.request()
     d.end(request_id, took=40, after=40)
     assert d.gateway.occupancy.interval_count == 1
 
@@ -107,7 +107,7 @@
     slow_down(d, "h0", 10.0)
     pending_on_slow_host = None
     for _ in range(200):
-        request_id, out = d.ask(after=5)
+        request_id, out = d.request(after=5)
         send = of_type(out, api.SendAttempt)[0]
         if send.host == "h0":
             pending_on_slow_host = request_id
@@ -122,7 +122,7 @@
 def test_outlier_gives_no_samples_but_a_slow_fleet_does() -> None:
     for mid, samples in ((1.0, 0), (10.0, 1)):
         d = Driver(servers=1)
-        request_id, _ = d.ask()
+        request_id, _ = d.request()
         slow_down(d, "h0", 10.0)
         d.gateway.fleet.outliers.median_latency_ratio, d.gateway.occupancy.response_occupancy = mid, 0.5
         d.end(request_id, AttemptResult.TIMED_OUT, took=90)
@@ -133,7 +133,7 @@
     for took, pressed in ((50, False), (700, True)):
         d = Driver(servers=8)
         for i in range(60):
-            request_id, _ = d.ask(after=20)
+            request_id, _ = d.request(after=20)
             if i % 4 == 0 and request_id in d.gateway.pending:
                 d.end(request_id, AttemptResult.TIMED_OUT, took=took)
             if request_id in d.gateway.pending:
--- a/tests/decision/test_answers.py
+++ b/tests/decision/test_answers.py
@@ -73,7 +73,7 @@
         if rng.random() < 0.5:
             request_class = rng.choice(["read", "put", "pay"])
             asked[f"r{d.serial + 1}"] = request_class
-            note(d.ask(request_class, left=rng.choice([5, 400, 4000]))[1])
+            note(d.request(request_class, left=rng.choice([5, 400, 4000]))[1])
         due = sorted(k for k, t in open_attempts.items() if t <= d.now)
         pick = due or (sorted(open_attempts) if rng.random() < 0.6 else [])
         if pick:
@@ -124,17 +124,17 @@
 
 def test_request_that_cannot_be_served_is_rejected_once() -> None:
     d = Driver(servers=0)
-    assert len(of_type(d.ask()[1], api.Reject)) == 1
+    assert len(of_type(d.request()[1], api.Reject)) == 1
     d = Driver()
-    assert len(of_type(d.ask(cls="unknown")[1], api.Reject)) == 1
-    assert len(of_type(d.ask(plan="unknown")[1], api.Reject)) == 1
-    assert len(of_type(d.ask(left=0)[1], api.Reject)) == 1
-    assert len(of_type(d.ask(left=-5)[1], api.Reject)) == 1
+    assert len(of_type(d.request(cls="unknown")[1], api.Reject)) == 1
+    assert len(of_type(d.request(plan="unknown")[1], api.Reject)) == 1
+    assert len(of_type(d.request(left=0)[1], api.Reject)) == 1
+    assert len(of_type(d.request(left=-5)[1], api.Reject)) == 1
 
 
 def test_late_and_unknown_events_are_ignored() -> None:
     d = Driver()
-    request_id, _ = d.ask()
+    request_id, _ = d.request()
     d.end(request_id)
     assert d.end(request_id) == []
     assert d.handle(api.AttemptEnded("nobody", 0, "h0", AttemptResult.OK, 5, True)) == []
@@ -160,9 +160,9 @@
 def test_client_retry_is_rejected_once_its_latency_objective_has_passed() -> None:
     d = Driver()
     for _ in range(50):
-        d.end(d.ask(left=3900, after=10)[0])
-    assert of_type(d.ask(left=2500)[1], api.Reject)  # 1500 ms are gone, the aim was 1000
-    late_but_in_time = of_type(d.ask(left=3500)[1], api.SendAttempt)[0]  # 500 ms are gone
+        d.end(d.request(left=3900, after=10)[0])
+    assert of_type(d.request(left=2500)[1], api.Reject)  # 1500 ms are gone, the aim was 1000
+    late_but_in_time = of_type(d.request(left=3500)[1], api.SendAttempt)[0]  # 500 ms are gone
     assert late_but_in_time.timeout_ms <= 500
 
 
@@ -170,16 +170,16 @@
     d = Driver()
     rng = random.Random(3)
     for _ in range(200):
-        request_id, out = d.ask(left=rng.uniform(1000, 4000), after=10)
+        request_id, out = d.request(left=rng.uniform(1000, 4000), after=10)
         assert of_type(out, api.SendAttempt)
         d.end(request_id)
 
 
 def test_rejection_says_when_to_retry() -> None:
     d = Driver(servers=0)
-    (rejected,) = of_type(d.ask()[1], api.Reject)
+    (rejected,) = of_type(d.request()[1], api.Reject)
     assert 0 < rejected.retry_after_ms <= 2000
     d = Driver(servers=1, max_attempts=1)
-    request_id, _ = d.ask()
+    request_id, _ = d.request()
     (rejected,) = of_type(d.end(request_id, AttemptResult.QUEUE_FULL), api.Reject)
     assert 0 < rejected.retry_after_ms <= 2000
--- a/tests/decision/test_attempts.py
+++ b/tests/decision/test_attempts.py
@@ -29,9 +29,9 @@
 
 def test_host_that_refused_connections_counts_as_warming_up() -> None:
     d = Driver(servers=1)
-    request_id, _ = d.ask()
+    request_id, _ = d.request()
     d.end(request_id, AttemptResult.CONNECT_FAILED)
-    request_id, out = d.ask(after=600)
+    request_id, out = d.request(after=600)
     assert of_type(out, api.SendAttempt)
     d.end(request_id)
     host = d.gateway.hosts["h0"]
@@ -55,7 +55,7 @@
     """A connection's end, a spoilt answer or a bound of our own are not the host's death."""
     d = Driver(servers=1, max_attempts=1)
     for _ in range(times):
-        request_id, out = d.ask()
+        request_id, out = d.request()
         assert of_type(out, api.SendAttempt)
         d.end(request_id, result)
     host = d.gateway.hosts["h0"]
@@ -65,7 +65,7 @@
 
 def test_local_limit_is_answered_without_a_retry() -> None:
     d = Driver(servers=4)
-    request_id, _ = d.ask()
+    request_id, _ = d.request()
     out = d.end(request_id, AttemptResult.LOCAL_LIMIT)
     assert of_type(out, api.Reject) and not of_type(out, api.SendAttempt)
 
@@ -76,16 +76,16 @@
     host = d.gateway.hosts["h0"]
     d.gateway.fleet.eject(host)
     d.gateway.fleet.reindex(host)
-    seen = {of_type(d.ask(after=1)[1], api.SendAttempt)[0].host for _ in range(20)}
+    seen = {of_type(d.request(after=1)[1], api.SendAttempt)[0].host for _ in range(20)}
     assert "h0" not in seen
-    assert of_type(d.ask(after=BASE_EJECTION_MS)[1], api.SendAttempt)[0].host == "h0"
+    assert of_type(d.request(after=BASE_EJECTION_MS)[1], api.SendAttempt)[0].host == "h0"
 
 
 def test_retries_stay_within_their_budget() -> None:
     d = Driver(servers=4)
     sends = 0
     for _ in range(300):
-        request_id, out = d.ask(after=50)
+        request_id, out = d.request(after=50)
         sends += len(of_type(out, api.SendAttempt))
         for _ in range(4):
             if request_id not in d.gateway.pending:
@@ -98,14 +98,14 @@
     d = Driver(servers=8)
 
     def first_timeout(request_class: str) -> float:
-        request_id, out = d.ask(request_class, after=100)
+        request_id, out = d.request(request_class, after=100)
         timeout = of_type(out, api.SendAttempt)[0].timeout_ms
         d.end(request_id, took=50)
         return timeout
 
     assert first_timeout("read") > 900
     for _ in range(4):
-        request_id, _ = d.ask("pay", after=100)
+        request_id, _ = d.request("pay", after=100)
         d.end(request_id, AttemptResult.TIMED_OUT, took=990)
     assert first_timeout("read") < 600
     assert first_timeout("put") < 600
--- a/tests/decision/test_ceiling.py
+++ b/tests/decision/test_ceiling.py
@@ -41,7 +41,7 @@
         d = fleet[rng.choice([0, 0, 1, 2]) if step % 1000 < 700 else 2]
         d.now, d.serial = now, step
         units[f"r{step + 1}"] = size = rng.choice([1, 1, 2])
-        note(d, d.ask(plan="capped", units=size)[1])
+        note(d, d.request(plan="capped", units=size)[1])
         note(d, d.handle(api.TimerFired("sweep")))
     assert sends > 100
 
@@ -58,7 +58,7 @@
             fleet[i] = Driver(now=now, seed=step, gateway_index=i, fleet_size=300, servers=2)
         d = fleet[i]
         d.now, d.serial = now, step
-        request_id, out = d.ask(plan="capped", width=10)
+        request_id, out = d.request(plan="capped", width=10)
         for action in of_type(out, api.IncrementCounter):
             result = rng.choice([AttemptResult.OK, AttemptResult.TIMED_OUT])
             out = out + d.handle(api.CounterReply(action.name, result, rng.choice([0.0, 90.0])))
--- a/tests/decision/test_customers.py
+++ b/tests/decision/test_customers.py
@@ -17,7 +17,7 @@
 def test_customer_with_one_request_is_forgotten() -> None:
     d = Driver()
     for i in range(300):
-        request_id, out = d.ask(plan="basic", customer=f"k{i}")
+        request_id, out = d.request(plan="basic", customer=f"k{i}")
         for action in of_type(out, api.IncrementCounter):
             d.handle(api.CounterReply(action.name, AttemptResult.TIMED_OUT, 0.0))
         if request_id in d.gateway.pending:
@@ -34,32 +34,32 @@
 
 def test_customer_long_unseen_gets_a_share_before_the_counter_is_called() -> None:
     d = Driver()
-    _, out = d.ask(plan="basic")
+    _, out = d.request(plan="basic")
     (call,) = of_type(out, api.IncrementCounter)
     d.handle(api.CounterReply(call.name, AttemptResult.OK, 1.0))
     d.now += 30_000  # it spends all of its burst elsewhere in the meantime
     sent, called = 0, False
     while not called:
-        request_id, out = d.ask(plan="basic", after=1.0)
+        request_id, out = d.request(plan="basic", after=1.0)
         sent += len(of_type(out, api.SendAttempt))
         called = bool(of_type(out, api.IncrementCounter))
     assert 0 < sent <= PLAN.burst / 3 + 1
     (call,) = of_type(out, api.IncrementCounter)
     out = d.handle(api.CounterReply(call.name, AttemptResult.OK, 100.0))
-    assert not of_type(d.ask(plan="basic", after=1.0)[1], api.SendAttempt)
+    assert not of_type(d.request(plan="basic", after=1.0)[1], api.SendAttempt)
     d.now += 30_000  # who was seen to spend much elsewhere is asked for first
-    out = d.ask(plan="basic")[1]
+    out = d.request(plan="basic")[1]
     assert of_type(out, api.IncrementCounter) and not of_type(out, api.SendAttempt)
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_customer_long_unseen_gets_a_share_and_no_more_while_the_counter_is_silent(seed: int) -> None:
     d = Driver(seed=seed, now=1e6 + 700 * seed)  # at any place in the customer's window
-    _, out = d.ask(plan="basic")
+    _, out = d.request(plan="basic")
     (call,) = of_type(out, api.IncrementCounter)
     d.handle(api.CounterReply(call.name, AttemptResult.OK, 1.0))
     d.now += 30_000  # all three gateways may be in this place at once
-    sent = sum(len(of_type(d.ask(plan="basic", after=1.0)[1], api.SendAttempt)) for _ in range(20))
+    sent = sum(len(of_type(d.request(plan="basic", after=1.0)[1], api.SendAttempt)) for _ in range(20))
     assert 0 < sent <= PLAN.burst / 3
 
 
@@ -68,17 +68,17 @@
     d = Driver(counter_available=False, plans=(slow, PLAN), fleet_size=1)
     d.now += 700_000
     for _ in range(70):
-        request_id, out = d.ask(plan="slow", customer="spent", width=1)
+        request_id, out = d.request(plan="slow", customer="spent", width=1)
         if of_type(out, api.SendAttempt):
             d.end(request_id)
     d.handle(api.Request("open", "pay", "basic", "out", 1e6))
-    d.ask(plan="basic", customer="left")
+    d.request(plan="basic", customer="left")
     d.end("r71")
     d.sweep(1300)
     assert set(d.gateway.quotas.registry.states) == {("spent", "slow"), ("out", "basic")}
     again = 0
     for _ in range(30):
-        request_id, out = d.ask(plan="slow", customer="spent", width=1)
+        request_id, out = d.request(plan="slow", customer="spent", width=1)
         if of_type(out, api.SendAttempt):
             again += 1
             d.end(request_id)
@@ -90,10 +90,10 @@
 def test_customer_unseen_for_the_longest_is_forgotten_first() -> None:
     d = Driver(counter_available=False, max_customers=EVICTION_CANDIDATES)
     for i in range(EVICTION_CANDIDATES):
-        d.end(d.ask(customer=f"c{i}", after=1.0)[0])
+        d.end(d.request(customer=f"c{i}", after=1.0)[0])
     for i in (0, 1, 2, 4, 5, 6, 7):  # all but c3 come again
-        d.end(d.ask(customer=f"c{i}", after=1.0)[0])
-    d.ask(customer="new", after=1.0)
+        d.end(d.request(customer=f"c{i}", after=1.0)[0])
+    d.request(customer="new", after=1.0)
     states = d.gateway.quotas.registry.states
     assert ("c3", "open") not in states and len(states) == EVICTION_CANDIDATES
 
@@ -110,16 +110,16 @@
 def test_known_customers_are_bounded_and_those_with_open_requests_are_kept() -> None:
     """A flood of new names in one window must not fill the memory, nor push out what is in use."""
     d = Driver(counter_available=False, max_customers=50)
-    d.ask(plan="open", customer="busy")  # its request stays out
+    d.request(plan="open", customer="busy")  # its request stays out
     for i in range(300):
-        request_id, out = d.ask(plan="basic", customer=f"k{i}")
+        request_id, out = d.request(plan="basic", customer=f"k{i}")
         assert of_type(out, api.SendAttempt)
         d.end(request_id)
         assert len(d.gateway.quotas.registry.states) == len(d.gateway.quotas.registry.sweep_queue) <= 50
     assert ("busy", "open") in d.gateway.quotas.registry.states
     for i in range(60):
-        d.ask(plan="open", customer=f"busy{i}")
-    assert [out.reason for out in of_type(d.ask(plan="open", customer="one more")[1], api.Reject)] == [
+        d.request(plan="open", customer=f"busy{i}")
+    assert [out.reason for out in of_type(d.request(plan="open", customer="one more")[1], api.Reject)] == [
         RejectReason.TOO_MANY_CUSTOMERS
     ]
 
@@ -132,7 +132,7 @@
     d.now += full / rate
     start, forgotten = d.now, 0
     for i in range(6000):  # 2,000 new ones a second for three seconds
-        request_id, out = d.ask(plan="capped", customer=f"new{i}", after=0.5, width=3)
+        request_id, out = d.request(plan="capped", customer=f"new{i}", after=0.5, width=3)
         rejected += len(of_type(out, api.Reject))
         if of_type(out, api.SendAttempt):
             d.end(request_id)
@@ -140,7 +140,7 @@
             d.log.clear()
             known = f"known{i // 10 % 5}"
             forgotten += (known, "capped") not in d.gateway.quotas.registry.states
-            request_id, out = d.ask(plan="capped", customer=known, width=3)
+            request_id, out = d.request(plan="capped", customer=known, width=3)
             if of_type(out, api.SendAttempt):
                 admitted[known] += 1
                 d.end(request_id)
--- a/tests/decision/test_quota.py
+++ b/tests/decision/test_quota.py
@@ -24,7 +24,7 @@
         if i == lose_at:
             d.totals = dict.fromkeys(d.totals, 0.0)
         d.totals = {name: total + others for name, total in d.totals.items()}
-        request_id, _ = d.ask(after=1, **how)
+        request_id, _ = d.request(after=1, **how)
         while d.answered < len(calls := calls_of(d)):
             action = calls[d.answered]
             d.answered += 1
@@ -51,7 +51,7 @@
     drive(d, 5, plan="basic")
     # The estimate says no; the last total left one unit.
     d.gateway.quotas.registry.states["c", "basic"].remaining = 0.0
-    request_id, out = d.ask(plan="basic")
+    request_id, out = d.request(plan="basic")
     assert (
         not of_type(out, api.SendAttempt)
         and not of_type(out, api.Reject)
@@ -65,7 +65,7 @@
 def test_rejected_reservation_is_returned_while_the_counter_answers() -> None:
     for heard, amounts in ((1.0, [1, -1]), (0.0, [1])):
         d = Driver()
-        d.ask(plan="basic")
+        d.request(plan="basic")
         d.gateway.quotas.throttle.answer_rate = heard
         d.gateway.rng.random = lambda: 0.5
         d.handle(api.CounterReply(calls_of(d)[0].name, AttemptResult.OK, 100.0))
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize("left", [5, 60, 200])
 def test_request_with_little_time_left_does_not_wait_for_the_counter(left: float) -> None:
     d = Driver(counter_timeout_ms=30)
-    request_id, out = d.ask(plan="basic", left=left)
+    request_id, out = d.request(plan="basic", left=left)
     assert len(of_type(out, api.SendAttempt)) + len(of_type(out, api.Reject)) == 1
     assert request_id not in d.gateway.new_requests.waiting
 
@@ -84,7 +84,7 @@
     d = Driver()
     drive(d, 5, plan="basic")
     d.gateway.quotas.registry.states["c", "basic"].remaining = 0.0
-    request_id, out = d.ask(plan="basic")
+    request_id, out = d.request(plan="basic")
     d.sweep(3)
     finals = [
         a for _, a in d.log if isinstance(a, api.SendAttempt | api.Reject) and a.request_id == request_id
@@ -97,7 +97,7 @@
     d.now += 10000
     sent = 0
     for _ in range(12):
-        _, out = d.ask(plan="basic")
+        _, out = d.request(plan="basic")
         for action in of_type(out, api.IncrementCounter):
             out = out + d.handle(api.CounterReply(action.name, AttemptResult.TIMED_OUT, 0.0))
         sent += len(of_type(out, api.SendAttempt))
@@ -130,13 +130,13 @@
 def test_other_plans_and_replica_counts_do_not_change_a_customers_quota() -> None:
     d = Driver()
     assert drive(d, 10, plan="basic", width=1) == 6  # its burst
-    d.ask(plan="capped", width=3)
+    d.request(plan="capped", width=3)
     assert drive(d, 5, plan="basic", width=1) == 0
     use = d.gateway.quotas.registry.states["c", "basic"]
-    d.ask(plan="basic", width=3)
+    d.request(plan="basic", width=3)
     assert use.replicas == 3  # the safe side of two opinions, for this window and the next
     for _ in range(2):
-        d.ask(plan="basic", width=1, after=d.gateway.quotas.window_ms["basic"])
+        d.request(plan="basic", width=1, after=d.gateway.quotas.window_ms["basic"])
     assert use.replicas == 1
 
 
@@ -144,11 +144,11 @@
     twin = dataclasses.replace(PLAN, name="twin")
     d = Driver(plans=(PLAN, twin, CAPPED))
     names = [
-        of_type(d.ask(plan=plan, customer="c")[1], api.IncrementCounter)[0].name
+        of_type(d.request(plan=plan, customer="c")[1], api.IncrementCounter)[0].name
         for plan in ("basic", "twin", "capped")
     ]
     assert len(set(names)) == 3
-    alone = of_type(Driver().ask(plan="basic", customer="c")[1], api.IncrementCounter)[0].name
+    alone = of_type(Driver().request(plan="basic", customer="c")[1], api.IncrementCounter)[0].name
     assert names[0] != alone == names[0].replace(".0.", ".")  # where no other window is as long: no tag
 
 
@@ -159,7 +159,7 @@
     def calls(result: str, n: int = 60) -> int:
         made = 0
         for _ in range(n):
-            request_id, out = d.ask(plan="basic", customer=f"k{d.serial}", after=20)
+            request_id, out = d.request(plan="basic", customer=f"k{d.serial}", after=20)
             for action in of_type(out, api.IncrementCounter):
                 made += 1
                 out = out + d.handle(api.CounterReply(action.name, result, action.amount))
@@ -181,7 +181,7 @@
 
 def test_malformed_total_is_an_answer_and_its_amount_counts() -> None:
     d = Driver()
-    request_id, out = d.ask(plan="basic", customer="k", units=2)
+    request_id, out = d.request(plan="basic", customer="k", units=2)
     (call,) = of_type(out, api.IncrementCounter)
     out = d.handle(api.CounterReply(call.name, AttemptResult.MALFORMED_RESPONSE, 0.0))
     assert of_type(out, api.SendAttempt)  # decided at once
@@ -199,7 +199,7 @@
         d.handle(api.TimerFired("sweep"))
         d.now += age_s * 1000
         for _ in range(3):
-            request_id, out = d.ask(plan="basic", width=300)
+            request_id, out = d.request(plan="basic", width=300)
             sent += len(of_type(out, api.SendAttempt))
     extra = sent - 300  # the first one of each gateway is let in: most customers are far from their quota
     assert extra <= 2 * EVEN_SPLIT_FACTOR * min(PLAN.burst, PLAN.rate * age_s) + 3
--- a/tests/decision/test_slow_start.py
+++ b/tests/decision/test_slow_start.py
@@ -13,14 +13,14 @@
 def test_warming_host_gets_no_more_than_its_budget() -> None:
     d = Driver(servers=4)
     for i in range(300):
-        request_id, _ = d.ask(after=10)
+        request_id, _ = d.request(after=10)
         d.end(request_id, took=100)
         if i % 10 == 9:
             d.handle(api.TimerFired("sweep"))
     d.handle(api.EndpointList(ListKind.CHANGES, (make_endpoint(9, started_at_ms=d.now),)))
     to_cold = to_all = 0
     for i in range(200):
-        request_id, out = d.ask(after=10)
+        request_id, out = d.request(after=10)
         to_all += 1
         to_cold += of_type(out, api.SendAttempt)[0].host == "h9"
         d.end(request_id, took=10 if of_type(out, api.SendAttempt)[0].host == "h9" else 100)
@@ -38,7 +38,7 @@
     saved = 0.2 * 0.1 * 2000 / 2  # at most half a span's worth is saved up
     assert gateway.fleet.slow_start.has_budget(cold, 0.2, saved - 0.1, gateway.fleet.now)
     gateway.latency.per_unit_ms["read"] = saved / 4.5
-    outs = [d.ask()[1] for _ in range(20)]
+    outs = [d.request()[1] for _ in range(20)]
     assert (
         4 <= sum(len(of_type(out, api.SendAttempt)) for out in outs) <= 5
     )  # other hosts gone: the budget still holds
@@ -55,7 +55,7 @@
         )  # 2 of 10 s: at least 0.36 warm
         d.handle(api.EndpointList(ListKind.FULL, (make_endpoint(9, started_at_ms=d.now - 2000),)))
         d.gateway.latency.per_unit_ms["read"] = work
-        sent += any(of_type(d.ask()[1], api.SendAttempt) for _ in range(10))
+        sent += any(of_type(d.request()[1], api.SendAttempt) for _ in range(10))
     assert abs(sent - 300 * part) < 3 * (300 * part * (1 - part)) ** 0.5 + 1
 
 
@@ -64,5 +64,5 @@
     for i in range(300):
         d = Driver(servers=1, seed=i, fleet_size=300)
         d.handle(api.EndpointList(ListKind.FULL, (make_endpoint(9, started_at_ms=d.now),)))
-        sent += len(of_type(d.ask()[1], api.SendAttempt))
+        sent += len(of_type(d.request()[1], api.SendAttempt))
     assert sent <= 5
--- a/tests/fakes/successors.py
+++ b/tests/fakes/successors.py
@@ -22,7 +22,7 @@
     driver.handle(api.EndpointList(ListKind.CHANGES, (restarted,)), after=5000)
     for number in range(40 * customers // 10):
         class_name, plan = rng.choice(["read", "put"]), rng.choice(["capped", "basic", "open"])
-        request_id, actions = driver.ask(
+        request_id, actions = driver.request(
             class_name,
             plan,
             f"c{number % customers}",
--- a/tests/hosted/test_rest.py
+++ b/tests/hosted/test_rest.py
@@ -186,7 +186,7 @@
         for _ in range(count):
             decided = []
             for driver in (stays, rests):
-                rid, out = driver.ask(plan=plan[0], customer=customer, width=1)
+                rid, out = driver.request(plan=plan[0], customer=customer, width=1)
                 for name in [a.name for a in of_type(out, api.IncrementCounter)]:
                     reply = driver.totals[name] = driver.totals.get(name, 0.0) + sum(
                         a.amount for a in of_type(out, api.IncrementCounter) if a.name == name
--- a/tests/hot_restart/test_state_codec.py
+++ b/tests/hot_restart/test_state_codec.py
@@ -35,7 +35,7 @@
         module.gateway.rng.seed(seed)
         r, said = random.Random(seed), []
         for i in range(200):
-            rid, out = module.ask("read", "capped", f"c{i % 7}", units=2, after=r.expovariate(1 / 20))
+            rid, out = module.request("read", "capped", f"c{i % 7}", units=2, after=r.expovariate(1 / 20))
             said.append([type(a).__name__ for a in out if isinstance(a, api.SendAttempt | api.Reject)])
             for _ in of_type(out, api.SendAttempt):
                 module.end(rid, after=1.0)
@@ -53,7 +53,7 @@
     for i in range(400):
         for module in (d, new):
             module.now = before + 10 * i
-            rid, out = module.ask("read", "capped", "c0", units=1)
+            rid, out = module.request("read", "capped", "c0", units=1)
             if of_type(out, api.SendAttempt):
                 assert module is new
                 spent += 1
@@ -66,10 +66,10 @@
 def test_resumed_process_spends_of_its_ceilings_again() -> None:
     d = busy_gateway(faults=False)
     d.handle(api.TakenOver(True))
-    rid, out = d.ask("read", "capped", "new", units=1)
+    rid, out = d.request("read", "capped", "new", units=1)
     assert of_type(out, api.Reject)[0].reason == RejectReason.CEILING
     d.handle(api.TakenOver(False))
-    assert of_type(d.ask("read", "capped", "new", units=1)[1], api.SendAttempt)
+    assert of_type(d.request("read", "capped", "new", units=1)[1], api.SendAttempt)
 
 
 def test_record_of_a_host_restarted_since_is_not_restored() -> None:
@@ -94,7 +94,7 @@
 def test_documents_are_of_bounded_size() -> None:
     d = Driver(servers=2, counter_available=False)
     for i in range(3 * AT_ONCE):
-        d.ask("read", "open", f"{i:016x}")
+        d.request("read", "open", f"{i:016x}")
     d.handle(
         api.EndpointList(
             ListKind.FULL, tuple(make_endpoint(i, name=f"{i:0>200}") for i in range(3 * AT_ONCE))
@@ -178,7 +178,7 @@
 
 def test_customer_row_is_written_in_the_order_of_the_stored_names() -> None:
     d = Driver(servers=6)
-    d.ask("read", "capped", "c0", units=2, width=3)
+    d.request("read", "capped", "c0", units=2, width=3)
     (known_state,) = d.gateway.quotas.registry.states.values()
     documents = list(export(d.gateway))
     (row,) = next(doc for doc in documents if doc["t"] == "customers")["uses"]
--- a/tests/net/test_sending_races.py
+++ b/tests/net/test_sending_races.py
@@ -187,7 +187,7 @@
 def test_decision_states_the_delivery_window_of_a_retry() -> None:
     """The window runs from the first attempt that may have run, not from the one that surely did not."""
     driver = Driver()
-    rid, out = driver.ask("put")
+    rid, out = driver.request("put")
     assert [a.delivery_window_ms for a in out if isinstance(a, api.SendAttempt)] == [float("inf")]
     (again,) = (
         a
@@ -303,13 +303,13 @@
 def test_attempt_that_was_not_sent_consumes_no_quota_and_no_ceiling() -> None:
     driver = Driver(counter_available=False)
     driver.now += 60_000  # ceilings are earned anew after a start
-    rid, out = driver.ask("read", "capped", units=2, width=1)
+    rid, out = driver.request("read", "capped", units=2, width=1)
     (use,) = driver.gateway.quotas.registry.states.values()
     took = (use.remaining, use.ceiling_remaining)
     driver.handle(api.ClientDisconnected(rid))
     driver.handle(api.AttemptEnded(rid, 0, "h0", AttemptResult.NOT_SENT, 0.0, True))
     assert (use.remaining, use.ceiling_remaining, use.used) == (took[0] + 2, took[1] + 2, 0.0)
-    rid, out = driver.ask("read", "capped", units=2, width=1)
+    rid, out = driver.request("read", "capped", units=2, width=1)
     driver.handle(
         api.AttemptEnded(rid, 0, "h0", AttemptResult.QUEUE_FULL, 0.0, True)
     )  # it came whole to its host
--- a/tests/quotas/gateway_fleet.py
+++ b/tests/quotas/gateway_fleet.py
@@ -66,7 +66,7 @@
         self.now += after
         driver = self.gateways[number]
         driver.now = self.now + self.off[number]
-        rid, _ = driver.ask(plan=self.plan.name, customer=NAME, units=units, width=self.count)
+        rid, _ = driver.request(plan=self.plan.name, customer=NAME, units=units, width=self.count)
         self.answer(number)
         sent = any(isinstance(act, api.SendAttempt) and act.request_id == rid for _, act in driver.log[-20:])
         if sent:
--- a/tests/quotas/test_lease_records.py
+++ b/tests/quotas/test_lease_records.py
@@ -85,7 +85,7 @@
     fleet.draw(0)
     rows = json.loads(json.dumps(list(export(fleet.gateways[0].gateway))))
     new = fleet.fresh(0)
-    _, out = new.ask(plan=PLAN.name, customer=NAME, width=1)
+    _, out = new.request(plan=PLAN.name, customer=NAME, width=1)
     (call,) = of_type(out, api.IncrementCounter)
     new.handle(api.CounterReply(call.name, AttemptResult.OK, call.amount))
     restore(new.gateway, rows)
--- a/tests/quotas/test_leases.py
+++ b/tests/quotas/test_leases.py
@@ -213,7 +213,7 @@
     drawn = fleet.draw(0)
     driver = fleet.gateways[0]
     driver.gateway.quotas.registry.max_customers = 1
-    driver.ask(plan=PLAN.name, customer="another", width=3, after=100.0)
+    driver.request(plan=PLAN.name, customer="another", width=3, after=100.0)
     assert list(driver.gateway.quotas.registry.states) == [("another", PLAN.name)]
     assert sum(fleet.totals.values()) == pytest.approx(sum(fleet.sent) + drawn)
     fleet.now += 100.0
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -11,7 +11,7 @@
 
 def window_start(d: Driver, customer: str) -> float:
     """The start of the customer's window that begins next."""
-    d.ask(plan="basic", customer=customer, width=100)
+    d.request(plan="basic", customer=customer, width=100)
     use = d.gateway.quotas.registry.states[customer, "basic"]
     length = d.gateway.quotas.window_ms["basic"]
     phase = (use.digest[0] << 8 | use.digest[1]) / 65536
@@ -23,7 +23,7 @@
     """The others spent three units since the window's start, not since we came; they may be just spent."""
     start = window_start(Driver(), "c")
     d = Driver(fleet_size=100, now=start + into_ms)
-    rid, out = d.ask(plan="basic", customer="c", width=100)
+    rid, out = d.request(plan="basic", customer="c", width=100)
     (call,) = of_type(out, api.IncrementCounter)
     assert of_type(
         d.handle(api.CounterReply(call.name, AttemptResult.OK, call.amount + 3.0)), api.SendAttempt
@@ -36,7 +36,7 @@
 def test_customer_whose_quota_was_spent_elsewhere_is_rejected() -> None:
     start = window_start(Driver(), "c")
     d = Driver(fleet_size=100, now=start + 1000.0)
-    _, out = d.ask(plan="basic", customer="c", width=100)
+    _, out = d.request(plan="basic", customer="c", width=100)
     (call,) = of_type(out, api.IncrementCounter)
     out = d.handle(api.CounterReply(call.name, AttemptResult.OK, call.amount + PLAN.burst + PLAN.rate))
     assert of_type(out, api.Reject) and not of_type(out, api.SendAttempt)
@@ -46,7 +46,7 @@
     """Half of the rate used by the others leaves room for all of ours, also seconds later and untold."""
     start = window_start(Driver(), "c")
     d = Driver(fleet_size=100, now=start + 2000.0)
-    _, out = d.ask(plan="basic", customer="c", width=100)
+    _, out = d.request(plan="basic", customer="c", width=100)
     (call,) = of_type(out, api.IncrementCounter)
     rid = of_type(
         d.handle(api.CounterReply(call.name, AttemptResult.OK, call.amount + 2.0)), api.SendAttempt
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize("into_ms", [1.0, 1500.0, 5000.0])
 def test_a_lone_gateway_that_starts_anew_finds_what_it_had_spent(into_ms: float) -> None:
     d = Driver(now=window_start(Driver(), "c") + into_ms)
-    _, out = d.ask(plan="basic", customer="c", width=1)
+    _, out = d.request(plan="basic", customer="c", width=1)
     (call,) = of_type(out, api.IncrementCounter)
     out = d.handle(api.CounterReply(call.name, AttemptResult.OK, call.amount + PLAN.burst))
     assert of_type(out, api.Reject) and not of_type(out, api.SendAttempt)
--- a/tests/recovery/test_process_restart.py
+++ b/tests/recovery/test_process_restart.py
@@ -19,7 +19,7 @@
     """New requests at a back end that takes nearly all of their time; all that is out ends answered."""
     out = []
     for number in range(count):
-        rid, acts = d.ask("read", ("basic", "open")[number % 2], f"c{number % 200}", after=every_ms)
+        rid, acts = d.request("read", ("basic", "open")[number % 2], f"c{number % 200}", after=every_ms)
         if of_type(acts, api.SendAttempt):
             out.append((d.now, rid))
         while out and d.now - out[0][0] > 900:
@@ -42,7 +42,7 @@
     """How many of so many new customers' first requests are sent on, all of which are answered at once."""
     sent = 0
     for number in range(customers):
-        rid, acts = d.ask("read", "open", f"new{number}", after=2)
+        rid, acts = d.request("read", "open", f"new{number}", after=2)
         if of_type(acts, api.SendAttempt):
             sent += 1
             d.end(rid, AttemptResult.OK, took=10)
--- a/tests/recovery/test_retention.py
+++ b/tests/recovery/test_retention.py
@@ -94,7 +94,7 @@
     spent, began = 0.0, d.now
     for _ in range(30):
         documents, at = exported_documents(d.gateway), d.now
-        rid, _ = d.ask("read", plan.name, "c1", units=1, after=40)
+        rid, _ = d.request("read", plan.name, "c1", units=1, after=40)
         spent += any(isinstance(a, api.SendAttempt) and a.request_id == rid for _, a in d.log)
         d.now += 100
         new = Driver(servers=6, seed=int(d.now), now=d.now, counter_available=False)
@@ -206,7 +206,7 @@
     except (StateError, SnapshotContentError):
         assert exported_documents(new.gateway) == before
     else:
-        rid, acts = new.ask("read", "open", "c1", after=5)  # and decides on
+        rid, acts = new.request("read", "open", "c1", after=5)  # and decides on
         assert acts and new.end(rid, AttemptResult.OK) is not None if of_type(acts, api.SendAttempt) else acts
         new.sweep(2)
 
