--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -227,7 +227,7 @@
     return Seen(line, headers, body, writer)
 
 
-class Fake:
+class FakeServer:
     """A scripted HTTP server.
 
     `behave` returns the bytes of the response to a request, None to send nothing, or b"" to reset the
@@ -240,7 +240,7 @@
         self.opened = self.closed = 0  # connections accepted, and of those closed by the other side
         self.changed = asyncio.Event()
 
-    async def start(self) -> Fake:
+    async def start(self) -> FakeServer:
         self.server = await asyncio.start_server(self._serve, LOOP, 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
@@ -265,7 +265,7 @@
         finally:
             writer.close()
 
-    async def until(self, ready: Callable[[Fake], bool]) -> None:
+    async def until(self, ready: Callable[[FakeServer], bool]) -> None:
         """Wait until `ready` returns true for this server; the limit of `on_loop` bounds the wait."""
         while not ready(self):
             self.changed.clear()
@@ -288,7 +288,7 @@
     def __init__(self, instances: list[dict]) -> None:
         self.generation, self.instances = 1, instances
         self.waiting: list[Seen] = []
-        self.fake = Fake(self._behave)
+        self.fake = FakeServer(self._behave)
 
     def _behave(self, seen: Seen) -> bytes | None:
         if "after=" not in seen.line:
@@ -347,9 +347,9 @@
         self.old: list[
             tuple[asyncio.subprocess.Process, asyncio.Task]
         ] = []  # previous processes, each with the task that reads its log
-        self.hosts = [Fake(b) for b in behaves]
+        self.hosts = [FakeServer(b) for b in behaves]
         self.totals: dict[str, float] = {}
-        self.counter = Fake(lambda seen: adding(seen, self.totals))
+        self.counter = FakeServer(lambda seen: adding(seen, self.totals))
         self.process: asyncio.subprocess.Process | None = None
         # Kept bound during the whole test: otherwise another test's socket could be assigned the port while
         # no gateway process is running.
@@ -434,7 +434,10 @@
 
         The previous ones keep listening; `discovery` and `counter` refer to the new ones.
         """
-        self.discovery, self.counter = FakeDiscovery(instances), Fake(lambda seen: adding(seen, self.totals))
+        self.discovery, self.counter = (
+            FakeDiscovery(instances),
+            FakeServer(lambda seen: adding(seen, self.totals)),
+        )
         await self.discovery.fake.start()
         await self.counter.start()
         self.write_config()
--- a/tests/fakes/discovery.py
+++ b/tests/fakes/discovery.py
@@ -5,7 +5,7 @@
 import asyncio
 import json
 
-from conftest import LOOP, Fake, Seen, instance, reply
+from conftest import LOOP, FakeServer, Seen, instance, reply
 
 from hillmux.net.discovery_response import DiscoveryResponse
 from hillmux.net.discovery_watch import DiscoveryWatch
@@ -25,7 +25,7 @@
 
     def __init__(self, *answers: bytes | None) -> None:
         self.answers = list(answers)
-        self.fake = Fake(self._behave)
+        self.fake = FakeServer(self._behave)
         self.responses: asyncio.Queue[DiscoveryResponse] = asyncio.Queue()
 
     def _behave(self, seen: Seen) -> bytes | None:
--- a/tests/fakes/gateway_core.py
+++ b/tests/fakes/gateway_core.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from conftest import GRADES, LOOP, PACKAGES, Fake, instance
+from conftest import GRADES, LOOP, PACKAGES, FakeServer, instance
 
 from hillmux import interface as api
 from hillmux.interface import ListKind
@@ -73,7 +73,7 @@
 
 
 async def start_gateway_core(
-    monkeypatch: pytest.MonkeyPatch, host: Fake
+    monkeypatch: pytest.MonkeyPatch, host: FakeServer
 ) -> tuple[GatewayCore, ScriptedDecisionModule]:
     """Create a core with a scripted decision module and the one host `s-0`; discovery does not answer."""
     monkeypatch.setattr(event_dispatcher, "Gateway", ScriptedDecisionModule)
--- a/tests/fakes/hosted.py
+++ b/tests/fakes/hosted.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from conftest import Behave, Fake, Seen, read_message
+from conftest import Behave, FakeServer, Seen, read_message
 
 from fakes.tenants import config, table
 from hillmux.hosted.service import Service
@@ -19,7 +19,7 @@
     def __init__(self, *tenants: str, behave: Behave | None = None, **changes: Any) -> None:
         self.names, self.changes = list(tenants), changes
         self.per_tenant: dict[str, dict[str, Any]] = {}
-        self.hosts = {name: Fake(behave or serve) for name in tenants}
+        self.hosts = {name: FakeServer(behave or serve) for name in tenants}
 
     async def __aenter__(self) -> Hosted:
         for host in self.hosts.values():
--- a/tests/hosted/test_changes.py
+++ b/tests/hosted/test_changes.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from conftest import LOOP, ROOT, Fake, Seen, adding, on_loop, read_message
+from conftest import LOOP, ROOT, FakeServer, Seen, adding, on_loop, read_message
 from fakes.hosted import Client, Hosted, request, serve, status
 from fakes.tenants import config, table
 
@@ -53,7 +53,7 @@
     return None
 
 
-def release(fake: Fake, number: int = -1) -> None:
+def release(fake: FakeServer, number: int = -1) -> None:
     """Have a host answer what it has kept."""
     fake.seen[number].writer.write(serve(fake.seen[number]))
 
@@ -79,7 +79,7 @@
 
 def test_removed_while_a_request_waits_for_a_counter_that_is_silent() -> None:
     async def scenario() -> None:
-        counter = await Fake(silent).start()
+        counter = await FakeServer(silent).start()
         async with Hosted("a", "b", counter={"address": f"{LOOP}:{counter.port}", "wait_ms": 100}) as rig:
             client = await rig.connect()
             client.writer.write(request("a"))
@@ -365,7 +365,7 @@
 def test_two_tenants_counts_never_meet_in_a_shared_counter() -> None:
     async def scenario() -> None:
         totals: dict[str, float] = {}
-        counter = await Fake(lambda seen: adding(seen, totals)).start()
+        counter = await FakeServer(lambda seen: adding(seen, totals)).start()
         async with Hosted("a", "b", counter={"address": f"{LOOP}:{counter.port}"}) as rig:
             for tenant in "ab":
                 for _ in range(3):
@@ -529,7 +529,7 @@
 
 def test_sighup_twice_in_a_row_ends_at_the_last_file_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
     async def scenario() -> None:
-        hosts = [await Fake(serve).start() for _ in range(2)]
+        hosts = [await FakeServer(serve).start() for _ in range(2)]
         process = Process(tmp_path)
         write(process.path, 0, ("a", hosts[0].port))
         async with process:
@@ -555,7 +555,7 @@
 
 def test_sigterm_in_the_middle_of_a_removal_answers_what_was_taken(tmp_path: Path) -> None:
     async def scenario() -> None:
-        host, other = await Fake(silent).start(), await Fake(serve).start()
+        host, other = await FakeServer(silent).start(), await FakeServer(serve).start()
         process = Process(tmp_path)
         write(process.path, 0, ("a", host.port), ("b", other.port), state=str(tmp_path / "state"))
         async with process:
@@ -648,7 +648,7 @@
 
 def test_without_a_descriptor_to_accept_with_the_gateway_serves_on(tmp_path: Path) -> None:
     async def scenario() -> None:
-        host = await Fake(serve).start()
+        host = await FakeServer(serve).start()
         process = Process(tmp_path)
         write(process.path, 0, ("a", host.port))
         async with process:
--- a/tests/net/test_counter_client.py
+++ b/tests/net/test_counter_client.py
@@ -7,7 +7,7 @@
 import struct
 
 import pytest
-from conftest import GRADES, LOOP, PACKAGES, Fake, Seen, on_loop, reply
+from conftest import GRADES, LOOP, PACKAGES, FakeServer, Seen, on_loop, reply
 
 from hillmux import interface as api
 from hillmux.interface import AttemptResult
@@ -17,7 +17,7 @@
 
 
 async def start_counter_client(
-    monkeypatch: pytest.MonkeyPatch, fake: Fake, wait_ms: float
+    monkeypatch: pytest.MonkeyPatch, fake: FakeServer, wait_ms: float
 ) -> tuple[HttpCounterClient, asyncio.Queue[api.CounterReply]]:
     monkeypatch.setattr(counter_client, "CONNECTIONS", 1)
     await fake.start()
@@ -28,7 +28,7 @@
 
 def test_late_answer_is_not_taken_for_the_next_calls_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        fake = Fake(lambda seen: None)
+        fake = FakeServer(lambda seen: None)
         counter, got = await start_counter_client(monkeypatch, fake, 400)
         counter.call(api.IncrementCounter("a", 1, 1000))
         assert (await got.get()).result == AttemptResult.TIMED_OUT
@@ -61,7 +61,7 @@
 )
 def test_result_of_a_counter_call(monkeypatch: pytest.MonkeyPatch, behave, result: str) -> None:
     async def scenario() -> None:
-        fake = Fake(behave)
+        fake = FakeServer(behave)
         counter, got = await start_counter_client(monkeypatch, fake, 5000)
         counter.call(api.IncrementCounter("a", 1, 1000))
         assert (await got.get()).result == result
@@ -76,7 +76,7 @@
     """A busy counter answers after the bound that the settings give; its totals are true all the same."""
 
     async def scenario() -> None:
-        fake = Fake(lambda seen: None)
+        fake = FakeServer(lambda seen: None)
         await fake.start()
         config = parse(
             {
@@ -111,7 +111,7 @@
     """A counter that is cut off leaves its connection open; the calls must not go there for ever."""
 
     async def scenario() -> None:
-        fake = Fake(lambda seen: None)
+        fake = FakeServer(lambda seen: None)
         counter, got = await start_counter_client(monkeypatch, fake, 30)
         counter.call(api.IncrementCounter("a", 1, 1000))
         assert (await got.get()).result == AttemptResult.TIMED_OUT
@@ -158,7 +158,7 @@
         counter.start()
         await ended.wait()
         await asyncio.sleep(0.01)  # the dial's task has ended, too
-        fake = Fake(lambda seen: reply(b"1"))
+        fake = FakeServer(lambda seen: reply(b"1"))
         fake.server = await asyncio.start_server(fake._serve, sock=listener)
         counter.call(api.IncrementCounter("a", 1, 1000))
         assert (await got.get()).result == AttemptResult.OK
@@ -173,7 +173,7 @@
 
     async def scenario() -> None:
         monkeypatch.setattr(counter_client, "CONNECTIONS", 1)
-        fake = Fake(lambda seen: reply(b"1"))
+        fake = FakeServer(lambda seen: reply(b"1"))
         await fake.start()
         got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
         counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), 5000, got.put_nowait)
@@ -201,7 +201,7 @@
 def test_call_made_while_a_connection_ends_uses_another_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(counter_client, "CONNECTIONS", 2)
-        fake = Fake(lambda seen: reply(b"many" if len(fake.seen) == 1 else b"1"))
+        fake = FakeServer(lambda seen: reply(b"many" if len(fake.seen) == 1 else b"1"))
         await fake.start()
         got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
 
@@ -241,7 +241,7 @@
                 silent.append(seen.writer)
             return None if seen.writer in silent else reply(b"1")
 
-        fake = Fake(behave)
+        fake = FakeServer(behave)
         await fake.start()
         got: asyncio.Queue[api.CounterReply] = asyncio.Queue()
         counter = HttpCounterClient(asyncio.get_running_loop(), (LOOP, fake.port), 200, got.put_nowait)
@@ -263,7 +263,7 @@
 
 def test_lost_connection_is_dialled_before_a_call_needs_it(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        fake = Fake(lambda seen: b"" if len(fake.seen) == 1 else None)
+        fake = FakeServer(lambda seen: b"" if len(fake.seen) == 1 else None)
         counter, got = await start_counter_client(monkeypatch, fake, 5000)
         counter.call(api.IncrementCounter("a", 1, 1000))
         assert (await got.get()).result == AttemptResult.CONNECTION_LOST
@@ -284,7 +284,7 @@
         def behave(seen: Seen) -> bytes:
             return reply(b"1")
 
-        fake = Fake(behave)
+        fake = FakeServer(behave)
         counter, got = await start_counter_client(monkeypatch, fake, 5000)
         fake.stop()
         await fake.server.wait_closed()
--- a/tests/net/test_gateway_core.py
+++ b/tests/net/test_gateway_core.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from conftest import Fake, Seen, instance, on_loop, reply
+from conftest import FakeServer, Seen, instance, on_loop, reply
 from fakes.gateway_core import RecordingClient, forward_request, start_gateway_core
 
 from hillmux import interface as api
@@ -20,7 +20,7 @@
 
 def test_request_is_answered_once_at_its_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: None)
+        host = FakeServer(lambda seen: None)
         core, decisions = await start_gateway_core(monkeypatch, host)
         client, started = RecordingClient(), time.monotonic()
         decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", 5000)]
@@ -74,7 +74,7 @@
                 )
             return None
 
-        host = Fake(agent)
+        host = FakeServer(agent)
         core, decisions = await start_gateway_core(monkeypatch, host)
         core._discovery.start()
         await host.until(lambda fake: len(fake.seen) == 1)
@@ -104,7 +104,7 @@
 
 def test_events_are_not_held_without_a_stall(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: None)
+        host = FakeServer(lambda seen: None)
         core, decisions = await start_gateway_core(monkeypatch, host)
         core.request(RecordingClient(), forward_request())
         assert isinstance(decisions.events[-1], api.Request)
@@ -120,7 +120,7 @@
 
 def test_failure_of_the_decision_module_fails_one_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         broken, served = RecordingClient(), RecordingClient()
         decisions.actions[api.Request] = RuntimeError("broken")
@@ -136,7 +136,7 @@
 
 def test_every_attempt_has_one_outcome(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: None)
+        host = FakeServer(lambda seen: None)
         core, decisions = await start_gateway_core(monkeypatch, host)
         client = RecordingClient()
         decisions.actions[api.Request] = [
@@ -170,7 +170,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        host = await Fake(lambda seen: reply()).start()
+        host = await FakeServer(lambda seen: reply()).start()
         core, decisions = await start_gateway_core(monkeypatch, host)
         order: list[str] = []
         handle, act = decisions.handle, core.execute
@@ -209,7 +209,7 @@
     """Guards against an overloaded core or a collection: our wait is no host's latency."""
 
     async def scenario() -> None:
-        host = Fake(lambda seen: None)
+        host = FakeServer(lambda seen: None)
         core, decisions = await start_gateway_core(monkeypatch, host)
         await asyncio.sleep(0.1)
         decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", 3000)]
--- a/tests/net/test_sending_races.py
+++ b/tests/net/test_sending_races.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 import pytest
-from conftest import LOOP, Driver, Fake, message, on_loop, reply
+from conftest import LOOP, Driver, FakeServer, message, on_loop, reply
 from fakes.gateway_core import (
     LoopWithHeldDials,
     RecordingClient,
@@ -84,7 +84,7 @@
     """The module calls nothing off: some settings do not let it, and its events may wait for news."""
 
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         dials = core.upstreams.loop = LoopWithHeldDials(core.loop)
         core.upstreams.dialer.timeout_s = 10.0
@@ -109,7 +109,7 @@
     monkeypatch: pytest.MonkeyPatch, happens: Callable[[GatewayCore, int], None]
 ) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: None)
+        host = FakeServer(lambda seen: None)
         core, decisions = await start_gateway_core(monkeypatch, host)
         decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
         client = RecordingClient()
@@ -131,7 +131,7 @@
     """News and a send cross in the process: the module hears of the drain one event after its decision."""
 
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         client = RecordingClient()
         decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
@@ -161,7 +161,7 @@
     monkeypatch: pytest.MonkeyPatch, recalled: bool
 ) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         dials = core.upstreams.loop = LoopWithHeldDials(core.loop)
         core.upstreams.dialer.timeout_s = 10.0
@@ -203,7 +203,7 @@
 
 def test_connection_dialled_for_an_invalid_attempt_serves_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         dials = core.upstreams.loop = LoopWithHeldDials(core.loop)
         core.upstreams.dialer.timeout_s = 10.0
@@ -232,7 +232,7 @@
 
     async def scenario() -> None:
         listener = socket.create_server((LOOP, 0))
-        host = Fake(lambda seen: None)
+        host = FakeServer(lambda seen: None)
         core, decisions = await start_gateway_core(monkeypatch, host)
         core.upstreams.update({"s-0": (LOOP, listener.getsockname()[1])}, set())
         decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", 60.0)]
@@ -264,7 +264,7 @@
         def none_left(descriptor: int) -> int:
             raise OSError(errno.EMFILE, "Too many open files")
 
-        host = Fake(lambda seen: None)
+        host = FakeServer(lambda seen: None)
         core, decisions = await start_gateway_core(monkeypatch, host)
         decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", 60.0)]
         core.request(RecordingClient(), forward_request())
@@ -283,7 +283,7 @@
     """A host with a short idle limit closes it between two sweeps: what crosses that may have run."""
 
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         client = RecordingClient()
         for serial, opened in ((1, 1), (2, 1), (3, 2)):
@@ -326,7 +326,7 @@
     """
 
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         server = StreamingListener(core, core.loop, 1024)
         ((_, port),) = server.start((LOOP, 0))
@@ -357,7 +357,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         server = StreamingListener(core, core.loop, 1024)
         ((_, port),) = server.start((LOOP, 0))
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import Fake, Rig, Seen, message, on_loop, read_message, reply
+from conftest import FakeServer, Rig, Seen, message, on_loop, read_message, reply
 from fakes.gateway_core import RecordingClient, forward_request, start_gateway_core
 
 from hillmux import interface as api
@@ -73,7 +73,7 @@
 
 def test_no_request_is_forwarded_after_fail_all(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         client = RecordingClient()
         core.request(client, forward_request())
--- a/tests/net/test_upstream_pool.py
+++ b/tests/net/test_upstream_pool.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from conftest import LOOP, Fake, on_loop, reply
+from conftest import LOOP, FakeServer, on_loop, reply
 from fakes.gateway_core import RecordingClient, forward_request, start_gateway_core
 
 from hillmux import interface as api
@@ -17,7 +17,7 @@
     monkeypatch: pytest.MonkeyPatch, more: bytes
 ) -> None:
     async def scenario() -> None:
-        host = await Fake(lambda seen: reply() + more).start()
+        host = await FakeServer(lambda seen: reply() + more).start()
         core, decisions = await start_gateway_core(monkeypatch, host)
         client = RecordingClient()
         for _ in range(2):
@@ -36,7 +36,7 @@
 
 def test_connection_idle_longest_is_closed_first(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        fakes = [await Fake(lambda seen: reply()).start() for _ in range(3)]
+        fakes = [await FakeServer(lambda seen: reply()).start() for _ in range(3)]
         core, decisions = await start_gateway_core(monkeypatch, fakes[0])
         hosts = core.upstreams
         hosts.update({f"s-{i}": (LOOP, fake.port) for i, fake in enumerate(fakes)}, set())
@@ -86,7 +86,7 @@
     """Nothing may be written to it: the attempt would hang until its time-out."""
 
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         core.upstreams.loop = LoopWithBrokenConnections(core.loop)
         client = RecordingClient()
@@ -106,7 +106,7 @@
     """The loop closes such a connection without a word; it would count against our bound for good."""
 
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         hosts, opened = core.upstreams, core.upstreams.connection_opened
         up: list[object] = []
