--- a/tests/fakes/system.py
+++ b/tests/fakes/system.py
@@ -8,10 +8,10 @@
 from conftest import Rig
 
 
-class Blocked:
+class UnreachableHost:
     """A host whose connections are never established: its backlog is full, and it does not accept."""
 
-    def __enter__(self) -> Blocked:
+    def __enter__(self) -> UnreachableHost:
         self._listener = socket.socket()
         self._listener.bind(("127.0.0.1", 0))
         self._listener.listen(0)
@@ -24,14 +24,14 @@
 
     def dialled(self) -> bool:
         """Whether the gateway is dialing this host."""
-        return sum(remote == self.port for _, remote, _ in rows()) > len(self._waiting)
+        return sum(remote == self.port for _, remote, _ in tcp_connections()) > len(self._waiting)
 
     def __exit__(self, *exc: object) -> None:
         for sock in (*self._waiting, self._listener):
             sock.close()
 
 
-def rows() -> list[tuple[int, int, int]]:
+def tcp_connections() -> list[tuple[int, int, int]]:
     """The machine's TCP connections: local port, remote port and number of unread bytes."""
     with open("/proc/net/tcp") as lines:
         parts = [line.split() for line in lines][1:]
@@ -40,12 +40,12 @@
     ]
 
 
-def held(rig: Rig) -> bool:
+def has_unread_input(rig: Rig) -> bool:
     """Whether a client connection of the gateway has unread input."""
-    return any(local == rig.port and remote and unread for local, remote, unread in rows())
+    return any(local == rig.port and remote and unread for local, remote, unread in tcp_connections())
 
 
-def sockets(rig: Rig | None = None) -> int:
+def count_sockets(rig: Rig | None = None) -> int:
     """The number of open sockets of the gateway process, or of this process without `rig`."""
     count = 0
     for name in os.listdir(folder := f"/proc/{rig.process.pid if rig else 'self'}/fd"):
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -10,7 +10,7 @@
 import pytest
 from conftest import Rig, Seen, instance, message, on_loop, read_message, reply
 from fakes.raw import Peer, RawHost
-from fakes.system import Blocked, held, sockets
+from fakes.system import UnreachableHost, count_sockets, has_unread_input
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: the close sends a reset
 
@@ -61,7 +61,7 @@
     """The connection is not being read then; its end must still be noticed and the dial cancelled."""
 
     async def scenario() -> None:
-        with Blocked() as host:
+        with UnreachableHost() as host:
             rig = Rig(tmp_path)
             rig.others = [instance("s-0", host.port)]
             rig.change = lambda config: config["settings"]["bounds"].update(dial_timeout_ms=20_000.0)
@@ -73,11 +73,11 @@
                     await asyncio.sleep(0.01)
                 await asyncio.sleep(0.1)
                 writer.write(b"x" * 1000)
-                while not held(rig):
+                while not has_unread_input(rig):
                     await asyncio.sleep(0.01)
-                sockets_before = sockets(rig)
+                sockets_before = count_sockets(rig)
                 leave(writer, how)
-                while sockets(rig) > sockets_before - 2:  # until the client's and the dial's are closed
+                while count_sockets(rig) > sockets_before - 2:  # until the client's and the dial's are closed
                     await asyncio.sleep(0.01)
 
     on_loop(scenario, 10)
--- a/tests/net/test_descriptor_limits.py
+++ b/tests/net/test_descriptor_limits.py
@@ -7,7 +7,7 @@
 
 from conftest import Rig, Seen, instance, message, on_loop, read_message, reply
 from fakes.desk import FakeRequestHandler, read_responses
-from fakes.system import sockets
+from fakes.system import count_sockets
 
 MOST = 128
 
@@ -32,7 +32,7 @@
                     assert (await read_message(reader, writer)).body == b"served"
             for i in range(30):
                 assert await rig.status(message(rid=b"ask-%d" % i)) == 200
-            assert sockets(rig) < MOST
+            assert count_sockets(rig) < MOST
             # It has given the silent watch up by now or does so; the next call is answered.
             rig.discovery.generation = 7
             rig.discovery.instances = [instance("s-0", drained.port, "draining"), instance("s-1", stays.port)]
@@ -46,7 +46,7 @@
             for i in range(10):
                 assert await rig.status(message(rid=b"told-%d" % i)) == 200
             assert not [seen.headers["x-request-id"] for seen in drained.seen[before:]]
-            assert sockets(rig) < MOST
+            assert count_sockets(rig) < MOST
             assert not any("accept failed" in line for line in rig.log)
             for _, writer in idle:
                 writer.close()
@@ -64,14 +64,14 @@
         while len(handler.listener.connections) < 10:
             await asyncio.sleep(0)
         more = [handler.connect() for _ in range(5)]
-        before = sockets()
+        before = count_sockets()
         (listener,) = handler.listener.sockets
         handler.listener.accept(listener)
-        assert sockets() == before
+        assert count_sockets() == before
         for i, client in enumerate(more):
             client.sendall(message(rid=b"%d" % i))
         while len(handler.request_ids) < 5:
-            assert sockets() <= before
+            assert count_sockets() <= before
             await asyncio.sleep(0)
         handler.answer_all()
         assert [await read_responses(client) for client in more] == [[b"%d" % i] for i in range(5)]
