--- a/tests/balancing/test_selection.py
+++ b/tests/balancing/test_selection.py
@@ -7,7 +7,7 @@
 
 import pytest
 from balancing.balancers import KEYED_CLASSES, endpoint, make_balancer
-from conftest import Driver, of, server
+from conftest import Driver, make_endpoint, of_type
 
 from hillmux import interface as api
 from hillmux.balancing.host_pool import MAX_PROBE_BUDGET
@@ -72,8 +72,8 @@
     """Send requests one at a time, each answered after `took_ms`; returns the number of requests by host."""
     requests_by_host: collections.Counter[str] = collections.Counter()
     for _ in range(requests):
-        request_id, actions = driver.ask(after=5)
-        requests_by_host[of(actions, api.SendAttempt)[0].host] += 1
+        request_id, actions = driver.request(after=5)
+        requests_by_host[of_type(actions, api.SendAttempt)[0].host] += 1
         driver.end(request_id, took=took_ms)
     return requests_by_host
 
@@ -92,9 +92,9 @@
 def test_host_gets_requests_at_once_after_an_operator_enables_it() -> None:
     """Guards against a host that gets no requests after an operator has enabled it, if hosts respond fast."""
     driver = Driver(servers=2, slow_start_ms=0.0)
-    driver.give(api.HostDisabled("h0", True))
+    driver.handle(api.HostDisabled("h0", True))
     assert send_requests(driver, 20, 1.0) == {"h1": 20}
-    driver.give(api.HostDisabled("h0", False))
+    driver.handle(api.HostDisabled("h0", False))
     assert send_requests(driver, 20, 1.0)["h0"] >= 4
 
 
@@ -198,8 +198,8 @@
 
 def test_replacing_the_endpoint_list_under_load_drops_the_old_hosts() -> None:
     d = Driver(servers=50)
-    request_ids = [d.ask()[0] for _ in range(100)]
-    d.give(api.EndpointList(ListKind.FULL, tuple(server(i) for i in range(100, 150))))
+    request_ids = [d.request()[0] for _ in range(100)]
+    d.handle(api.EndpointList(ListKind.FULL, tuple(make_endpoint(i) for i in range(100, 150))))
     balancer = d.gateway.load_balancer
     assert balancer.host_set.open_on_healthy == 0 and balancer.host_set.available_count == 50
     for request_id in request_ids:  # their outcomes come from hosts that are no longer listed
@@ -208,7 +208,7 @@
         balancer.host_set.open_on_healthy == 0
         and len(balancer.host_set.pools[""].inside_aperture.by_rank) < 20
     )
-    sent = [of(d.ask()[1], api.SendAttempt)[0].host for _ in range(50)]
+    sent = [of_type(d.request()[1], api.SendAttempt)[0].host for _ in range(50)]
     assert len(set(sent)) > 40 and all(int(name[1:]) >= 100 for name in sent)
 
 
--- a/tests/decision/test_answers.py
+++ b/tests/decision/test_answers.py
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from conftest import Driver, of, server, settings
+from conftest import Driver, make_endpoint, of_type, settings
 
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
@@ -73,7 +73,7 @@
         if rng.random() < 0.5:
             class_name = rng.choice(["read", "put", "pay"])
             class_names[f"r{d.serial + 1}"] = class_name
-            handle_actions(d.ask(class_name, left=rng.choice([5, 400, 4000]))[1])
+            handle_actions(d.request(class_name, left=rng.choice([5, 400, 4000]))[1])
         due = sorted(k for k, t in open_attempts.items() if t <= d.now)
         candidates = due or (sorted(open_attempts) if rng.random() < 0.6 else [])
         if candidates:
@@ -87,22 +87,26 @@
                 served.add(key[0])
             final = answered or result == AttemptResult.OK
             handle_actions(
-                d.give(api.AttemptEnded(key[0], key[1], attempt.host, result, d.now - attempt.sent_at, final))
+                d.handle(
+                    api.AttemptEnded(key[0], key[1], attempt.host, result, d.now - attempt.sent_at, final)
+                )
             )
         if step % 40 == 0:
             name = rng.choice(sorted(status))
             status[name] = rng.choice([HostStatus.UP, HostStatus.DRAINING])
             handle_actions(
-                d.give(api.EndpointList(ListKind.CHANGES, (server(int(name[1:]), status=status[name]),)))
+                d.handle(
+                    api.EndpointList(ListKind.CHANGES, (make_endpoint(int(name[1:]), status=status[name]),))
+                )
             )
-        handle_actions(d.give(api.TimerFired("sweep")))
+        handle_actions(d.handle(api.TimerFired("sweep")))
     while open_attempts:
         key = min(open_attempts)
         del open_attempts[key]
         attempt = attempts[key[0]][key[1]]
         attempt.may_have_run, attempt.open = True, False
         handle_actions(
-            d.give(
+            d.handle(
                 api.AttemptEnded(
                     key[0],
                     key[1],
@@ -120,30 +124,30 @@
 
 def test_request_that_cannot_be_served_is_rejected_once() -> None:
     d = Driver(servers=0)
-    assert len(of(d.ask()[1], api.Reject)) == 1
+    assert len(of_type(d.request()[1], api.Reject)) == 1
     d = Driver()
-    assert len(of(d.ask(cls="unknown")[1], api.Reject)) == 1
-    assert len(of(d.ask(plan="unknown")[1], api.Reject)) == 1
-    assert len(of(d.ask(left=0)[1], api.Reject)) == 1
-    assert len(of(d.ask(left=-5)[1], api.Reject)) == 1
+    assert len(of_type(d.request(cls="unknown")[1], api.Reject)) == 1
+    assert len(of_type(d.request(plan="unknown")[1], api.Reject)) == 1
+    assert len(of_type(d.request(left=0)[1], api.Reject)) == 1
+    assert len(of_type(d.request(left=-5)[1], api.Reject)) == 1
 
 
 def test_late_and_unknown_events_are_ignored() -> None:
     d = Driver()
-    request_id, _ = d.ask()
+    request_id, _ = d.request()
     d.end(request_id)
     assert d.end(request_id) == []
-    assert d.give(api.AttemptEnded("nobody", 0, "h0", AttemptResult.OK, 5, True)) == []
-    assert d.give(api.CounterReply("no.such", AttemptResult.OK, 5)) == []
-    assert d.give(api.TimerFired("of an earlier life")) == []
-    assert d.give(api.ClientDisconnected("nobody")) == []
+    assert d.handle(api.AttemptEnded("nobody", 0, "h0", AttemptResult.OK, 5, True)) == []
+    assert d.handle(api.CounterReply("no.such", AttemptResult.OK, 5)) == []
+    assert d.handle(api.TimerFired("of an earlier life")) == []
+    assert d.handle(api.ClientDisconnected("nobody")) == []
 
 
 def test_error_names_the_event_or_the_setting() -> None:
     d = Driver()
     # The first text is raised by the Python source, the second by the compiled module.
     with pytest.raises(TypeError, match="not an event|object expected; got str"):
-        d.give("hello")
+        d.handle("hello")
     for changes, field in [
         ({"classes": ()}, "classes"),
         ({"gateway_index": 3}, "me"),
@@ -157,9 +161,11 @@
 def test_client_retry_is_rejected_once_its_latency_objective_has_passed() -> None:
     d = Driver()
     for _ in range(50):
-        d.end(d.ask(left=3900, after=10)[0])
-    assert of(d.ask(left=2500)[1], api.Reject)  # 1500 ms have passed, the latency objective is 1000 ms
-    in_time = of(d.ask(left=3500)[1], api.SendAttempt)[0]  # 500 ms have passed
+        d.end(d.request(left=3900, after=10)[0])
+    assert of_type(
+        d.request(left=2500)[1], api.Reject
+    )  # 1500 ms have passed, the latency objective is 1000 ms
+    in_time = of_type(d.request(left=3500)[1], api.SendAttempt)[0]  # 500 ms have passed
     assert in_time.timeout_ms <= 500
 
 
@@ -167,16 +173,16 @@
     d = Driver()
     rng = random.Random(3)
     for _ in range(200):
-        request_id, out = d.ask(left=rng.uniform(1000, 4000), after=10)
-        assert of(out, api.SendAttempt)
+        request_id, out = d.request(left=rng.uniform(1000, 4000), after=10)
+        assert of_type(out, api.SendAttempt)
         d.end(request_id)
 
 
 def test_rejection_says_when_to_retry() -> None:
     d = Driver(servers=0)
-    (rejected,) = of(d.ask()[1], api.Reject)
+    (rejected,) = of_type(d.request()[1], api.Reject)
     assert 0 < rejected.retry_after_ms <= 2000
     d = Driver(servers=1, max_attempts=1)
-    request_id, _ = d.ask()
-    (rejected,) = of(d.end(request_id, AttemptResult.QUEUE_FULL), api.Reject)
+    request_id, _ = d.request()
+    (rejected,) = of_type(d.end(request_id, AttemptResult.QUEUE_FULL), api.Reject)
     assert 0 < rejected.retry_after_ms <= 2000
--- a/tests/decision/test_ceiling.py
+++ b/tests/decision/test_ceiling.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from conftest import Driver, of, settings
+from conftest import Driver, of_type, settings
 
 from hillmux import interface as api
 from hillmux.interface import AttemptResult
@@ -22,19 +22,19 @@
 
     def handle_actions(d: Driver, out: list[api.Action]) -> None:
         nonlocal remaining, refilled_at, sends
-        for action in of(out, api.SendAttempt):
+        for action in of_type(out, api.SendAttempt):
             remaining = min(plan.ceiling_burst, remaining + (now - refilled_at) * plan.ceiling_rate / 1000)
             refilled_at = now
             remaining -= units_of[action.request_id]
             sends += 1
             assert remaining >= -1e-6
             handle_actions(
-                d, d.give(api.AttemptEnded(action.request_id, 0, action.host, AttemptResult.OK, 50, True))
+                d, d.handle(api.AttemptEnded(action.request_id, 0, action.host, AttemptResult.OK, 50, True))
             )
-        for action in of(out, api.IncrementCounter):
+        for action in of_type(out, api.IncrementCounter):
             result = rng.choice([AttemptResult.OK, AttemptResult.TIMED_OUT, AttemptResult.QUEUE_FULL])
             handle_actions(
-                d, d.give(api.CounterReply(action.name, result, rng.choice([action.amount, 0.0, 50.0])))
+                d, d.handle(api.CounterReply(action.name, result, rng.choice([action.amount, 0.0, 50.0])))
             )
 
     for step in range(3000):
@@ -45,8 +45,8 @@
         d = gateways[rng.choice([0, 0, 1, 2]) if step % 1000 < 700 else 2]
         d.now, d.serial = now, step
         units_of[f"r{step + 1}"] = units = rng.choice([1, 1, 2])
-        handle_actions(d, d.ask(plan="capped", units=units)[1])
-        handle_actions(d, d.give(api.TimerFired("sweep")))
+        handle_actions(d, d.request(plan="capped", units=units)[1])
+        handle_actions(d, d.handle(api.TimerFired("sweep")))
     assert sends > 100
 
 
@@ -62,11 +62,11 @@
             gateways[i] = Driver(now=now, seed=step, gateway_index=i, fleet_size=300, servers=2)
         d = gateways[i]
         d.now, d.serial = now, step
-        request_id, out = d.ask(plan="capped", width=10)
-        for action in of(out, api.IncrementCounter):
+        request_id, out = d.request(plan="capped", width=10)
+        for action in of_type(out, api.IncrementCounter):
             result = rng.choice([AttemptResult.OK, AttemptResult.TIMED_OUT])
-            out = out + d.give(api.CounterReply(action.name, result, rng.choice([0.0, 90.0])))
-        for _ in of(out, api.SendAttempt):
+            out = out + d.handle(api.CounterReply(action.name, result, rng.choice([0.0, 90.0])))
+        for _ in of_type(out, api.SendAttempt):
             remaining = (
                 min(plan.ceiling_burst, remaining + (now - refilled_at) * plan.ceiling_rate / 1000) - 1
             )
--- a/tests/fakes/successors.py
+++ b/tests/fakes/successors.py
@@ -6,7 +6,7 @@
 import random
 from typing import Any
 
-from conftest import Driver, of, server
+from conftest import Driver, make_endpoint, of_type
 
 from hillmux import interface as api
 from hillmux.decision.gateway import Gateway
@@ -18,18 +18,18 @@
     """A gateway after traffic from customers of several plans; `faults`: with a slow and a failing host."""
     driver = Driver(servers=6, seed=seed, counter_available=False, **changes)
     rng = random.Random(seed)
-    restarted = server(5, started_at_ms=driver.now)
-    driver.give(api.EndpointList(ListKind.CHANGES, (restarted,)), after=5000)
+    restarted = make_endpoint(5, started_at_ms=driver.now)
+    driver.handle(api.EndpointList(ListKind.CHANGES, (restarted,)), after=5000)
     for number in range(40 * customers // 10):
         class_name, plan = rng.choice(["read", "put"]), rng.choice(["capped", "basic", "open"])
-        request_id, actions = driver.ask(
+        request_id, actions = driver.request(
             class_name,
             plan,
             f"c{number % customers}",
             units=rng.choice([1, 2, 4]),
             after=rng.expovariate(1 / 30),
         )
-        for attempt in of(actions, api.SendAttempt):
+        for attempt in of_type(actions, api.SendAttempt):
             failing, slow = faults and attempt.host == "h1", faults and attempt.host == "h2"
             driver.end(
                 request_id,
@@ -53,6 +53,6 @@
     """A gateway with the same settings and hosts that restores documents, by default the predecessor's."""
     successor = Driver(servers=6, seed=99, now=predecessor.now + after_ms, counter_available=False)
     restarted = predecessor.gateway.hosts["h5"].endpoint
-    successor.give(api.EndpointList(ListKind.CHANGES, (restarted,)))
+    successor.handle(api.EndpointList(ListKind.CHANGES, (restarted,)))
     restore(successor.gateway, exported_documents(predecessor.gateway) if documents is None else documents)
     return successor
--- a/tests/fakes/system.py
+++ b/tests/fakes/system.py
@@ -1,4 +1,4 @@
-"""What the system tells of the real program's sockets, and a host on which no connection comes up."""
+"""The state of the gateway process's sockets in /proc, and a host that accepts no connection."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from conftest import Rig
 
 
-class Blocked:
-    """A host on whose address no connection ever comes up: its queue is full, and it takes none."""
+class UnreachableHost:
+    """A host whose connections are never established: its backlog is full, and it does not accept."""
 
-    def __enter__(self) -> Blocked:
+    def __enter__(self) -> UnreachableHost:
         self._listener = socket.socket()
         self._listener.bind(("127.0.0.1", 0))
         self._listener.listen(0)
@@ -23,16 +23,16 @@
         return self
 
     def dialled(self) -> bool:
-        """Whether anybody but we has a connection on its way."""
-        return sum(remote == self.port for _, remote, _ in rows()) > len(self._waiting)
+        """Whether the gateway is dialing this host."""
+        return sum(remote == self.port for _, remote, _ in tcp_connections()) > len(self._waiting)
 
     def __exit__(self, *exc: object) -> None:
         for sock in (*self._waiting, self._listener):
             sock.close()
 
 
-def rows() -> list[tuple[int, int, int]]:
-    """The system's connections: local port, remote port, bytes that lie unread."""
+def tcp_connections() -> list[tuple[int, int, int]]:
+    """The machine's TCP connections: local port, remote port and number of unread bytes."""
     with open("/proc/net/tcp") as lines:
         parts = [line.split() for line in lines][1:]
     return [
@@ -40,17 +40,17 @@
     ]
 
 
-def held(rig: Rig) -> bool:
-    """Whether something lies unread on one of the program's connections to clients."""
-    return any(local == rig.port and remote and unread for local, remote, unread in rows())
+def has_unread_input(rig: Rig) -> bool:
+    """Whether a client connection of the gateway has unread input."""
+    return any(local == rig.port and remote and unread for local, remote, unread in tcp_connections())
 
 
-def sockets(rig: Rig | None = None) -> int:
-    """How many sockets the program has open, or this process."""
+def count_sockets(rig: Rig | None = None) -> int:
+    """The number of open sockets of the gateway process, or of this process without `rig`."""
     count = 0
     for name in os.listdir(folder := f"/proc/{rig.process.pid if rig else 'self'}/fd"):
         try:
             count += os.readlink(f"{folder}/{name}").startswith("socket:")
         except FileNotFoundError:
-            pass  # closed since
+            pass  # closed since the folder was listed
     return count
--- a/tests/hosted/test_changes.py
+++ b/tests/hosted/test_changes.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from conftest import LOOP, ROOT, Fake, Seen, adding, on_loop, read_message
+from conftest import LOOP, ROOT, FakeServer, Seen, adding, on_loop, read_message
 from fakes.hosted import Client, Hosted, request, serve, status
 from fakes.tenants import config, table
 
@@ -58,7 +58,7 @@
     return None
 
 
-def answer_request(fake: Fake, number: int = -1) -> None:
+def answer_request(fake: FakeServer, number: int = -1) -> None:
     """Have a host answer a request that it has received."""
     fake.seen[number].writer.write(serve(fake.seen[number]))
 
@@ -84,7 +84,7 @@
 
 def test_removal_while_a_request_waits_for_an_unresponsive_counter() -> None:
     async def scenario() -> None:
-        counter = await Fake(silent).start()
+        counter = await FakeServer(silent).start()
         async with Hosted("a", "b", counter={"address": f"{LOOP}:{counter.port}", "wait_ms": 100}) as rig:
             client = await rig.connect()
             client.writer.write(request("a"))
@@ -370,7 +370,7 @@
 def test_counts_of_two_tenants_are_separate_in_a_shared_counter() -> None:
     async def scenario() -> None:
         totals: dict[str, float] = {}
-        counter = await Fake(lambda seen: adding(seen, totals)).start()
+        counter = await FakeServer(lambda seen: adding(seen, totals)).start()
         async with Hosted("a", "b", counter={"address": f"{LOOP}:{counter.port}"}) as rig:
             for tenant in "ab":
                 for _ in range(3):
@@ -534,7 +534,7 @@
 
 def test_two_sighups_apply_the_last_file_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     async def scenario() -> None:
-        hosts = [await Fake(serve).start() for _ in range(2)]
+        hosts = [await FakeServer(serve).start() for _ in range(2)]
         process = Process(tmp_path)
         write(process.path, 0, ("a", hosts[0].port))
         async with process:
@@ -561,7 +561,7 @@
 
 def test_sigterm_during_a_removal_completes_open_requests(tmp_path: Path) -> None:
     async def scenario() -> None:
-        host, other = await Fake(silent).start(), await Fake(serve).start()
+        host, other = await FakeServer(silent).start(), await FakeServer(serve).start()
         process = Process(tmp_path)
         write(process.path, 0, ("a", host.port), ("b", other.port), state=str(tmp_path / "state"))
         async with process:
@@ -653,7 +653,7 @@
 
 def test_gateway_keeps_serving_without_descriptors_for_accept(tmp_path: Path) -> None:
     async def scenario() -> None:
-        host = await Fake(serve).start()
+        host = await FakeServer(serve).start()
         process = Process(tmp_path)
         write(process.path, 0, ("a", host.port))
         async with process:
--- a/tests/hosted/test_rest.py
+++ b/tests/hosted/test_rest.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from conftest import SAFE, Driver, Seen, of, on_loop, server
+from conftest import SAFE, Driver, Seen, make_endpoint, of_type, on_loop
 from fakes.hosted import Hosted, request, status
 
 from hillmux import interface as api
@@ -92,7 +92,7 @@
         ),
         1,
     )
-    gateway.handle(1e6, api.EndpointList(ListKind.FULL, (server(0, started_at_ms=1e6),)))
+    gateway.handle(1e6, api.EndpointList(ListKind.FULL, (make_endpoint(0, started_at_ms=1e6),)))
     assert not gateway.is_quiescent()
     gateway.handle(1e6 + 5001, api.TimerFired("sweep"))
     assert gateway.is_quiescent()
@@ -106,7 +106,7 @@
     slow = api.Plan("slow", ceiling_rate=0.5, ceiling_burst=10)  # full after 20 s
     plans = (slow, api.Plan("open"))
     gateway = Gateway(api.Settings(classes=(SAFE,), plans=plans, max_customers=1), 1)
-    gateway.handle(1e6, api.EndpointList(ListKind.FULL, (server(0),)))
+    gateway.handle(1e6, api.EndpointList(ListKind.FULL, (make_endpoint(0),)))
 
     def is_sent(now_ms: float, request_id: str, plan: str) -> bool:
         actions = gateway.handle(now_ms, api.Request(request_id, "read", plan, request_id, 4000.0))
@@ -180,18 +180,18 @@
             replacements += 1
             replaced.gateway = Gateway(replaced.gateway.settings, seed)
             replaced.gateway.handle(start_ms, api.EndpointList(ListKind.CACHED, ()))
-            replaced.give(api.EndpointList(ListKind.FULL, tuple(server(i) for i in range(4))))
+            replaced.handle(api.EndpointList(ListKind.FULL, tuple(make_endpoint(i) for i in range(4))))
         plan, count = rng.choice((("basic", 4), ("capped", 9), ("open", 3))), rng.randint(1, 12)
         customer = rng.choice(("x", "y"))
         for _ in range(count):
             decided = []
             for driver in (kept, replaced):
-                request_id, actions = driver.ask(plan=plan[0], customer=customer, width=1)
-                for name in [a.name for a in of(actions, api.IncrementCounter)]:
+                request_id, actions = driver.request(plan=plan[0], customer=customer, width=1)
+                for name in [a.name for a in of_type(actions, api.IncrementCounter)]:
                     reply = driver.totals[name] = driver.totals.get(name, 0.0) + sum(
-                        a.amount for a in of(actions, api.IncrementCounter) if a.name == name
+                        a.amount for a in of_type(actions, api.IncrementCounter) if a.name == name
                     )
-                    actions = actions + driver.give(api.CounterReply(name, AttemptResult.OK, reply, 1.0))
+                    actions = actions + driver.handle(api.CounterReply(name, AttemptResult.OK, reply, 1.0))
                 sent = any(isinstance(a, api.SendAttempt) and a.request_id == request_id for a in actions)
                 if sent:
                     driver.end(request_id, after=5)
--- a/tests/hot_restart/test_state_codec.py
+++ b/tests/hot_restart/test_state_codec.py
@@ -8,7 +8,7 @@
 import random
 
 import pytest
-from conftest import CAPPED, Driver, of, server
+from conftest import CAPPED, Driver, make_endpoint, of_type
 from fakes.successors import busy_gateway, exported_documents, successor_of
 
 from hillmux import interface as api
@@ -35,9 +35,9 @@
         module.gateway.rng.seed(seed)
         rng, decisions = random.Random(seed), []
         for i in range(200):
-            rid, out = module.ask("read", "capped", f"c{i % 7}", units=2, after=rng.expovariate(1 / 20))
+            rid, out = module.request("read", "capped", f"c{i % 7}", units=2, after=rng.expovariate(1 / 20))
             decisions.append([type(a).__name__ for a in out if isinstance(a, api.SendAttempt | api.Reject)])
-            for _ in of(out, api.SendAttempt):
+            for _ in of_type(out, api.SendAttempt):
                 module.end(rid, after=1.0)
         decisions_by_module.append(decisions)
     assert decisions_by_module[0] == decisions_by_module[1]
@@ -47,14 +47,14 @@
     """The old module admits nothing; the new one admits the remaining units and those earned since."""
     d = busy_gateway()
     new = successor_of(d)
-    d.give(api.TakenOver(True))
+    d.handle(api.TakenOver(True))
     takeover_at, quota_state = d.now, d.gateway.quotas.registry.states["c0", "capped"]
     spent = 0
     for i in range(400):
         for module in (d, new):
             module.now = takeover_at + 10 * i
-            rid, out = module.ask("read", "capped", "c0", units=1)
-            if of(out, api.SendAttempt):
+            rid, out = module.request("read", "capped", "c0", units=1)
+            if of_type(out, api.SendAttempt):
                 assert module is new
                 spent += 1
                 module.end(rid)
@@ -67,17 +67,17 @@
 
 def test_resumed_process_admits_from_its_ceilings_again() -> None:
     d = busy_gateway(faults=False)
-    d.give(api.TakenOver(True))
-    rid, out = d.ask("read", "capped", "new", units=1)
-    assert of(out, api.Reject)[0].reason == RejectReason.CEILING
-    d.give(api.TakenOver(False))
-    assert of(d.ask("read", "capped", "new", units=1)[1], api.SendAttempt)
+    d.handle(api.TakenOver(True))
+    rid, out = d.request("read", "capped", "new", units=1)
+    assert of_type(out, api.Reject)[0].reason == RejectReason.CEILING
+    d.handle(api.TakenOver(False))
+    assert of_type(d.request("read", "capped", "new", units=1)[1], api.SendAttempt)
 
 
 def test_record_of_a_host_restarted_after_the_export_is_not_restored() -> None:
     d = busy_gateway()
     new = Driver(servers=6, seed=99, now=d.now, counter_available=False)
-    new.give(api.EndpointList(ListKind.CHANGES, (server(2, started_at_ms=d.now),)))
+    new.handle(api.EndpointList(ListKind.CHANGES, (make_endpoint(2, started_at_ms=d.now),)))
     restore(new.gateway, exported_documents(d.gateway))
     assert new.gateway.hosts["h2"].latency_ratio == 1.0
     assert new.gateway.load_balancer.capacity_share(new.gateway.hosts["h2"]) < 1
@@ -96,10 +96,11 @@
 def test_documents_have_bounded_size() -> None:
     d = Driver(servers=2, counter_available=False)
     for i in range(3 * MAX_ENTRIES_PER_DOCUMENT):
-        d.ask("read", "open", f"{i:016x}")
-    d.give(
+        d.request("read", "open", f"{i:016x}")
+    d.handle(
         api.EndpointList(
-            ListKind.FULL, tuple(server(i, name=f"{i:0>200}") for i in range(3 * MAX_ENTRIES_PER_DOCUMENT))
+            ListKind.FULL,
+            tuple(make_endpoint(i, name=f"{i:0>200}") for i in range(3 * MAX_ENTRIES_PER_DOCUMENT)),
         )
     )
     documents = list(export(d.gateway))
@@ -182,7 +183,7 @@
 
 def test_customer_row_is_written_in_the_order_of_the_document_keys() -> None:
     d = Driver(servers=6)
-    d.ask("read", "capped", "c0", units=2, width=3)
+    d.request("read", "capped", "c0", units=2, width=3)
     (quota_state,) = d.gateway.quotas.registry.states.values()
     documents = list(export(d.gateway))
     (row,) = next(doc for doc in documents if doc["t"] == "customers")["uses"]
--- a/tests/net/test_descriptor_limits.py
+++ b/tests/net/test_descriptor_limits.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from conftest import Rig, Seen, instance, message, on_loop, read_message, reply
-from fakes.desk import Desk, reads
-from fakes.system import sockets
+from fakes.desk import FakeRequestHandler, read_responses
+from fakes.system import count_sockets
 
 MAX_SOCKETS = 128
 
@@ -20,9 +20,9 @@
     async def scenario() -> None:
         async with Rig(tmp_path, serve, serve, sockets=MAX_SOCKETS) as rig:
             draining_host, ready_host = rig.hosts
-            normal_behaviour = rig.directory.fake.behave
-            rig.directory.fake.behave = lambda seen: None
-            rig.directory.waiting.clear()
+            normal_behaviour = rig.discovery.fake.behave
+            rig.discovery.fake.behave = lambda seen: None
+            rig.discovery.waiting.clear()
             idle = []
             for i in range(2 * MAX_SOCKETS):  # half of them have sent one request
                 idle.append(await rig.connect())
@@ -32,24 +32,24 @@
                     assert (await read_message(reader, writer)).body == b"served"
             for i in range(30):
                 assert await rig.status(message(rid=b"ask-%d" % i)) == 200
-            assert sockets(rig) < MAX_SOCKETS
+            assert count_sockets(rig) < MAX_SOCKETS
             # The silent watch times out, or has done so already; the next poll is answered.
-            rig.directory.generation = 7
-            rig.directory.instances = [
+            rig.discovery.generation = 7
+            rig.discovery.instances = [
                 instance("s-0", draining_host.port, "draining"),
                 instance("s-1", ready_host.port),
             ]
-            rig.directory.fake.behave = lambda seen: (
-                rig.directory.listing(rig.directory.instances, True)
+            rig.discovery.fake.behave = lambda seen: (
+                rig.discovery.listing(rig.discovery.instances, True)
                 if "after=1&" in seen.line
                 else normal_behaviour(seen)
             )
-            await rig.directory.fake.until(lambda fake: any("after=7&" in seen.line for seen in fake.seen))
+            await rig.discovery.fake.until(lambda fake: any("after=7&" in seen.line for seen in fake.seen))
             requests_before_drain = len(draining_host.seen)
             for i in range(10):
                 assert await rig.status(message(rid=b"told-%d" % i)) == 200
             assert not [seen.headers["x-request-id"] for seen in draining_host.seen[requests_before_drain:]]
-            assert sockets(rig) < MAX_SOCKETS
+            assert count_sockets(rig) < MAX_SOCKETS
             assert not any("accept failed" in line for line in rig.log)
             for _, writer in idle:
                 writer.close()
@@ -64,23 +64,23 @@
     """
 
     async def scenario() -> None:
-        desk = Desk()
-        desk.server.max_connections = 10
-        connected = [desk.connect() for _ in range(10)]
-        while len(desk.server.connections) < 10:
+        handler = FakeRequestHandler()
+        handler.listener.max_connections = 10
+        connected = [handler.connect() for _ in range(10)]
+        while len(handler.listener.connections) < 10:
             await asyncio.sleep(0)
-        new_clients = [desk.connect() for _ in range(5)]
-        socket_count = sockets()
-        (listener,) = desk.server.sockets
-        desk.server.accept(listener)
-        assert sockets() == socket_count
+        new_clients = [handler.connect() for _ in range(5)]
+        socket_count = count_sockets()
+        (listener,) = handler.listener.sockets
+        handler.listener.accept(listener)
+        assert count_sockets() == socket_count
         for i, client in enumerate(new_clients):
             client.sendall(message(rid=b"%d" % i))
-        while len(desk.taken) < 5:
-            assert sockets() <= socket_count
+        while len(handler.request_ids) < 5:
+            assert count_sockets() <= socket_count
             await asyncio.sleep(0)
-        desk.answer_all()
-        assert [await reads(client) for client in new_clients] == [[b"%d" % i] for i in range(5)]
+        handler.answer_all()
+        assert [await read_responses(client) for client in new_clients] == [[b"%d" % i] for i in range(5)]
         for client in (*connected, *new_clients):
             client.close()
 
--- a/tests/net/test_sending_races.py
+++ b/tests/net/test_sending_races.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 import pytest
-from conftest import LOOP, Driver, Fake, message, on_loop, reply
+from conftest import LOOP, Driver, FakeServer, message, on_loop, reply
 from fakes.gateway_core import (
     LoopWithHeldDials,
     RecordingClient,
@@ -87,7 +87,7 @@
     """
 
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         dials = core.upstreams.loop = LoopWithHeldDials(core.loop)
         core.upstreams.dialer.timeout_s = 10.0
@@ -112,7 +112,7 @@
     monkeypatch: pytest.MonkeyPatch, change: Callable[[GatewayCore, int], None]
 ) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: None)
+        host = FakeServer(lambda seen: None)
         core, decisions = await start_gateway_core(monkeypatch, host)
         decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
         client = RecordingClient()
@@ -134,7 +134,7 @@
     """The endpoint list is queued behind the request, so the decision is made before the drain is known."""
 
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         client = RecordingClient()
         decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", LONG_MS)]
@@ -164,7 +164,7 @@
     monkeypatch: pytest.MonkeyPatch, key_is_known: bool
 ) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         dials = core.upstreams.loop = LoopWithHeldDials(core.loop)
         core.upstreams.dialer.timeout_s = 10.0
@@ -190,7 +190,7 @@
 def test_decision_states_the_delivery_window_of_a_retry() -> None:
     """The window starts with the first attempt that may have run, not with one that cannot have run."""
     driver = Driver()
-    rid, actions = driver.ask("put")
+    rid, actions = driver.request("put")
     assert [a.delivery_window_ms for a in actions if isinstance(a, api.SendAttempt)] == [float("inf")]
     (first_retry,) = (
         a
@@ -207,7 +207,7 @@
 
 def test_connection_dialled_for_an_invalid_attempt_is_reused(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         dials = core.upstreams.loop = LoopWithHeldDials(core.loop)
         core.upstreams.dialer.timeout_s = 10.0
@@ -236,7 +236,7 @@
 
     async def scenario() -> None:
         listener = socket.create_server((LOOP, 0))
-        host = Fake(lambda seen: None)
+        host = FakeServer(lambda seen: None)
         core, decisions = await start_gateway_core(monkeypatch, host)
         core.upstreams.update({"s-0": (LOOP, listener.getsockname()[1])}, set())
         decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", 60.0)]
@@ -268,7 +268,7 @@
         def fail_without_descriptors(descriptor: int) -> int:
             raise OSError(errno.EMFILE, "Too many open files")
 
-        host = Fake(lambda seen: None)
+        host = FakeServer(lambda seen: None)
         core, decisions = await start_gateway_core(monkeypatch, host)
         decisions.actions[api.Request] = [api.SendAttempt("r1", "s-0", 60.0)]
         core.request(RecordingClient(), forward_request())
@@ -290,7 +290,7 @@
     """
 
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         client = RecordingClient()
         for serial, opened in ((1, 1), (2, 1), (3, 2)):
@@ -310,15 +310,15 @@
 def test_attempt_that_was_not_sent_consumes_no_quota_and_no_ceiling() -> None:
     driver = Driver(counter_available=False)
     driver.now += 60_000  # a ceiling starts empty and fills over time
-    rid, actions = driver.ask("read", "capped", units=2, width=1)
+    rid, actions = driver.request("read", "capped", units=2, width=1)
     (quota,) = driver.gateway.quotas.registry.states.values()
     reserved = (quota.remaining, quota.ceiling_remaining)
-    driver.give(api.ClientDisconnected(rid))
-    driver.give(api.AttemptEnded(rid, 0, "h0", AttemptResult.NOT_SENT, 0.0, True))
+    driver.handle(api.ClientDisconnected(rid))
+    driver.handle(api.AttemptEnded(rid, 0, "h0", AttemptResult.NOT_SENT, 0.0, True))
     assert (quota.remaining, quota.ceiling_remaining, quota.used) == (reserved[0] + 2, reserved[1] + 2, 0.0)
-    rid, actions = driver.ask("read", "capped", units=2, width=1)
+    rid, actions = driver.request("read", "capped", units=2, width=1)
     # This attempt reached its host completely, so it consumes the units.
-    driver.give(api.AttemptEnded(rid, 0, "h0", AttemptResult.QUEUE_FULL, 0.0, True))
+    driver.handle(api.AttemptEnded(rid, 0, "h0", AttemptResult.QUEUE_FULL, 0.0, True))
     assert (quota.remaining, quota.ceiling_remaining) == reserved
 
 
@@ -333,7 +333,7 @@
     """
 
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         server = StreamingListener(core, core.loop, 1024)
         ((_, port),) = server.start((LOOP, 0))
@@ -364,7 +364,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
+        host = FakeServer(lambda seen: reply(b"served"))
         core, decisions = await start_gateway_core(monkeypatch, host)
         server = StreamingListener(core, core.loop, 1024)
         ((_, port),) = server.start((LOOP, 0))
--- a/tests/quotas/gateway_fleet.py
+++ b/tests/quotas/gateway_fleet.py
@@ -61,7 +61,7 @@
             self.now = min(self.now + 100.0, end)
             for number, driver in enumerate(self.gateways):
                 driver.now = self.now + self.clock_offsets_ms[number]
-                driver.give(api.TimerFired("sweep"))
+                driver.handle(api.TimerFired("sweep"))
                 self.answer_calls(number)
 
     def send_request(
@@ -71,7 +71,7 @@
         self.now += after_ms
         driver = self.gateways[number]
         driver.now = self.now + self.clock_offsets_ms[number]
-        rid, _ = driver.ask(plan=self.plan.name, customer=NAME, units=units, width=self.gateway_count)
+        rid, _ = driver.request(plan=self.plan.name, customer=NAME, units=units, width=self.gateway_count)
         self.answer_calls(number)
         sent = any(isinstance(act, api.SendAttempt) and act.request_id == rid for _, act in driver.log[-20:])
         if sent:
@@ -91,7 +91,7 @@
                 continue
             if adds:
                 self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
-            driver.give(api.CounterReply(call.name, result, self.totals.get(call.name, 0.0)))
+            driver.handle(api.CounterReply(call.name, result, self.totals.get(call.name, 0.0)))
 
     def counter_calls(self, number: int) -> list[api.IncrementCounter]:
         return [act for _, act in self.gateways[number].log if isinstance(act, api.IncrementCounter)]
--- a/tests/quotas/test_lease_calls.py
+++ b/tests/quotas/test_lease_calls.py
@@ -59,7 +59,7 @@
     assert not state.call_open and fleet.leased_units(0) == 0.0
     late_call = fleet.counter_calls(0)[-1]
     reported = state.reported
-    driver.give(api.CounterReply(late_call.name, AttemptResult.OK, fleet.totals[late_call.name]))
+    driver.handle(api.CounterReply(late_call.name, AttemptResult.OK, fleet.totals[late_call.name]))
     assert (state.reported, fleet.leased_units(0)) == (reported, 0.0)
 
 
--- a/tests/quotas/test_lease_records.py
+++ b/tests/quotas/test_lease_records.py
@@ -5,7 +5,7 @@
 import json
 
 import pytest
-from conftest import Driver, of
+from conftest import Driver, of_type
 from quotas.gateway_fleet import NAME, PLAN, GatewayFleet
 
 from hillmux import interface as api
@@ -86,9 +86,9 @@
     fleet.prefetch(0)
     rows = json.loads(json.dumps(list(export(fleet.gateways[0].gateway))))
     new = fleet.new_gateway(0)
-    _, out = new.ask(plan=PLAN.name, customer=NAME, width=1)
-    (call,) = of(out, api.IncrementCounter)
-    new.give(api.CounterReply(call.name, AttemptResult.OK, call.amount))
+    _, out = new.request(plan=PLAN.name, customer=NAME, width=1)
+    (call,) = of_type(out, api.IncrementCounter)
+    new.handle(api.CounterReply(call.name, AttemptResult.OK, call.amount))
     restore(new.gateway, rows)
     (restored,) = new.gateway.quotas.registry.states.values()
     assert restored.replicas == 8
--- a/tests/quotas/test_leases.py
+++ b/tests/quotas/test_leases.py
@@ -213,7 +213,7 @@
     prefetched = fleet.prefetch(0)
     driver = fleet.gateways[0]
     driver.gateway.quotas.registry.max_customers = 1
-    driver.ask(plan=PLAN.name, customer="another", width=3, after=100.0)
+    driver.request(plan=PLAN.name, customer="another", width=3, after=100.0)
     assert list(driver.gateway.quotas.registry.states) == [("another", PLAN.name)]
     assert sum(fleet.totals.values()) == pytest.approx(sum(fleet.units_sent) + prefetched)
     fleet.now += 100.0
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from conftest import PLAN, Driver, of
+from conftest import PLAN, Driver, of_type
 
 from hillmux import interface as api
 from hillmux.interface import AttemptResult
@@ -11,7 +11,7 @@
 
 def window_start(d: Driver, customer: str) -> float:
     """Return the start (ms) of the customer's next window."""
-    d.ask(plan="basic", customer=customer, width=100)
+    d.request(plan="basic", customer=customer, width=100)
     use = d.gateway.quotas.registry.states[customer, "basic"]
     length = d.gateway.quotas.window_ms["basic"]
     phase = (use.digest[0] << 8 | use.digest[1]) / 65536
@@ -26,9 +26,11 @@
     """
     start = window_start(Driver(), "c")
     d = Driver(fleet_size=100, now=start + into_ms)
-    rid, out = d.ask(plan="basic", customer="c", width=100)
-    (call,) = of(out, api.IncrementCounter)
-    assert of(d.give(api.CounterReply(call.name, AttemptResult.OK, call.amount + 3.0)), api.SendAttempt)
+    rid, out = d.request(plan="basic", customer="c", width=100)
+    (call,) = of_type(out, api.IncrementCounter)
+    assert of_type(
+        d.handle(api.CounterReply(call.name, AttemptResult.OK, call.amount + 3.0)), api.SendAttempt
+    )
     use = d.gateway.quotas.registry.states["c", "basic"]
     assert use.others_rate == pytest.approx(3.0 / into_ms)
     assert use.remaining == pytest.approx(PLAN.burst - 3 - 1)
@@ -37,21 +39,21 @@
 def test_customer_whose_quota_was_spent_elsewhere_is_rejected() -> None:
     start = window_start(Driver(), "c")
     d = Driver(fleet_size=100, now=start + 1000.0)
-    _, out = d.ask(plan="basic", customer="c", width=100)
-    (call,) = of(out, api.IncrementCounter)
-    out = d.give(api.CounterReply(call.name, AttemptResult.OK, call.amount + PLAN.burst + PLAN.rate))
-    assert of(out, api.Reject) and not of(out, api.SendAttempt)
+    _, out = d.request(plan="basic", customer="c", width=100)
+    (call,) = of_type(out, api.IncrementCounter)
+    out = d.handle(api.CounterReply(call.name, AttemptResult.OK, call.amount + PLAN.burst + PLAN.rate))
+    assert of_type(out, api.Reject) and not of_type(out, api.SendAttempt)
 
 
 def test_first_total_gives_the_rate_of_the_others_over_the_window() -> None:
     """The others use half of the rate; the rest remains for this gateway seconds later without a call."""
     start = window_start(Driver(), "c")
     d = Driver(fleet_size=100, now=start + 2000.0)
-    _, out = d.ask(plan="basic", customer="c", width=100)
-    (call,) = of(out, api.IncrementCounter)
-    rid = of(d.give(api.CounterReply(call.name, AttemptResult.OK, call.amount + 2.0)), api.SendAttempt)[
-        0
-    ].request_id
+    _, out = d.request(plan="basic", customer="c", width=100)
+    (call,) = of_type(out, api.IncrementCounter)
+    rid = of_type(
+        d.handle(api.CounterReply(call.name, AttemptResult.OK, call.amount + 2.0)), api.SendAttempt
+    )[0].request_id
     d.end(rid)
     d.sweep(20)
     assert d.gateway.quotas.remaining(d.gateway.quotas.registry.states["c", "basic"]) >= PLAN.burst - 2
@@ -60,7 +62,7 @@
 @pytest.mark.parametrize("into_ms", [1.0, 1500.0, 5000.0])
 def test_restarted_single_gateway_reads_its_earlier_use_from_the_counter(into_ms: float) -> None:
     d = Driver(now=window_start(Driver(), "c") + into_ms)
-    _, out = d.ask(plan="basic", customer="c", width=1)
-    (call,) = of(out, api.IncrementCounter)
-    out = d.give(api.CounterReply(call.name, AttemptResult.OK, call.amount + PLAN.burst))
-    assert of(out, api.Reject) and not of(out, api.SendAttempt)
+    _, out = d.request(plan="basic", customer="c", width=1)
+    (call,) = of_type(out, api.IncrementCounter)
+    out = d.handle(api.CounterReply(call.name, AttemptResult.OK, call.amount + PLAN.burst))
+    assert of_type(out, api.Reject) and not of_type(out, api.SendAttempt)
--- a/tests/recovery/test_process_restart.py
+++ b/tests/recovery/test_process_restart.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import Driver, of
+from conftest import Driver, of_type
 from lab.test_run import assert_rules_held, count_events, make_scenario
 
 from hillmux import interface as api
@@ -19,8 +19,8 @@
     """Send new requests to hosts that take 900 ms each; all attempts end with a response."""
     in_flight = []
     for number in range(count):
-        rid, acts = d.ask("read", ("basic", "open")[number % 2], f"c{number % 200}", after=every_ms)
-        if of(acts, api.SendAttempt):
+        rid, acts = d.request("read", ("basic", "open")[number % 2], f"c{number % 200}", after=every_ms)
+        if of_type(acts, api.SendAttempt):
             in_flight.append((d.now, rid))
         while in_flight and d.now - in_flight[0][0] > 900:
             d.end(in_flight.pop(0)[1], AttemptResult.OK, took=900)
@@ -42,8 +42,8 @@
     """The number of new customers whose first request is admitted; all are answered at once."""
     sent = 0
     for number in range(customers):
-        rid, acts = d.ask("read", "open", f"new{number}", after=2)
-        if of(acts, api.SendAttempt):
+        rid, acts = d.request("read", "open", f"new{number}", after=2)
+        if of_type(acts, api.SendAttempt):
             sent += 1
             d.end(rid, AttemptResult.OK, took=10)
     return sent
--- a/tests/recovery/test_retention.py
+++ b/tests/recovery/test_retention.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from conftest import CAPPED, Driver, of
+from conftest import CAPPED, Driver, of_type
 from fakes.successors import busy_gateway, exported_documents, successor_of
 
 from hillmux import interface as api
@@ -95,7 +95,7 @@
     spent, started_at = 0.0, d.now
     for _ in range(30):
         documents, taken_at = exported_documents(d.gateway), d.now
-        rid, _ = d.ask("read", plan.name, "c1", units=1, after=40)
+        rid, _ = d.request("read", plan.name, "c1", units=1, after=40)
         spent += any(isinstance(a, api.SendAttempt) and a.request_id == rid for _, a in d.log)
         d.now += 100
         new = Driver(servers=6, seed=int(d.now), now=d.now, counter_available=False)
@@ -124,7 +124,7 @@
     documents = exported_documents(d.gateway)
     new = Driver(servers=6, seed=99, now=d.now + 100, counter_available=False)
     restarted = api.Endpoint("h2", "a", 0, started_at_ms=new.now - 50)
-    new.give(api.EndpointList(ListKind.CHANGES, (restarted,)))
+    new.handle(api.EndpointList(ListKind.CHANGES, (restarted,)))
     restore(new.gateway, retained(documents, d.now, True, new.now, new.now))
     host = new.gateway.hosts["h2"]
     assert new.gateway.load_balancer.capacity_share(host) < 1 and host.latency_ratio == 1.0
@@ -163,7 +163,7 @@
         stored_keys = {tuple(row[:2]) for document in documents for row in document.get("uses", ())}
         assert (use.key in stored_keys) == stored
     use.ceiling_remaining, use.ceiling_at = 0.0, use.seen_at  # its last request used up the ceiling
-    d.give(api.TimerFired("none"), after=use.seen_at + expiry_ms - d.now)
+    d.handle(api.TimerFired("none"), after=use.seen_at + expiry_ms - d.now)
     assert quotas.ceiling_has_units(use, burst)
 
 
@@ -212,8 +212,8 @@
     except (StateError, SnapshotContentError):
         assert exported_documents(new.gateway) == before
     else:
-        rid, acts = new.ask("read", "open", "c1", after=5)  # the module still decides
-        assert acts and new.end(rid, AttemptResult.OK) is not None if of(acts, api.SendAttempt) else acts
+        rid, acts = new.request("read", "open", "c1", after=5)  # the module still decides
+        assert acts and new.end(rid, AttemptResult.OK) is not None if of_type(acts, api.SendAttempt) else acts
         new.sweep(2)
 
 
