--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -10,27 +10,27 @@
 
 from benchmarks.capacity import runner
 from benchmarks.capacity.measurement import Figure, MeasurementError, Measurements
-from benchmarks.capacity.probes import PROBES, chosen
+from benchmarks.capacity.probes import PROBES, select_probes
 from benchmarks.capacity.size import SizeError, check_number
 
 BAD_INPUT = 2
-MOST_JOBS = 8
+MAX_JOBS = 8
 
 
 class Parser(argparse.ArgumentParser):
-    """Tells bad input in one line, as the checks of sizes do."""
+    """Raises `SizeError` for invalid arguments, so that they are reported on one line like invalid sizes."""
 
     def error(self, message: str) -> NoReturn:
-        """Refuse the command line.
+        """Reject the command line.
 
         Raises:
-            SizeError: always.
+            SizeError: always, with argparse's message.
         """
         raise SizeError(message)
 
 
-def whole_number(text: str) -> int:
-    """A number of the command line; argparse names the field before the error's text."""
+def parse_integer(text: str) -> int:
+    """Parse an integer argument; argparse prefixes the error message with the argument's name."""
     try:
         return int(text)
     except ValueError:
@@ -38,19 +38,23 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run one command; 2 for bad input, which is told in one line with nothing started."""
+    """Run one command.
+
+    Returns 0, 1 if `page --check` finds a difference, or 2 for invalid input, which is reported on one line
+    before any measurement is started.
+    """
     parser = Parser(prog="python -m benchmarks.capacity", description=__doc__)
     commands = parser.add_subparsers(dest="command", required=True)
     commands.add_parser("list", help="the probes, with axis, sizes and figures")
     measure = commands.add_parser("measure", help="run probes and write the file of measurements")
     measure.add_argument("probes", nargs="*")
     measure.add_argument("--role")
-    measure.add_argument("--seeds", type=whole_number, nargs="+", default=[1, 2])
-    measure.add_argument("--jobs", type=whole_number, default=2)
+    measure.add_argument("--seeds", type=parse_integer, nargs="+", default=[1, 2])
+    measure.add_argument("--jobs", type=parse_integer, default=2)
     one = commands.add_parser("one", help="one measurement in this process, as a line of JSON")
     one.add_argument("probe")
-    one.add_argument("size", type=whole_number)
-    one.add_argument("seed", type=whole_number)
+    one.add_argument("size", type=parse_integer)
+    one.add_argument("seed", type=parse_integer)
     page = commands.add_parser("page", help="write docs/CAPACITY.md from the file of measurements")
     page.add_argument("--check", action="store_true", help="only say whether page and file agree")
     try:
@@ -65,7 +69,7 @@
         case "list":
             _list()
         case "one":
-            chosen([args.probe], None)
+            select_probes([args.probe], None)
             print(json.dumps(runner.run_one(args.probe, args.size, args.seed)))
         case "measure":
             _measure(args)
@@ -85,27 +89,27 @@
 
 
 def _measure(args: argparse.Namespace) -> None:
-    check_number("jobs", args.jobs, 1, MOST_JOBS)
-    probes = chosen(args.probes, args.role)
+    check_number("jobs", args.jobs, 1, MAX_JOBS)
+    probes = select_probes(args.probes, args.role)
     for probe in probes:
         runner.check(probe, probe.sizes, args.seeds, args.jobs)
     for probe in probes:
         began = time.monotonic()
         figures = runner.measure(probe, args.seeds, args.jobs)
-        _merged(figures, args.seeds)
+        _merge_into_file(figures, args.seeds)
         print(f"{probe.name}: {time.monotonic() - began:.0f} s", flush=True)
         for figure in figures:
-            at = ", ".join(f"{p.size}: {p.mean:.4g}" for p in figure.points)
-            print(f"    {figure.name} [{figure.unit}] {at}; slope {figure.slope:.3g}, residual "
+            points = ", ".join(f"{p.size}: {p.mean:.4g}" for p in figure.points)
+            print(f"    {figure.name} [{figure.unit}] {points}; slope {figure.slope:.3g}, residual "
                   f"{figure.residual:.1%}, spread {figure.spread:.1%}", flush=True)  # fmt: skip
 
 
-def _merged(figures: list[Figure], seeds: list[int]) -> None:
+def _merge_into_file(figures: list[Figure], seeds: list[int]) -> None:
     try:
-        before = Measurements.read()
+        stored = Measurements.read()
     except MeasurementError:
-        before = Measurements()
-    before.with_figures(figures, seeds).write()
+        stored = Measurements()
+    stored.with_figures(figures, seeds).write()
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/anchors.py
+++ b/benchmarks/capacity/anchors.py
@@ -1,4 +1,7 @@
-"""Real gateways as anchors: what hollow ones leave out of memory, processor time, bytes and added delay."""
+"""Probes of real gateway processes: memory, processor time, bytes and latency that hollow probes leave out.
+
+A hollow probe runs the modules of one role within its own process; these probes show what that omits.
+"""
 
 from __future__ import annotations
 
@@ -8,15 +11,15 @@
 
 from benchmarks.capacity.hosts import CUSTOMERS
 from benchmarks.capacity.probe import DISCOVERY, GATEWAY, Probe, Values
-from benchmarks.capacity.processes import Gateway, Surroundings
+from benchmarks.capacity.processes import Gateway, Testbed
 from benchmarks.capacity.resources import core_wait_s, process_cpu_s, proportional_mb, resident_mb
 from benchmarks.capacity.size import FULL
 from benchmarks.path import Process
 
-CONNECTIONS = 32  # of the load
-BLOCKS = 3  # through the gateway and at the host, by turns
+CONNECTIONS = 32  # connections of each load generator
+BLOCK_PAIRS = 3  # each a block through the gateway, then one at the host
 BLOCK_S = 4
-LEAST_REQUESTS = 400  # in a block: below that a p99 is one request or two
+MIN_REQUESTS_PER_BLOCK = 400  # with fewer requests, a p99 depends on one or two of them
 SETTLE_S = 2.0
 IDLE_S = 5.0
 STARTS = 3
@@ -26,54 +29,54 @@
 
 
 def measure_gateway(size: int, seed: int) -> Values:
-    """One gateway with all hosts at so many requests a second, beside the same load at a host itself."""
-    with Surroundings(FULL.hosts, seed) as around:
-        gateway = around.gateway()
+    """Measure one gateway with all hosts at `size` requests/s, and the same load sent directly to a host."""
+    with Testbed(FULL.hosts, seed) as testbed:
+        gateway = testbed.gateway()
         gateway.ready_s()
         time.sleep(SETTLE_S)
         idle_share = _cpu_share(gateway.pid, IDLE_S)
-        through = around.load(gateway.port, CUSTOMERS, CONNECTIONS)
-        direct = around.load(around.hosts.ports[0], CUSTOMERS, CONNECTIONS)
-        _block(through, size)
-        _block(direct, size)
-        return _loaded(around, gateway, through, direct, size) | {
+        gateway_load = testbed.load(gateway.port, CUSTOMERS, CONNECTIONS)
+        direct_load = testbed.load(testbed.hosts.ports[0], CUSTOMERS, CONNECTIONS)
+        _run_block(gateway_load, size)
+        _run_block(direct_load, size)
+        return _measure_under_load(testbed, gateway, gateway_load, direct_load, size) | {
             "anchors.gateway.idle_cpu_share": idle_share,
             "anchors.gateway.memory_mb": resident_mb(gateway.pid),
         }
 
 
-def _loaded(
-    around: Surroundings, gateway: Gateway, through: Process, direct: Process, size: int
+def _measure_under_load(
+    testbed: Testbed, gateway: Gateway, gateway_load: Process, direct_load: Process, size: int
 ) -> dict[str, float]:
-    """Blocks of load by turns: the medians of what they cost and add."""
-    shares, waits, p50, p99, requests, refused = [], [], [], [], 0, 0
-    before = around.counter.play()
-    for _ in range(BLOCKS):
+    """Alternate blocks of load through the gateway and at the host; returns medians of cost and latency."""
+    cpu_shares, core_waits, added_p50_ms, added_p99_ms, requests, rejected = [], [], [], [], 0, 0
+    before = testbed.counter.play()
+    for _ in range(BLOCK_PAIRS):
         cpu_s, wait_s = process_cpu_s(gateway.pid), core_wait_s(gateway.pid)
-        ours = _block(through, size)
-        shares.append((process_cpu_s(gateway.pid) - cpu_s) / ours["s"])
-        waits.append((core_wait_s(gateway.pid) - wait_s) / ours["s"])
-        theirs = _block(direct, size)
-        p50.append(ours["p50_ms"] - theirs["p50_ms"])
-        p99.append(ours["p99_ms"] - theirs["p99_ms"])
-        requests += sum(ours["statuses"].values())
-        refused += sum(count for status, count in ours["statuses"].items() if status != "200")
-    after = around.counter.play()
+        via_gateway = _run_block(gateway_load, size)
+        cpu_shares.append((process_cpu_s(gateway.pid) - cpu_s) / via_gateway["s"])
+        core_waits.append((core_wait_s(gateway.pid) - wait_s) / via_gateway["s"])
+        at_host = _run_block(direct_load, size)
+        added_p50_ms.append(via_gateway["p50_ms"] - at_host["p50_ms"])
+        added_p99_ms.append(via_gateway["p99_ms"] - at_host["p99_ms"])
+        requests += sum(via_gateway["statuses"].values())
+        rejected += sum(count for status, count in via_gateway["statuses"].items() if status != "200")
+    after = testbed.counter.play()
     calls = after["calls"] - before["calls"]
-    moved = sum(after[field] - before[field] for field in ("bytes_read", "bytes_written"))
+    bytes_moved = sum(after[field] - before[field] for field in ("bytes_read", "bytes_written"))
     return {
-        "anchors.gateway.cpu_share": statistics.median(shares),
-        "anchors.gateway.core_wait_share": statistics.median(waits),
-        "anchors.gateway.added_p50_ms": statistics.median(p50),
-        "anchors.gateway.added_p99_ms": statistics.median(p99),
-        "anchors.gateway.counter_bytes_per_call": moved / calls if calls else 0.0,
+        "anchors.gateway.cpu_share": statistics.median(cpu_shares),
+        "anchors.gateway.core_wait_share": statistics.median(core_waits),
+        "anchors.gateway.added_p50_ms": statistics.median(added_p50_ms),
+        "anchors.gateway.added_p99_ms": statistics.median(added_p99_ms),
+        "anchors.gateway.counter_bytes_per_call": bytes_moved / calls if calls else 0.0,
         "anchors.gateway.counter_calls_per_request": calls / requests,
-        "anchors.gateway.refused_share": refused / requests,
+        "anchors.gateway.refused_share": rejected / requests,
     }
 
 
-def _block(load: Process, rate: int) -> dict[str, Any]:
-    return load.play(requests=max(rate * BLOCK_S, LEAST_REQUESTS), rate=rate, from_written=True)
+def _run_block(load: Process, rate: int) -> dict[str, Any]:
+    return load.play(requests=max(rate * BLOCK_S, MIN_REQUESTS_PER_BLOCK), rate=rate, from_written=True)
 
 
 def _cpu_share(pid: int, seconds: float) -> float:
@@ -83,46 +86,46 @@
 
 
 def measure_list(size: int, seed: int) -> Values:
-    """Gateways started one after another with a list of so many hosts."""
-    ready_ms, cpu_ms, memory_mb, read = [], [], [], []
-    with Surroundings(size, seed) as around:
+    """Start gateways one after another with a list of `size` hosts; returns the medians of their figures."""
+    ready_ms, cpu_ms, memory_mb, bytes_read = [], [], [], []
+    with Testbed(size, seed) as testbed:
         for _ in range(STARTS):
-            before = around.discovery.play()["bytes_written"]
-            gateway = around.gateway()
+            before = testbed.discovery.play()["bytes_written"]
+            gateway = testbed.gateway()
             ready_ms.append(1e3 * gateway.ready_s())
             cpu_ms.append(1e3 * process_cpu_s(gateway.pid))
-            read.append(float(around.discovery.play()["bytes_written"] - before))
+            bytes_read.append(float(testbed.discovery.play()["bytes_written"] - before))
             time.sleep(1.0)
             memory_mb.append(resident_mb(gateway.pid))
-            around.end(gateway)
+            testbed.stop_gateway(gateway)
     return {
         "anchors.list.memory_mb": statistics.median(memory_mb),
         "anchors.list.ready_ms": statistics.median(ready_ms),
         "anchors.list.cpu_ms_to_ready": statistics.median(cpu_ms),
-        "anchors.list.bytes_read": statistics.median(read),
+        "anchors.list.bytes_read": statistics.median(bytes_read),
     }
 
 
 def measure_fleet(size: int, seed: int) -> Values:
-    """So many idle gateways."""
-    with Surroundings(FLEET_HOSTS, seed) as around:
-        gateways = [around.gateway(number) for number in range(size)]
+    """Run `size` idle gateways: memory and control traffic of each."""
+    with Testbed(FLEET_HOSTS, seed) as testbed:
+        gateways = [testbed.gateway(number) for number in range(size)]
         for gateway in gateways:
             gateway.ready_s()
         time.sleep(FLEET_SETTLE_S)
-        began, before = time.monotonic(), _control_bytes(around)
+        began, before = time.monotonic(), _control_bytes(testbed)
         time.sleep(FLEET_WATCH_S)
-        seconds, moved = time.monotonic() - began, _control_bytes(around) - before
+        seconds, bytes_moved = time.monotonic() - began, _control_bytes(testbed) - before
         memory_mb = sum(proportional_mb(gateway.pid) for gateway in gateways)
     return {
         "anchors.fleet.memory_mb_per_gateway": memory_mb / size,
-        "anchors.fleet.control_bytes_per_s_per_gateway": moved / seconds / size,
+        "anchors.fleet.control_bytes_per_s_per_gateway": bytes_moved / seconds / size,
     }
 
 
-def _control_bytes(around: Surroundings) -> int:
-    """Bytes that went between the gateways and discovery or the counter, both ways."""
-    counts = (around.discovery.play(), around.counter.play())
+def _control_bytes(testbed: Testbed) -> int:
+    """Bytes exchanged so far between the gateways and discovery or the counter, in both directions."""
+    counts = (testbed.discovery.play(), testbed.counter.play())
     return sum(count[field] for count in counts for field in ("bytes_read", "bytes_written"))
 
 
@@ -141,7 +144,7 @@
             "anchors.gateway.counter_calls_per_request": "calls a request",
             "anchors.gateway.idle_cpu_share": "share of a core",
             "anchors.gateway.refused_share": "share of the requests",
-            "anchors.gateway.core_wait_share": "share of the time",  # large: the machine was not ours alone
+            "anchors.gateway.core_wait_share": "share of the time",  # high if the machine is shared
         },
         measure=measure_gateway,
         small=50,
--- a/benchmarks/capacity/assumptions.py
+++ b/benchmarks/capacity/assumptions.py
@@ -1,4 +1,4 @@
-"""What the page assumes, as named constants with the reason for each. None of these was measured."""
+"""Assumptions of the page as named constants, each with its reason. None of these was measured."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Assumption:
-    """A number that was not measured, and why it is taken."""
+    """A number that is assumed instead of measured, and the reason for its value."""
 
     name: str
     value: float
@@ -17,37 +17,37 @@
     reason: str
 
 
-GATEWAYS_SEEING_A_CUSTOMER = Assumption(
+GATEWAYS_PER_CUSTOMER = Assumption(
     "gateways that see one customer",
     8,
     "gateways",
     "main case; 1, 3 and 24 are worked out beside it. The front end decides it, and nothing in the"
     " program does.",
 )
-ORDINARY_PART = Assumption(
+MEAN_LOAD_SHARE = Assumption(
     "ordinary day's load", 1 / 3, "of the peak", "mean over a day whose peak is three times its mean."
 )
-GATEWAYS_OF_A_ZONE = Assumption(
+GATEWAYS_PER_ZONE = Assumption(
     "gateways of a zone", FULL.gateways // FULL.zones, "gateways", "710 over 7 zones, alike, rounded down."
 )
-MACHINES_OF_A_RACK = Assumption(
+GATEWAYS_PER_RACK = Assumption(
     "gateways of a rack", 20, "gateways", "a common rack; all of its machines taken for gateways."
 )
-MACHINES_OF_CONTROL_CORES = Assumption(
+CORES_PER_CONTROL_MACHINE = Assumption(
     "cores for counting on a control machine", 1, "cores", "a counter is one process on one core."
 )
-PLATFORM_COUNTER = Assumption(
+PLATFORM_COUNTER_CAPACITY = Assumption(
     "the platform's counter",
     600,
     "calls/s",
     "between 440 and 600 were seen from outside; the larger is taken.",
 )
-HOST_CHANGES_OF_A_RESTART = Assumption(
+HOST_CHANGES_PER_RESTART = Assumption(
     "changes of the list that one restart makes", 3, "changes", "draining, gone, ready again."
 )
-CHANGES_OF_HOSTS_PER_DAY = Assumption(
+HOST_CHANGES_PER_DAY = Assumption(
     "changes of the list a day",
-    HOST_CHANGES_OF_A_RESTART.value * (FULL.restarts_per_day + FULL.machine_failures_per_day),
+    HOST_CHANGES_PER_RESTART.value * (FULL.restarts_per_day + FULL.machine_failures_per_day),
     "changes",
     "910 restarts and 25 failures, all taken for hosts, three changes each.",
 )
@@ -60,16 +60,16 @@
     "us",
     "docs/operators/capacity.md; from before these tests, which do not measure it apart.",
 )
-REGIONS_APART_S = Assumption(
+REGION_PARTITION_S = Assumption(
     "time that the regions are apart", 300, "s", "minutes by the size's table; five are taken."
 )
-PART_WITHOUT_COUNTER = Assumption(
+SHARE_WITHOUT_COUNTER = Assumption(
     "gateways without the counter while regions are apart",
     1 / FULL.regions,
     "of all",
     "the counter is in one region, and each region has half of the gateways and of the requests.",
 )
-NAMES_OF_A_CUSTOMER = Assumption(
+COUNTER_NAMES_PER_CUSTOMER = Assumption(
     "names in the counter for one customer", 2, "names", "this window's and the last one's, which lives on."
 )
 REQUEST_PATH_SHARE = Assumption(
@@ -85,19 +85,19 @@
 CLASSES = Assumption("classes of requests", 10, "classes", "the platform's sites have a handful.")
 
 ASSUMPTIONS = (
-    GATEWAYS_SEEING_A_CUSTOMER,
-    ORDINARY_PART,
-    GATEWAYS_OF_A_ZONE,
-    MACHINES_OF_A_RACK,
-    MACHINES_OF_CONTROL_CORES,
-    PLATFORM_COUNTER,
-    HOST_CHANGES_OF_A_RESTART,
-    CHANGES_OF_HOSTS_PER_DAY,
+    GATEWAYS_PER_CUSTOMER,
+    MEAN_LOAD_SHARE,
+    GATEWAYS_PER_ZONE,
+    GATEWAYS_PER_RACK,
+    CORES_PER_CONTROL_MACHINE,
+    PLATFORM_COUNTER_CAPACITY,
+    HOST_CHANGES_PER_RESTART,
+    HOST_CHANGES_PER_DAY,
     SWEEPS_PER_S,
     COUNTER_CALL_US,
-    REGIONS_APART_S,
-    PART_WITHOUT_COUNTER,
-    NAMES_OF_A_CUSTOMER,
+    REGION_PARTITION_S,
+    SHARE_WITHOUT_COUNTER,
+    COUNTER_NAMES_PER_CUSTOMER,
     REQUEST_PATH_SHARE,
     CONTROL_MACHINE_MEMORY_MB,
     CLASSES,
--- a/benchmarks/capacity/counter_service.py
+++ b/benchmarks/capacity/counter_service.py
@@ -1,4 +1,4 @@
-"""What our own counter's service carries for a core: real, with calls written one behind another."""
+"""Calls per second of processor time that our counter serves as a real process, with pipelined calls."""
 
 from __future__ import annotations
 
@@ -12,91 +12,104 @@
 import httptools
 import uvloop
 
-from benchmarks.capacity.counter_store import target
+from benchmarks.capacity.counter_store import call_target
 from benchmarks.capacity.probe import COUNTER, Probe, Values
 from benchmarks.capacity.resources import process_cpu_s
-from hillmux.counter.service import MAX_CONNECTIONS_PER_ADDRESS as CONNECTIONS_AN_ADDRESS
+from hillmux.counter.service import MAX_CONNECTIONS_PER_ADDRESS as CONNECTIONS_PER_ADDRESS
 
-LOOP = "127.0.0.1"
-NAMES = 10_000
-BEHIND = 16  # calls that a connection writes at once, and waits for
+LOOPBACK = "127.0.0.1"
+NAME_COUNT = 10_000
+PIPELINED_CALLS = 16  # calls that a connection writes at once before it waits for their replies
 WARM_S, MEASURE_S = 1.0, 4.0
 STOP_S = 10.0
 
 
-class Caller(asyncio.Protocol):
-    """One connection that calls without a rest."""
+class PipeliningClient(asyncio.Protocol):
+    """One connection that keeps `PIPELINED_CALLS` calls outstanding.
+
+    Attributes:
+        served: replies with status 200.
+        failed: replies with any other status.
+    """
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
         self._parser = httptools.HttpResponseParser(self)
-        self._waiting = 0
-        self.served = self.others = 0
+        self._outstanding = 0
+        self.served = self.failed = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin."""
+        """Send the first calls."""
         self.transport: Any = transport
         self._call()
 
     def _call(self) -> None:
-        self._waiting = BEHIND
-        heads = [b"POST %b HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n"] * BEHIND
-        self.transport.write(b"".join(head % target(self._random.randrange(NAMES)) for head in heads))
+        self._outstanding = PIPELINED_CALLS
+        templates = [b"POST %b HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n"] * PIPELINED_CALLS
+        self.transport.write(
+            b"".join(template % call_target(self._random.randrange(NAME_COUNT)) for template in templates)
+        )
 
     def data_received(self, data: bytes) -> None:
-        """Answers, whole or in parts."""
+        """Parse replies, complete or partial, and send the next calls after the last reply."""
         self._parser.feed_data(data)
-        if not self._waiting:
+        if not self._outstanding:
             self._call()
 
     def on_message_complete(self) -> None:
-        """One answer is here."""
-        self._waiting -= 1
+        """Count one complete reply by its status."""
+        self._outstanding -= 1
         if self._parser.get_status_code() == 200:
             self.served += 1
         else:
-            self.others += 1
+            self.failed += 1
 
 
 def measure(size: int, seed: int) -> Values:
-    """Our own counter with so many connections, each of which always has calls out."""
+    """Measure our counter with `size` connections, each of which always has calls outstanding."""
     process = subprocess.Popen(
-        [sys.executable, "-m", "hillmux.cli", "counter", "--listen", f"{LOOP}:0"],
+        [sys.executable, "-m", "hillmux.cli", "counter", "--listen", f"{LOOPBACK}:0"],
         text=True,
         stderr=subprocess.PIPE,
     )
     try:
-        return {"counter.service.calls_per_s_of_a_core": uvloop.run(_calls(process, size, seed))}
+        return {
+            "counter.service.calls_per_s_of_a_core": uvloop.run(_calls_per_core_second(process, size, seed))
+        }
     finally:
         process.kill()
         process.wait(STOP_S)
 
 
-async def _calls(process: subprocess.Popen[str], size: int, seed: int) -> float:
-    """Calls that were served for each second of the counter's processor time."""
+async def _calls_per_core_second(process: subprocess.Popen[str], size: int, seed: int) -> float:
+    """Calls served per second of the counter's processor time.
+
+    Raises:
+        RuntimeError: the counter rejected calls or connections, or used more than one core.
+    """
     port = _port(process)
-    callers = [Caller(seed * 1000 + number) for number in range(size)]
-    for number, caller in enumerate(callers):
-        await _connect(caller, port, number)
+    clients = [PipeliningClient(seed * 1000 + number) for number in range(size)]
+    for number, client in enumerate(clients):
+        await _connect(client, port, number)
     await asyncio.sleep(WARM_S)
-    cpu_s, served = process_cpu_s(process.pid), sum(caller.served for caller in callers)
+    cpu_s, served = process_cpu_s(process.pid), sum(client.served for client in clients)
     began = time.monotonic()
     await asyncio.sleep(MEASURE_S)
-    cpu_s, served = process_cpu_s(process.pid) - cpu_s, sum(caller.served for caller in callers) - served
-    if any(caller.others or caller.transport.is_closing() for caller in callers):
-        raise RuntimeError("the counter turned calls or connections away")
+    cpu_s, served = process_cpu_s(process.pid) - cpu_s, sum(client.served for client in clients) - served
+    if any(client.failed or client.transport.is_closing() for client in clients):
+        raise RuntimeError("the counter rejected calls or closed connections")
     if cpu_s > time.monotonic() - began + 0.1:
-        raise RuntimeError("the counter's processor time is more than a core's")
-    for caller in callers:
-        caller.transport.abort()
+        raise RuntimeError("the counter used more processor time than one core provides")
+    for client in clients:
+        client.transport.abort()
     return served / cpu_s
 
 
-async def _connect(caller: Caller, port: int, number: int) -> None:
-    """Connect from an address that has room for one more at the counter."""
-    address = f"127.0.1.{1 + number // CONNECTIONS_AN_ADDRESS}"
+async def _connect(client: PipeliningClient, port: int, number: int) -> None:
+    """Connect from a source address that is still below the counter's limit of connections per address."""
+    address = f"127.0.1.{1 + number // CONNECTIONS_PER_ADDRESS}"
     loop = asyncio.get_running_loop()
-    await loop.create_connection(lambda: caller, LOOP, port, local_addr=(address, 0))
+    await loop.create_connection(lambda: client, LOOPBACK, port, local_addr=(address, 0))
 
 
 def _port(process: subprocess.Popen[str]) -> int:
@@ -104,7 +117,7 @@
     for line in process.stderr:
         if "listening on" in line:
             return int(line.rsplit(":", 1)[1])
-    raise RuntimeError("the counter did not start")
+    raise RuntimeError("the counter did not start: it ended before it listened")
 
 
 PROBES = (
@@ -118,6 +131,7 @@
         small=1,
         real=True,
         processes=2,
-        note=f"the network; {BEHIND} calls are written at once on each connection, to {NAMES:,} names",
+        note=f"the network; {PIPELINED_CALLS} calls are written at once on each connection,"
+        f" to {NAME_COUNT:,} names",
     ),
 )
--- a/benchmarks/capacity/counter_store.py
+++ b/benchmarks/capacity/counter_store.py
@@ -1,4 +1,4 @@
-"""What our own counter costs: its store by the names that it keeps."""
+"""Memory and processor time of our counter's store, by the number of names that it holds."""
 
 from __future__ import annotations
 
@@ -10,42 +10,48 @@
 from hillmux.counter.store import MAX_NAMES, Store, format_total
 
 NOW_MS = 1e6
-LIFE_MS = 60_000
-WINDOW = 446_750_000  # a window's number, as long as today's
+RETENTION_MS = 60_000
+WINDOW_NUMBER = 446_750_000  # has as many digits as the number of a current window
 CALLS = 5_000
 REPEATS = 7
 
 
-def target(number: int) -> bytes:
-    """A call's target with a name as the gateways' decision modules make them: 16 digits, plan, window."""
-    return b"/v1/count/%016x.0.%d?add=1.5&ttl_ms=%d" % (number * 0x9E3779B97F4A7C15 % 2**64, WINDOW, LIFE_MS)
+def call_target(number: int) -> bytes:
+    """Request target of a call, with a name as the decision module makes it: 16 hex digits, plan, window."""
+    return b"/v1/count/%016x.0.%d?add=1.5&ttl_ms=%d" % (
+        number * 0x9E3779B97F4A7C15 % 2**64,
+        WINDOW_NUMBER,
+        RETENTION_MS,
+    )
 
 
-def answer(store: Store, asked: bytes) -> str:
-    """One call as the service answers it, from the target to the total's text."""
-    call = parse_call(b"POST", asked)
+def answer_call(store: Store, request_target: bytes) -> str:
+    """Handle one call as the service does, from parsing the target to formatting the total."""
+    call = parse_call(b"POST", request_target)
     return format_total(store.add(call.name, call.amount, call.retention_ms, NOW_MS))
 
 
 def measure(size: int, seed: int) -> Values:
-    """A store with so many names, and calls to names that it holds."""
-    answer(Store(), target(0))
+    """Measure a store that holds `size` names, and calls to these names."""
+    answer_call(Store(), call_target(0))
     growth = MemoryGrowth()
     store = Store(MAX_NAMES)
     for number in range(size):
-        answer(store, target(number))
+        answer_call(store, call_target(number))
     memory_mb = growth.mb()
     rng = random.Random(seed)
-    asked = [target(rng.randrange(size)) for _ in range(CALLS)]
+    targets = [call_target(rng.randrange(size)) for _ in range(CALLS)]
     return {
         "counter.store.memory_mb": memory_mb,
-        "counter.store.us_per_call": 1e6 / CALLS * median_cpu_s(lambda: _answer_all(store, asked), REPEATS),
+        "counter.store.us_per_call": 1e6
+        / CALLS
+        * median_cpu_s(lambda: _answer_calls(store, targets), REPEATS),
     }
 
 
-def _answer_all(store: Store, asked: list[bytes]) -> None:
-    for call in asked:
-        answer(store, call)
+def _answer_calls(store: Store, targets: list[bytes]) -> None:
+    for request_target in targets:
+        answer_call(store, request_target)
 
 
 PROBES = (
--- a/benchmarks/capacity/counting.py
+++ b/benchmarks/capacity/counting.py
@@ -1,7 +1,8 @@
-"""Hollow probes of how gateways share quotas through the counter: calls, bytes, refusals, units beyond.
+"""Hollow probes of quotas shared through the counter: calls, bytes, rejections, units beyond the quota.
 
-All play `hillmux.lab.virtual.counting`: the decision modules are the program's own and not compiled, hosts,
-clients and counter are modelled, time is virtual. Customers ask evenly at random, one unit a request.
+All run `hillmux.lab.virtual.counting`: the decision modules are the real ones, not compiled; hosts, clients
+and counter are modelled, and time is virtual. Each customer's requests arrive at random at a constant mean
+rate, one unit per request.
 """
 
 from __future__ import annotations
@@ -26,26 +27,27 @@
 )
 
 MEGABYTE = 1e6
-ASKED_PER_S = 2.3  # requests a second of one customer
+REQUESTS_PER_CUSTOMER_PER_S = 2.3  # requests a second of one customer
 BURST_S = 4.6  # burst of a plan, in seconds of its rate
-WIDTH = 8  # gateways that serve a customer
-SET_CUSTOMERS = 48  # customers of the probes that play one set of gateways
-WARM_S, MEASURED_S = 30.0, 60.0  # of these probes; a window lasts 9.2 s
-# The model that comes nearest to the figures of issue 32 that were seen from outside (0.22 calls a request at
-# half use and 8 gateways, 0.36 at 90%): one plan, and customers that ask more of it.
-SEEN_RATE, SEEN_BURST_S = 4.6, 6.0  # units a second, and seconds of that
-SEEN_HALF_PER_S, SEEN_NINETY_PER_S = 2.3, 4.14  # requests a second of one customer
-FLOOD = 3.5  # what is asked in a flood, in rates
-FLEET_WARM_S, FLEET_MEASURED_S = 6.0, 2.0  # of the whole fleet: at full size a virtual second takes some 15 s
-CROWDED_PER_S = 600.0  # calls a second that the counter takes
+REPLICAS = 8  # gateways that serve a customer
+SET_CUSTOMERS = 48  # customers in the probes of one set of gateways
+WARM_S, MEASURED_S = 30.0, 60.0  # durations in the probes of one set; a window lasts 9.2 s
+# The model that comes closest to the externally observed figures of issue 32 (0.22 calls a request at half
+# use and 8 gateways, 0.36 at 90%): one plan, with customers that send more requests.
+OBSERVED_RATE, OBSERVED_BURST_S = 4.6, 6.0  # rate in units/s; burst in seconds of the rate
+OBSERVED_HALF_PER_S, OBSERVED_NINETY_PER_S = 2.3, 4.14  # requests a second of one customer
+FLOOD_FACTOR = 3.5  # requests in a flood, as a multiple of the plan's rate
+# Durations for the whole fleet; short, since a virtual second takes some 15 s at full size.
+FLEET_WARM_S, FLEET_MEASURED_S = 6.0, 2.0
+CROWDED_PER_S = 600.0  # capacity of the counter, in calls a second
 CROWDED_GATEWAYS, CROWDED_WARM_S, CROWDED_MEASURED_S = 48, 12.0, 18.0
-RESTARTED_ONE_IN = 2  # of the gateways in a row, so of each customer's set
-FIRST_MS = 1000.0
+RESTART_STRIDE = 2  # one gateway in two restarts, and so half of each customer's gateways
+FIRST_INTERVAL_MS = 1000.0
 RESTART_WARM_S, RESTART_MEASURED_S = 3.0, 10.0
 CUSTOMERS_PER_GATEWAY = FULL.tenants / FULL.gateways
 
 
-def _per_request(figures: CountingFigures) -> Values:
+def _values_per_request(figures: CountingFigures) -> Values:
     requests = max(figures.requests, 1)
     return {
         "calls_per_request": figures.counter_calls / requests,
@@ -56,33 +58,36 @@
     }
 
 
-def _named(prefix: str, values: Values) -> Values:
+def _prefix_names(prefix: str, values: Values) -> Values:
     return {f"{prefix}.{name}": value for name, value in values.items()}
 
 
-def _one_set(
-    name: str, asked_per_s: float, rate: float, burst_s: float = BURST_S
+def _replica_set_measure(
+    name: str, requests_per_s: float, rate: float, burst_s: float = BURST_S
 ) -> Callable[[int, int], Values]:
-    """Measures one set of gateways that serve the same customers."""
+    """Return a measurement of one set of gateways that all serve the same customers."""
 
-    def measure(width: int, seed: int) -> Values:
-        scenario = CountingScenario(width, SET_CUSTOMERS, width, asked_per_s, rate, burst_s * rate, seed)
+    def measure(replicas: int, seed: int) -> Values:
+        scenario = CountingScenario(
+            replicas, SET_CUSTOMERS, replicas, requests_per_s, rate, burst_s * rate, seed
+        )
         fleet = CountingFleet(scenario)
         fleet.run(WARM_S)
         fleet.begin_measuring()
-        return _named(name, _per_request(fleet.run(MEASURED_S)))
+        return _prefix_names(name, _values_per_request(fleet.run(MEASURED_S)))
 
     return measure
 
 
-def _fleet(gateways: int, seed: int) -> Values:
+def _measure_fleet(gateways: int, seed: int) -> Values:
     customers = round(CUSTOMERS_PER_GATEWAY * gateways)
-    asked_per_s = FULL.requests_per_gateway * gateways / customers
-    rate = 2 * asked_per_s
-    gc.disable()  # else one collector walks the objects of 710 gateways, of which each would have its own
-    before = resident_bytes()
+    requests_per_s = FULL.requests_per_gateway * gateways / customers
+    rate = 2 * requests_per_s
+    # A collection would traverse the objects of up to 710 gateways; in service each has its own process.
+    gc.disable()
+    before_bytes = resident_bytes()
     scenario = CountingScenario(
-        gateways, customers, WIDTH, asked_per_s, rate, BURST_S * rate, seed, timed=True
+        gateways, customers, REPLICAS, requests_per_s, rate, BURST_S * rate, seed, timed=True
     )
     fleet = CountingFleet(scenario)
     fleet.run(FLEET_WARM_S)
@@ -92,15 +97,24 @@
         "counting.fleet.calls_per_s": figures.counter_calls / FLEET_MEASURED_S,
         "counting.fleet.wire_bytes_per_s_per_gateway": figures.wire_bytes / FLEET_MEASURED_S / gateways,
         "counting.fleet.cpu_us_per_request": figures.decision_s * 1e6 / figures.requests,
-        "counting.fleet.memory_mb_per_gateway": (resident_bytes() - before) / MEGABYTE / gateways,
+        "counting.fleet.memory_mb_per_gateway": (resident_bytes() - before_bytes) / MEGABYTE / gateways,
     }
 
 
-def _crowded(customers: int, seed: int) -> Values:
-    rate = ASKED_PER_S / 0.9
+def _measure_crowded(customers: int, seed: int) -> Values:
+    rate = REQUESTS_PER_CUSTOMER_PER_S / 0.9
     counter = CounterModel(per_s=CROWDED_PER_S)
     fleet = CountingFleet(
-        CountingScenario(CROWDED_GATEWAYS, customers, WIDTH, ASKED_PER_S, rate, BURST_S * rate, seed, counter)
+        CountingScenario(
+            CROWDED_GATEWAYS,
+            customers,
+            REPLICAS,
+            REQUESTS_PER_CUSTOMER_PER_S,
+            rate,
+            BURST_S * rate,
+            seed,
+            counter,
+        )
     )
     fleet.run(CROWDED_WARM_S)
     fleet.begin_measuring()
@@ -114,58 +128,67 @@
     }
 
 
-def _burst_of_starts(restarted: int, seed: int) -> Values:
-    """Each second gateway starts from nothing at once, as many as asked for."""
-    gc.disable()  # as in `_fleet`
-    gateways = max(RESTARTED_ONE_IN * restarted, RESTARTED_ONE_IN * WIDTH)
+def _measure_burst_of_starts(restarted: int, seed: int) -> Values:
+    """Restart every second gateway at once without any state, `restarted` in all."""
+    gc.disable()  # for the same reason as in `_measure_fleet`
+    gateways = max(RESTART_STRIDE * restarted, RESTART_STRIDE * REPLICAS)
     customers = round(CUSTOMERS_PER_GATEWAY * gateways)
-    asked_per_s = FULL.requests_per_gateway * gateways / customers
-    rate = 2 * asked_per_s
+    requests_per_s = FULL.requests_per_gateway * gateways / customers
+    rate = 2 * requests_per_s
     fleet = CountingFleet(
-        CountingScenario(gateways, customers, WIDTH, asked_per_s, rate, BURST_S * rate, seed)
+        CountingScenario(gateways, customers, REPLICAS, requests_per_s, rate, BURST_S * rate, seed)
     )
     fleet.run(RESTART_WARM_S)
-    numbers = [RESTARTED_ONE_IN * i for i in range(restarted)]
-    for number in numbers:
-        fleet.start(number)
-    fresh = [fleet.gateways[number] for number in numbers]
-    fleet.run(FIRST_MS / 1000)
-    calls = sum(gateway.calls for gateway in fresh)
-    fleet.run(RESTART_MEASURED_S - FIRST_MS / 1000)
-    requests = sum(gateway.requests for gateway in fresh)
+    gateway_indices = [RESTART_STRIDE * position for position in range(restarted)]
+    for index in gateway_indices:
+        fleet.start(index)
+    restarted_gateways = [fleet.gateways[index] for index in gateway_indices]
+    fleet.run(FIRST_INTERVAL_MS / 1000)
+    calls = sum(gateway.calls for gateway in restarted_gateways)
+    fleet.run(RESTART_MEASURED_S - FIRST_INTERVAL_MS / 1000)
+    requests = sum(gateway.requests for gateway in restarted_gateways)
     return {
         "counting.burst_of_starts.calls_in_first_second_per_gateway": calls / restarted,
-        "counting.burst_of_starts.refused_share_first_10_s": sum(g.rejected for g in fresh) / requests,
+        "counting.burst_of_starts.refused_share_first_10_s": sum(
+            restarted_gateway.rejected for restarted_gateway in restarted_gateways
+        )
+        / requests,
     }
 
 
-def _customers(customers: int, seed: int) -> Values:
-    """Each customer asks once; all are known at the end."""
-    plan = api.Plan("plan", rate=2 * ASKED_PER_S, burst=BURST_S * 2 * ASKED_PER_S)
+def _measure_customers(customers: int, seed: int) -> Values:
+    """Send one request of each customer to one gateway; returns the memory for all these customers."""
+    plan = api.Plan(
+        "plan", rate=2 * REQUESTS_PER_CUSTOMER_PER_S, burst=BURST_S * 2 * REQUESTS_PER_CUSTOMER_PER_S
+    )
     settings = api.Settings(
         (CLASS,), (plan,), fleet_size=FULL.gateways, counter_available=True, max_customers=customers
     )
     gateway = Gateway(settings, seed)
     gateway.handle(START_TIME_MS, api.EndpointList(ListKind.FULL, (api.Endpoint("host-0"),)))
     gc.collect()
-    before = resident_bytes()
-    for number in range(customers):
-        _ask_once(gateway, number, START_TIME_MS + number)
+    before_bytes = resident_bytes()
+    for index in range(customers):
+        _send_request(gateway, index, START_TIME_MS + index)
     gc.collect()
-    return {"counting.customers.memory_mb": (resident_bytes() - before) / MEGABYTE}
+    return {"counting.customers.memory_mb": (resident_bytes() - before_bytes) / MEGABYTE}
 
 
-def _ask_once(gateway: Gateway, number: int, now: float) -> None:
+def _send_request(gateway: Gateway, index: int, now: float) -> None:
     request = api.Request(
-        str(number), CLASS.name, "plan", f"customer-{number:06}", CLIENT_TIMEOUT_MS, 1.0, WIDTH
+        str(index), CLASS.name, "plan", f"customer-{index:06}", CLIENT_TIMEOUT_MS, 1.0, REPLICAS
     )
     actions = gateway.handle(now, request)
-    for act in actions:
-        if isinstance(act, api.IncrementCounter):
-            actions = gateway.handle(now, api.CounterReply(act.name, AttemptResult.OK, act.amount, 10.0))
-    for act in actions:
-        if isinstance(act, api.SendAttempt):
-            gateway.handle(now, api.AttemptEnded(act.request_id, 0, act.host, AttemptResult.OK, 20.0, True))
+    for action in actions:
+        if isinstance(action, api.IncrementCounter):
+            actions = gateway.handle(
+                now, api.CounterReply(action.name, AttemptResult.OK, action.amount, 10.0)
+            )
+    for action in actions:
+        if isinstance(action, api.SendAttempt):
+            gateway.handle(
+                now, api.AttemptEnded(action.request_id, 0, action.host, AttemptResult.OK, 20.0, True)
+            )
 
 
 SET_AXIS = "gateways that serve a customer"
@@ -180,25 +203,27 @@
 SET_NOTE = "segments on the wire are reckoned: 2.5 a call of 52 bytes of TCP and IP headers"
 
 
-def _set_probe(name: str, asked_per_s: float, rate: float, burst_s: float = BURST_S) -> Probe:
+def _set_probe(name: str, requests_per_s: float, rate: float, burst_s: float = BURST_S) -> Probe:
     return Probe(
         name=name,
         role=COUNTER,
         axis=SET_AXIS,
         sizes=SET_SIZES,
         figures={f"{name}.{figure}": unit for figure, unit in SET_UNITS.items()},
-        measure=_one_set(name, asked_per_s, rate, burst_s),
+        measure=_replica_set_measure(name, requests_per_s, rate, burst_s),
         small=8,
         note=SET_NOTE,
     )
 
 
 PROBES = (
-    _set_probe("counting.half", ASKED_PER_S, 2 * ASKED_PER_S),
-    _set_probe("counting.ninety", ASKED_PER_S, ASKED_PER_S / 0.9),
-    _set_probe("counting.seen_half", SEEN_HALF_PER_S, SEEN_RATE, SEEN_BURST_S),
-    _set_probe("counting.seen_ninety", SEEN_NINETY_PER_S, SEEN_RATE, SEEN_BURST_S),
-    _set_probe("counting.flood", FLOOD * 2 * ASKED_PER_S, 2 * ASKED_PER_S),
+    _set_probe("counting.half", REQUESTS_PER_CUSTOMER_PER_S, 2 * REQUESTS_PER_CUSTOMER_PER_S),
+    _set_probe("counting.ninety", REQUESTS_PER_CUSTOMER_PER_S, REQUESTS_PER_CUSTOMER_PER_S / 0.9),
+    _set_probe("counting.seen_half", OBSERVED_HALF_PER_S, OBSERVED_RATE, OBSERVED_BURST_S),
+    _set_probe("counting.seen_ninety", OBSERVED_NINETY_PER_S, OBSERVED_RATE, OBSERVED_BURST_S),
+    _set_probe(
+        "counting.flood", FLOOD_FACTOR * 2 * REQUESTS_PER_CUSTOMER_PER_S, 2 * REQUESTS_PER_CUSTOMER_PER_S
+    ),
     Probe(
         name="counting.fleet",
         role=GATEWAY,
@@ -210,7 +235,7 @@
             "counting.fleet.cpu_us_per_request": "us",
             "counting.fleet.memory_mb_per_gateway": "MB",
         },
-        measure=_fleet,
+        measure=_measure_fleet,
         small=8,
         note="processor time is the modules' alone, not compiled, without the cyclic garbage collector; "
         "memory includes the customers' true stores",
@@ -226,7 +251,7 @@
             "counting.crowded.refused_with_room_share": "share of requests",
             "counting.crowded.beyond_share": "share of units sent",
         },
-        measure=_crowded,
+        measure=_measure_crowded,
         small=250,
         note="refused with room: the customer's true store held half a burst or more",
     ),
@@ -239,7 +264,7 @@
             "counting.burst_of_starts.calls_in_first_second_per_gateway": "calls",
             "counting.burst_of_starts.refused_share_first_10_s": "share of requests",
         },
-        measure=_burst_of_starts,
+        measure=_measure_burst_of_starts,
         small=1,
         note="each second gateway of a fleet twice as large (16 at least); a zone holds one in seven",
     ),
@@ -249,7 +274,7 @@
         axis="customers known to one gateway",
         sizes=(1000, 8000, 20_000, FULL.tenants),
         figures={"counting.customers.memory_mb": "MB"},
-        measure=_customers,
+        measure=_measure_customers,
         small=1000,
         note="resident memory; most_customers raised to the size",
     ),
--- a/benchmarks/capacity/hosts.py
+++ b/benchmarks/capacity/hosts.py
@@ -1,4 +1,4 @@
-"""What a gateway's list of hosts costs it: bytes, reading, taking it in, one change, memory, choice."""
+"""Costs of a gateway's list of hosts: size, parsing, applying, one change, memory, and host selection."""
 
 from __future__ import annotations
 
@@ -17,66 +17,72 @@
 
 CUSTOMERS = 700  # 62,000 tenants over 710 gateways, eight gateways each
 REPEATS = 7
-CHANGES = 200  # in one measurement
-REQUESTS = 2_000  # in one measurement
+CHANGES = 200  # changes applied in one measurement
+REQUESTS_PER_SERIES = 2_000
 AS_SOURCE = "the module as source; the compiled build, which the platform runs, costs about half"
 
 
-def read(body: bytes) -> DiscoveryResponse:
-    """An answer's body as a listing, in the way of `hillmux.net.discovery_watch.DiscoveryWatch`."""
+def parse_listing(body: bytes) -> DiscoveryResponse:
+    """Parse a response body as `hillmux.net.discovery_watch.DiscoveryWatch` does."""
     return parse_discovery_response(json.loads(body))
 
 
-class Reader:
-    """A decision module that is told of lists and changes."""
+class EndpointListReceiver:
+    """A decision module that receives endpoint lists and changes."""
 
     def __init__(self, seed: int) -> None:
         self.now_ms = 1e6
         self._gateway = Gateway(settings(CUSTOMERS), seed)
 
-    def take(self, listing: DiscoveryResponse) -> None:
-        """Have the module take an answer in."""
+    def apply(self, listing: DiscoveryResponse) -> None:
+        """Pass a discovery response to the decision module, 1 ms after the previous one."""
         self.now_ms += 1.0
         kind = ListKind.FULL if listing.is_full else ListKind.CHANGES
         self._gateway.handle(self.now_ms, api.EndpointList(kind, listing.endpoints))
 
 
 def measure_list(size: int, seed: int) -> Values:
-    """One list of so many hosts, and changes of one line to it."""
+    """Measure one list of `size` hosts, and changes of one host each."""
     hosts = listings.instances(size, seed)
-    body = listings.whole(hosts)
-    changes = [listings.change(hosts[i // 2 * 7 % size], 100_001 + i, i % 2 == 0) for i in range(CHANGES)]
-    warm = Reader(seed)
-    warm.take(read(listings.whole(hosts[:10])))  # imports and caches are no growth of the list's
+    body = listings.full_list(hosts)
+    changes = [
+        listings.single_change(hosts[i // 2 * 7 % size], 100_001 + i, i % 2 == 0) for i in range(CHANGES)
+    ]
+    warm_up = EndpointListReceiver(seed)
+    warm_up.apply(parse_listing(listings.full_list(hosts[:10])))  # fills imports and caches first
     growth = MemoryGrowth()
-    reader, kept = Reader(seed), read(body)
-    reader.take(kept)
+    receiver, listing = EndpointListReceiver(seed), parse_listing(body)
+    receiver.apply(listing)
     module_mb = growth.mb()
-    fresh = iter([Reader(seed) for _ in range(REPEATS)])
+    receivers = iter([EndpointListReceiver(seed) for _ in range(REPEATS)])
     return {
         "hosts.list.bytes": float(len(body)),
-        "hosts.list.parse_ms": 1e3 * median_cpu_s(lambda: read(body), REPEATS),
-        "hosts.list.apply_ms": 1e3 * median_cpu_s(lambda: next(fresh).take(kept), REPEATS),
-        "hosts.list.change_us": 1e6 / CHANGES * median_cpu_s(lambda: _take_all(reader, changes), REPEATS),
+        "hosts.list.parse_ms": 1e3 * median_cpu_s(lambda: parse_listing(body), REPEATS),
+        "hosts.list.apply_ms": 1e3 * median_cpu_s(lambda: next(receivers).apply(listing), REPEATS),
+        "hosts.list.change_us": 1e6 / CHANGES * median_cpu_s(lambda: _apply_all(receiver, changes), REPEATS),
         "hosts.list.change_bytes": statistics.fmean(map(len, changes)),
         "hosts.list.module_mb": module_mb,
     }
 
 
-def _take_all(reader: Reader, bodies: list[bytes]) -> None:
+def _apply_all(receiver: EndpointListReceiver, bodies: list[bytes]) -> None:
     for body in bodies:
-        reader.take(read(body))
+        receiver.apply(parse_listing(body))
 
 
 class ChoicePlay(Play):
-    """A gateway at work whose housekeeping is timed apart from its requests."""
+    """A simulated gateway whose timers are timed separately from its requests.
+
+    Attributes:
+        sweeps_s: processor time of each timer event so far, in seconds.
+    """
 
     def __init__(self, hosts: int, seed: int) -> None:
         self.sweeps_s: list[float] = []
         super().__init__(hosts, CUSTOMERS, seed=seed)
 
     def give(self, event: api.Event) -> None:
-        """Have the module handle an event."""
+        """Pass an event to the decision module; time of a timer goes to `sweeps_s` instead of `spent`."""
         spent_before = self.spent
         super().give(event)
         if isinstance(event, api.TimerFired):
@@ -84,17 +90,17 @@
             self.spent = spent_before
 
     def request_s(self) -> float:
-        """Seconds in the module a request, over one series of requests."""
-        requests = self.requests(REQUESTS)
+        """Mean time in the decision module per request, in seconds, over one series of requests."""
+        requests = self.requests(REQUESTS_PER_SERIES)
         self.spent = 0.0
         gc.disable()
         self.run(requests)
         gc.enable()
-        return self.spent / REQUESTS
+        return self.spent / REQUESTS_PER_SERIES
 
 
 def measure_choice(size: int, seed: int) -> Values:
-    """Requests that have a host chosen among so many, and the housekeeping between them."""
+    """Measure host selection among `size` hosts, and the sweeps between requests."""
     play = ChoicePlay(size, seed)
     play.request_s()
     play.sweeps_s.clear()
--- a/benchmarks/capacity/listings.py
+++ b/benchmarks/capacity/listings.py
@@ -1,4 +1,4 @@
-"""Lists of hosts in the form and lengths of discovery's own, seeded."""
+"""Seeded lists of hosts in discovery's format, with values as long as real ones."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from benchmarks.capacity.size import FULL
 
 CELLS = 4
-LONG_AGO_MS = 1_790_000_000_000  # Unix time: as long as those that discovery sends
+BASE_START_MS = 1_790_000_000_000  # Unix time with as many digits as discovery sends
 
 Instance = dict[str, Any]
 
 
 def instances(count: int, seed: int, ports: Sequence[int] = ()) -> list[Instance]:
-    """Hosts as discovery lists them; at these ports of this machine, or at addresses of their own."""
+    """`count` hosts as discovery lists them, at `ports` of this machine, or each at its own address."""
     rng = random.Random(seed)
     names = rng.sample(range(2**32), count)
     return [
@@ -29,7 +29,7 @@
             "cell": i % CELLS,
             "lifecycle": "ready",
             "weight": 1.0,
-            "startedAtMs": LONG_AGO_MS + rng.randrange(10**9) if i % 2 else 0,
+            "startedAtMs": BASE_START_MS + rng.randrange(10**9) if i % 2 else 0,
         }
         for i, name in enumerate(names)
     ]
@@ -39,12 +39,12 @@
     return f"10.{100 + number // 62_500}.{number // 250 % 250}.{1 + number % 250}:8081"
 
 
-def whole(found: list[Instance]) -> bytes:
-    """The whole list, as the body of an answer."""
-    return orjson.dumps({"generation": 100_000, "reset": True, "instances": found})
+def full_list(hosts: list[Instance]) -> bytes:
+    """Body of a discovery response with the full list."""
+    return orjson.dumps({"generation": 100_000, "reset": True, "instances": hosts})
 
 
-def change(instance: Instance, generation: int, drains: bool) -> bytes:
-    """A host drains, or is ready again: an answer with one line."""
-    line = {**instance, "lifecycle": "draining" if drains else "ready"}
-    return orjson.dumps({"generation": generation, "reset": False, "instances": [line]})
+def single_change(instance: Instance, generation: int, draining: bool) -> bytes:
+    """Body of a discovery response with one changed host, which is draining or ready again."""
+    changed = {**instance, "lifecycle": "draining" if draining else "ready"}
+    return orjson.dumps({"generation": generation, "reset": False, "instances": [changed]})
--- a/benchmarks/capacity/markdown.py
+++ b/benchmarks/capacity/markdown.py
@@ -1,4 +1,4 @@
-"""Markdown's tables and numbers as the page shows them."""
+"""Formatting of the page: Markdown tables, numbers and paragraphs."""
 
 from __future__ import annotations
 
@@ -6,17 +6,22 @@
 import textwrap
 from collections.abc import Iterable, Sequence
 
-LINE = 140  # characters of a line of prose
+LINE_LENGTH = 140  # maximum characters in a line of prose
 
 
-def table(heads: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """A Markdown table; cells are text in which a bar would end the cell, so it is written as an entity."""
-    lines = [heads, ["---"] * len(heads), *rows]
-    return "\n".join("| " + " | ".join(cell.replace("|", "&#124;") for cell in line) + " |" for line in lines)
+def table(headers: Sequence[str], body: Iterable[Sequence[str]]) -> str:
+    """A Markdown table; a `|` within a cell would end the cell, and is written as an entity."""
+    table_rows = [headers, ["---"] * len(headers), *body]
+    return "\n".join(
+        "| " + " | ".join(cell.replace("|", "&#124;") for cell in row) + " |" for row in table_rows
+    )
 
 
 def number(value: float) -> str:
-    """A number: whole as it is, others with three digits, under 0.001 with an exponent."""
+    """Format a number: three significant digits; none after the point for integers and from 1,000 on.
+
+    Values below 0.001 get an exponent, and infinity is written as a word.
+    """
     if not math.isfinite(value):
         return "infinite"
     size = abs(value)
@@ -28,10 +33,10 @@
 
 
 def percent(share: float) -> str:
-    """A share in percent, with one digit."""
+    """Format a share as a percentage with one decimal."""
     return f"{share:.1%}"
 
 
 def prose(text: str) -> str:
-    """A paragraph in lines of the page's length."""
-    return textwrap.fill(text, LINE, break_long_words=False, break_on_hyphens=False)
+    """Wrap a paragraph at `LINE_LENGTH`."""
+    return textwrap.fill(text, LINE_LENGTH, break_long_words=False, break_on_hyphens=False)
--- a/benchmarks/capacity/measurement.py
+++ b/benchmarks/capacity/measurement.py
@@ -1,4 +1,4 @@
-"""The file of measurements: each figure with its sizes, its slope, its residual and its spread over seeds."""
+"""The measurements file: each figure with its points, slope, residual and spread over seeds."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from dataclasses import asdict, dataclass
 from pathlib import Path
 
-FILE = Path(__file__).with_name("measurements.json")
-VERSION = 1
+MEASUREMENTS_FILE = Path(__file__).with_name("measurements.json")
+FORMAT_VERSION = 1
 
 
 class MeasurementError(ValueError):
-    """A file of measurements that cannot be read, or a figure that is not in it; names the field."""
+    """The measurements file cannot be read, or lacks a figure; the message names the field."""
 
 
 @dataclass(slots=True, frozen=True)
 class Point:
-    """A figure at one size, by seed."""
+    """Values of a figure at one size, by seed."""
 
     size: int
     values: dict[str, float]
@@ -30,14 +30,14 @@
 
     @property
     def spread(self) -> float:
-        """Largest less smallest value over the seeds, as a share of the mean."""
+        """Difference of the largest and smallest value over the seeds, as a share of the mean."""
         values = self.values.values()
         return (max(values) - min(values)) / abs(self.mean) if self.mean else 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class Figure:
-    """One figure along its axis, with the straight line through its points (least squares)."""
+    """One figure along its axis, with the line fitted to its points by least squares."""
 
     name: str
     unit: str
@@ -45,13 +45,13 @@
     axis: str
     command: str
     points: tuple[Point, ...]
-    slope: float  # units a step of the axis
+    slope: float  # in the figure's unit per step of the axis
     intercept: float
-    residual: float  # largest distance of a point from the line, as a share of the largest value
-    spread: float  # largest of the points' spreads
+    residual: float  # largest deviation of a point from the line, as a share of the largest value
+    spread: float  # largest spread of a point
 
     def at(self, size: float) -> float:
-        """The figure at a size: by the line through its two neighbours, beyond the last one by the slope."""
+        """Value at a size: interpolated between measured sizes, beyond the last extrapolated by the slope."""
         points = self.points
         if size >= points[-1].size:
             return points[-1].mean + self.slope * (size - points[-1].size)
@@ -62,28 +62,37 @@
                 break
         if low.size == high.size:
             return low.mean
-        part = (size - low.size) / (high.size - low.size)
-        return low.mean + part * (high.mean - low.mean)
+        fraction = (size - low.size) / (high.size - low.size)
+        return low.mean + fraction * (high.mean - low.mean)
 
 
 def fit(name: str, unit: str, role: str, axis: str, command: str, points: Iterable[Point]) -> Figure:
-    """A figure with its line."""
-    found = tuple(sorted(points, key=lambda point: point.size))
-    sizes, values = [float(p.size) for p in found], [p.mean for p in found]
-    middle, mean = math.fsum(sizes) / len(sizes), math.fsum(values) / len(values)
-    width = math.fsum((x - middle) ** 2 for x in sizes)
-    pairs = zip(sizes, values, strict=True)
-    slope = math.fsum((x - middle) * (y - mean) for x, y in pairs) / width if width else 0.0
-    intercept = mean - slope * middle
-    off = max(abs(y - intercept - slope * x) for x, y in zip(sizes, values, strict=True))
+    """Fit a line to the points and return the figure."""
+    sorted_points = tuple(sorted(points, key=lambda point: point.size))
+    sizes, values = [float(p.size) for p in sorted_points], [p.mean for p in sorted_points]
+    mean_size, mean = math.fsum(sizes) / len(sizes), math.fsum(values) / len(values)
+    sum_of_squares = math.fsum((x - mean_size) ** 2 for x in sizes)
+    coordinates = zip(sizes, values, strict=True)
+    slope = (
+        math.fsum((x - mean_size) * (y - mean) for x, y in coordinates) / sum_of_squares
+        if sum_of_squares
+        else 0.0
+    )
+    intercept = mean - slope * mean_size
+    max_deviation = max(abs(y - intercept - slope * x) for x, y in zip(sizes, values, strict=True))
     largest = max(map(abs, values))
-    residual = off / largest if largest else 0.0
-    spread = max(p.spread for p in found)
-    return Figure(name, unit, role, axis, command, found, slope, intercept, residual, spread)
+    residual = max_deviation / largest if largest else 0.0
+    spread = max(p.spread for p in sorted_points)
+    return Figure(name, unit, role, axis, command, sorted_points, slope, intercept, residual, spread)
 
 
 class Measurements:
-    """All figures, by name."""
+    """All measured figures.
+
+    Attributes:
+        figures: figures by name.
+        seeds: seeds of the last measurement.
+    """
 
     def __init__(self, figures: Iterable[Figure] = (), seeds: Iterable[int] = ()) -> None:
         self.figures = {figure.name: figure for figure in figures}
@@ -95,32 +104,32 @@
         return self.figures[name]
 
     def with_figures(self, figures: Iterable[Figure], seeds: Iterable[int]) -> Measurements:
-        """These and new ones, which replace those of the same names."""
+        """A copy with `figures` added, replacing figures of the same names, and with `seeds`."""
         merged = {**self.figures, **{figure.name: figure for figure in figures}}
         return Measurements((merged[name] for name in sorted(merged)), seeds)
 
-    def write(self, path: Path = FILE) -> None:
-        """Write the file, whole or not at all."""
+    def write(self, path: Path = MEASUREMENTS_FILE) -> None:
+        """Write the file atomically."""
         document = {
-            "version": VERSION,
+            "version": FORMAT_VERSION,
             "seeds": list(self.seeds),
             "figures": [asdict(self.figures[name]) for name in sorted(self.figures)],
         }
-        beside = path.with_suffix(".new")
-        beside.write_text(json.dumps(document, indent=1) + "\n")
-        beside.replace(path)
+        temporary = path.with_suffix(".new")
+        temporary.write_text(json.dumps(document, indent=1) + "\n")
+        temporary.replace(path)
 
     @classmethod
-    def read(cls, path: Path = FILE) -> Measurements:
+    def read(cls, path: Path = MEASUREMENTS_FILE) -> Measurements:
         """Read the file.
 
         Raises:
-            MeasurementError: it is missing, or has another form.
+            MeasurementError: the file is missing, or has a different format.
         """
         try:
             document = json.loads(path.read_text())
-            if document["version"] != VERSION:
-                raise MeasurementError(f"version: found {document['version']!r}, allowed {VERSION}")
+            if document["version"] != FORMAT_VERSION:
+                raise MeasurementError(f"version: found {document['version']!r}, allowed {FORMAT_VERSION}")
             return cls(map(_figure, document["figures"]), document["seeds"])
         except (OSError, KeyError, TypeError, json.JSONDecodeError) as error:
             raise MeasurementError(f"{path.name}: {type(error).__name__}: {error}") from None
--- a/benchmarks/capacity/operator_figures.py
+++ b/benchmarks/capacity/operator_figures.py
@@ -1,4 +1,4 @@
-"""A hollow probe of what an operator's machine reads: the answer to `vars` of one gateway."""
+"""A hollow probe of an operator's traffic: the size of one gateway's response to `vars`."""
 
 from __future__ import annotations
 
@@ -11,45 +11,47 @@
 
 OK, REFUSED, FAILED = 200, 429, 502
 DAY_S = 86_400
-REQUESTS = int(FULL.requests_per_gateway * DAY_S)  # of a day: as many digits as figures have then
-PARTS = {OK: 0.9, REFUSED: 0.09, FAILED: 0.01}
+REQUESTS_PER_DAY = int(
+    FULL.requests_per_gateway * DAY_S
+)  # gives the figures as many digits as after a full day
+STATUS_SHARES = {OK: 0.9, REFUSED: 0.09, FAILED: 0.01}
 
 
-class Operated:
-    """A gateway after a day at the peak, as its operators see it."""
+class OperatedGateway:
+    """The admin interface of a gateway that has served a day at peak load."""
 
     def __init__(self, classes: int, seed: int) -> None:
         rng = random.Random(seed)
         self._classes = [f"class-{number:03}" for number in range(classes)]
-        self._counts = Metrics()
+        self._metrics = Metrics()
         for name in self._classes:
-            requests = REQUESTS / classes * rng.uniform(0.5, 1.5)
-            self._counts.served[name] = int(requests * PARTS[OK])
-            self._counts.rejected[name] = int(requests * PARTS[REFUSED])
-            self._counts.failed[name] = int(requests * PARTS[FAILED])
-            self._counts.attempts[name] = int(requests)
+            requests = REQUESTS_PER_DAY / classes * rng.uniform(0.5, 1.5)
+            self._metrics.served[name] = int(requests * STATUS_SHARES[OK])
+            self._metrics.rejected[name] = int(requests * STATUS_SHARES[REFUSED])
+            self._metrics.failed[name] = int(requests * STATUS_SHARES[FAILED])
+            self._metrics.attempts[name] = int(requests)
 
     def ready(self) -> bool:
-        """It serves."""
+        """Always true."""
         return True
 
     def phase(self) -> str:
-        """Nobody looks."""
+        """Always empty: recovery is not observed."""
         return ""
 
     def metrics_by_name(self) -> dict[str, object]:
-        """All figures under their public names."""
-        return self._counts.to_dict(self._classes, in_progress=20, known=FULL.hosts, skipped=30)
+        """All metrics by their public names."""
+        return self._metrics.to_dict(self._classes, in_progress=20, known=FULL.hosts, skipped=30)
 
     def override_host(self, host: str, out: bool) -> str:
-        """It always holds."""
+        """Accept any override; '' means no error."""
         return ""
 
 
 def measure(classes: int, seed: int) -> Values:
-    """One answer of a gateway with so many classes."""
-    told = respond(Verb.VARS.encode(), Operated(classes, seed))
-    return {"operator.figures.bytes_per_gateway": float(len(told))}
+    """Measure the response of a gateway with `classes` classes."""
+    answer = respond(Verb.VARS.encode(), OperatedGateway(classes, seed))
+    return {"operator.figures.bytes_per_gateway": float(len(answer))}
 
 
 PROBES = (
--- a/benchmarks/capacity/probes.py
+++ b/benchmarks/capacity/probes.py
@@ -20,7 +20,7 @@
 from benchmarks.capacity.probe import ROLES, Probe
 from benchmarks.capacity.size import SizeError
 
-# Each module of probes has a tuple PROBES of its own.
+# Each module of probes defines a tuple PROBES.
 MODULES: tuple[tuple[Probe, ...], ...] = (
     awake.PROBES,
     regions.PROBES,
@@ -39,16 +39,16 @@
 PROBES: dict[str, Probe] = {probe.name: probe for probes in MODULES for probe in probes}
 
 
-def chosen(names: list[str], role: str | None) -> list[Probe]:
-    """The probes of these names, or all; of one role, or of all.
+def select_probes(names: list[str], role: str | None) -> list[Probe]:
+    """Probes with the given names, or all if there are none, restricted to `role` unless it is None.
 
     Raises:
-        SizeError: a name or a role that there is not.
+        SizeError: a name or the role is unknown.
     """
     if role is not None and role not in ROLES:
         raise SizeError(f"role: found {role!r}, allowed {', '.join(ROLES)}")
     for name in names:
         if name not in PROBES:
             raise SizeError(f"probe: found {name!r}, allowed {', '.join(sorted(PROBES))}")
-    wanted = [PROBES[name] for name in names] if names else list(PROBES.values())
-    return [probe for probe in wanted if role is None or probe.role == role]
+    selected = [PROBES[name] for name in names] if names else list(PROBES.values())
+    return [probe for probe in selected if role is None or probe.role == role]
--- a/benchmarks/capacity/processes.py
+++ b/benchmarks/capacity/processes.py
@@ -1,4 +1,4 @@
-"""Real gateways between stand-ins: started as the platform does, each by its own process id ended."""
+"""Real gateways with stand-ins for hosts, counter and discovery, started as the platform starts them."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from benchmarks.path import PORTS, Process, configuration, launch
 from benchmarks.trees import Tree
 
-LOOP = "127.0.0.1"
+LOOPBACK = "127.0.0.1"
 POLL_S = 0.002
-READY_S = 30.0  # a gateway that is not ready by then is at fault
+READY_S = 30.0  # a gateway that takes longer is treated as failed
 STOP_S = 10.0
-PLANS = [  # a tenant brings 2.3 requests a second over its eight gateways
+PLANS = [  # each tenant sends 2.3 requests/s through its eight gateways
     {"name": "team", "refill": 10.0, "burst": 40.0, "worth_factor": 1.0},
     {
         "name": "wide",
@@ -33,22 +33,26 @@
 
 
 class Gateway:
-    """One real gateway."""
+    """One real gateway process."""
 
     def __init__(self, process: subprocess.Popen[str], port: int, started_at: float) -> None:
         self.process, self.port, self.pid, self._started_at = process, port, process.pid, started_at
 
     def ready_s(self) -> float:
-        """Wait until it takes requests; the time since its process was started, in seconds."""
-        until = time.monotonic() + READY_S
-        while time.monotonic() < until:
+        """Wait until the gateway is ready; returns the seconds since its process was started.
+
+        Raises:
+            RuntimeError: it is not ready within `READY_S` from now.
+        """
+        deadline = time.monotonic() + READY_S
+        while time.monotonic() < deadline:
             if self._is_ready():
                 return time.monotonic() - self._started_at
             time.sleep(POLL_S)
         raise RuntimeError(f"a gateway was not ready in {READY_S:g} s")
 
     def _is_ready(self) -> bool:
-        connection = HTTPConnection(LOOP, self.port, timeout=READY_S)
+        connection = HTTPConnection(LOOPBACK, self.port, timeout=READY_S)
         try:
             connection.request("GET", "/ready")
             return connection.getresponse().status == 200
@@ -56,15 +60,18 @@
             connection.close()
 
     def stop(self) -> None:
-        """End it, and wait for that."""
+        """Kill the process and wait for its end."""
         self.process.kill()
         self.process.wait(STOP_S)
         if self.process.stderr is not None:
             self.process.stderr.close()
 
 
-class Surroundings:
-    """What gateways need: hosts, a counter, discovery's agent; gateways are ended with them."""
+class Testbed:
+    """Stand-ins for hosts, counter and discovery's agent, and the gateways started between them.
+
+    Leaving the context stops all gateways and stand-ins.
+    """
 
     def __init__(self, hosts: int, seed: int) -> None:
         self._seed = seed
@@ -72,12 +79,12 @@
         self._tree = Tree.built()
         self._processes: list[Process] = []
         self._gateways: list[Gateway] = []
-        self.hosts = self._stand_in("hosts", ports=PORTS)
-        self.counter = self._stand_in("counter")
+        self.hosts = self._start_stand_in("hosts", ports=PORTS)
+        self.counter = self._start_stand_in("counter")
         instances = listings.instances(hosts, seed, self.hosts.ports)
-        self.discovery = self._stand_in("registry", instances=instances, watched=True)
+        self.discovery = self._start_stand_in("registry", instances=instances, watched=True)
 
-    def __enter__(self) -> Surroundings:
+    def __enter__(self) -> Testbed:
         return self
 
     def __exit__(
@@ -89,18 +96,18 @@
             process.close()
         self._folder.cleanup()
 
-    def _stand_in(self, role: str, **arguments: Any) -> Process:
+    def _start_stand_in(self, role: str, **arguments: Any) -> Process:
         self._processes.append(Process(role, None, **arguments))
         return self._processes[-1]
 
     def load(self, port: int, customers: int, connections: int) -> Process:
-        """A load on a port, whose customers come through several gateways."""
-        return self._stand_in(
+        """Start a load generator for a port; its requests state that 8 gateways serve each customer."""
+        return self._start_stand_in(
             "load", port=port, customers=customers, connections=connections, spread=8, seed=self._seed
         )
 
     def gateway(self, number: int = 0) -> Gateway:
-        """Start a gateway; it listens, and may not be ready yet."""
+        """Start a gateway; it listens on return, but may not be ready."""
         config = configuration(self.discovery.ports[0], self.counter.ports[0])
         config["name"] = f"gateway-{number}"
         config["seed"] = f"{self._seed:08x}{number:08x}"
@@ -110,7 +117,7 @@
         self._gateways.append(Gateway(process, port, started_at))
         return self._gateways[-1]
 
-    def end(self, gateway: Gateway) -> None:
-        """End one gateway before the others."""
+    def stop_gateway(self, gateway: Gateway) -> None:
+        """Stop one gateway before the testbed is closed."""
         self._gateways.remove(gateway)
         gateway.stop()
--- a/benchmarks/capacity/requests.py
+++ b/benchmarks/capacity/requests.py
@@ -1,4 +1,4 @@
-"""What a gateway's decision module costs by its requests a second, in virtual time."""
+"""Processor time of a gateway's decision module by requests a second, in virtual time."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from benchmarks.capacity.size import FULL
 from benchmarks.module_worker import Play
 
-ANSWER_S = 0.05  # a host's
+HOST_RESPONSE_S = 0.05  # response time of each host
 VIRTUAL_S = 20
-SERIES = 5  # the median one is told
+SERIES_COUNT = 5  # the median series is reported
 
 
 def measure(size: int, seed: int) -> Values:
-    """So many requests a second, with all hosts and the customers that one gateway knows."""
-    out = max(1, round(size * ANSWER_S))
+    """Measure `size` requests a second, with all hosts and the customers of one gateway."""
+    out = max(1, round(size * HOST_RESPONSE_S))
     play = Play(FULL.hosts, CUSTOMERS, seed=seed, gap_ms=1000 / size, out=out)
     play.run(play.requests(max(CUSTOMERS, size), everyone=True))
-    spent = sorted(_series_s(play, size * VIRTUAL_S // SERIES) for _ in range(SERIES))
-    return {"requests.module.cpu_share": spent[SERIES // 2] * SERIES / VIRTUAL_S}
+    spent = sorted(_series_s(play, size * VIRTUAL_S // SERIES_COUNT) for _ in range(SERIES_COUNT))
+    return {"requests.module.cpu_share": spent[SERIES_COUNT // 2] * SERIES_COUNT / VIRTUAL_S}
 
 
 def _series_s(play: Play, count: int) -> float:
--- a/benchmarks/capacity/resources.py
+++ b/benchmarks/capacity/resources.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of this process and of others, as the kernel counts them."""
+"""Processor time and memory of this and other processes, as reported by the kernel."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 def process_cpu_s(pid: int) -> float:
-    """Processor seconds that a process has used (schedstat)."""
+    """Processor time used by a process, in seconds (schedstat)."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
 
 
 def core_wait_s(pid: int) -> float:
-    """Seconds for which a process was ready to run and had no core (schedstat): other load of the machine."""
+    """Time a process was runnable without a core, in seconds (schedstat), due to other load."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
 
 
 def resident_mb(pid: int | str = "self") -> float:
-    """Resident memory of a process, in MB, with all that it shares (VmRSS)."""
+    """Resident memory of a process, in MB, including all shared pages (VmRSS)."""
     return _field_kb(Path(f"/proc/{pid}/status"), "VmRSS:") / KB_PER_MB
 
 
 def proportional_mb(pid: int) -> float:
-    """Memory of a process, in MB, with its part of what it shares (PSS); resident where that is not told."""
+    """Proportional set size of a process, in MB; resident memory where the kernel does not report it."""
     try:
         return _field_kb(Path(f"/proc/{pid}/smaps_rollup"), "Pss:") / KB_PER_MB
     except (OSError, ValueError):
@@ -43,26 +43,29 @@
 
 
 def median_cpu_s(work: Callable[[], object], repeats: int) -> float:
-    """Median processor time of a piece of work in this process, in seconds; no collection falls into it."""
-    taken = []
+    """Median processor time of `work` in this process, in seconds, with the garbage collector disabled."""
+    durations = []
     for _ in range(repeats):
         gc.collect()
         gc.disable()
-        began = time.process_time()
+        started = time.process_time()
         work()
-        taken.append(time.process_time() - began)
+        durations.append(time.process_time() - started)
         gc.enable()
-    return statistics.median(taken)
+    return statistics.median(durations)
 
 
 class MemoryGrowth:
-    """Resident growth of this process from here on; for a fresh process, whose heap holds no free room."""
+    """Growth of this process's resident memory since the creation of this object.
+
+    Only meaningful in a new process: free memory in an older heap would hide allocations.
+    """
 
     def __init__(self) -> None:
         gc.collect()
         self._before_mb = resident_mb()
 
     def mb(self) -> float:
-        """Growth so far, in MB, what is garbage taken away."""
+        """Growth so far, in MB, after a garbage collection."""
         gc.collect()
         return resident_mb() - self._before_mb
--- a/benchmarks/capacity/row.py
+++ b/benchmarks/capacity/row.py
@@ -1,4 +1,4 @@
-"""A row of the page: one use of one resource by one role, worked out from measured figures."""
+"""A row of the page: one use of a resource by a role, computed from measured figures."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Role(Enum):
-    """Who has the use."""
+    """Part of the system that uses the resource."""
 
     GATEWAY = "gateway"
     COUNTER = "counter and the three control machines"
@@ -23,7 +23,7 @@
 
 
 class Resource(Enum):
-    """What is used."""
+    """Kind of resource that a row accounts for."""
 
     STATE = "state"
     MESSAGES = "messages"
@@ -33,15 +33,15 @@
     REFUSALS = "refusals and units beyond quotas"
 
 
-class Mend(Enum):
-    """What it takes to bring a row under its budget."""
+class Remedy(Enum):
+    """Whether bringing a row under its budget needs a new protocol; the value is shown on the page."""
 
-    WITHIN = "no"
+    EXISTING_PROTOCOL = "no"
     NEW_PROTOCOL = "yes"
 
 
-class Take(Enum):
-    """What a row takes from a figure."""
+class ReadingKind(Enum):
+    """Which value of a figure a row uses."""
 
     AT = "at a size"
     LARGEST = "at the largest size measured"
@@ -50,49 +50,49 @@
 
 @dataclass(slots=True, frozen=True)
 class Reading:
-    """What a row takes from one measured figure; `size` counts for `Take.AT` alone."""
+    """A value of one measured figure that a row uses; `size` applies only to `ReadingKind.AT`."""
 
     figure: str
-    take: Take
+    kind: ReadingKind
     size: float = 0.0
 
     def value(self, measured: Measurements) -> float:
-        """The value, in the figure's unit, or in its unit a step of its axis for a slope.
+        """The value in the figure's unit; for a slope, in this unit per step of the axis.
 
         Raises:
             MeasurementError: the figure was not measured.
         """
         figure = measured[self.figure]
-        match self.take:
-            case Take.AT:
+        match self.kind:
+            case ReadingKind.AT:
                 return figure.at(self.size)
-            case Take.LARGEST:
+            case ReadingKind.LARGEST:
                 return figure.points[-1].mean
-            case Take.SLOPE:
+            case ReadingKind.SLOPE:
                 return figure.slope
 
 
-def at(figure: str, size: float) -> Reading:
-    """A figure at a size."""
-    return Reading(figure, Take.AT, size)
+def at_size(figure: str, size: float) -> Reading:
+    """Reading of a figure at a size, interpolated or extrapolated."""
+    return Reading(figure, ReadingKind.AT, size)
 
 
 def largest(figure: str) -> Reading:
-    """A figure at the largest size that was measured, where its slope says nothing beyond that."""
-    return Reading(figure, Take.LARGEST)
+    """Reading of a figure at the largest measured size, for figures that cannot be extrapolated."""
+    return Reading(figure, ReadingKind.LARGEST)
 
 
 def slope(figure: str) -> Reading:
-    """A figure's slope."""
-    return Reading(figure, Take.SLOPE)
+    """Reading of a figure's slope."""
+    return Reading(figure, ReadingKind.SLOPE)
 
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """One use of one resource by one role in one situation.
+    """One use of a resource by a role in a situation.
 
-    `formula` takes the values of `readings` in their order and returns the use in `unit`; `worked` says the
-    same in words. A row without a formula has no mechanism that carries it: its use over budget is infinite.
+    `formula` takes the values of `readings` in order and returns the use in `unit`; `derivation` describes
+    the formula in words. A row without a formula has no mechanism yet: its use is infinite.
     """
 
     role: Role
@@ -100,27 +100,27 @@
     situation: Situation
     what: str
     unit: str
-    budget: float | None  # in `unit`; None: none is given
-    worked: str
-    mechanism: str | None  # None: none yet
+    budget: float | None  # in `unit`; None if no budget is given
+    derivation: str
+    mechanism: str | None  # None if there is none yet
     readings: tuple[Reading, ...] = ()
     formula: Callable[..., float] | None = None
-    mend: Mend = Mend.WITHIN
-    how: str = ""  # what would bring it under its budget
+    remedy: Remedy = Remedy.EXISTING_PROTOCOL
+    how: str = ""  # what would bring the row under its budget
     assumed: tuple[Assumption, ...] = ()
 
     @property
     def name(self) -> str:
-        """What tells it from all others."""
+        """Name of the row, unique on the page."""
         return f"{self.role.value}, {self.resource.value}: {self.what}, {self.situation.name}"
 
     def missing(self, measured: Measurements) -> list[str]:
-        """Names of its figures that were not measured."""
+        """Names of the row's figures that were not measured."""
         names = dict.fromkeys(reading.figure for reading in self.readings)
         return [name for name in names if name not in measured.figures]
 
     def use(self, measured: Measurements) -> float | None:
-        """Its use in `unit`; infinite with no mechanism; None where a figure was not measured."""
+        """The use in `unit`; infinite without a formula; None if a figure was not measured."""
         if self.formula is None:
             return math.inf
         try:
@@ -128,8 +128,8 @@
         except MeasurementError:
             return None
 
-    def over(self, measured: Measurements) -> float | None:
-        """Use over budget; None where one of them is not known."""
+    def budget_ratio(self, measured: Measurements) -> float | None:
+        """Use divided by the budget; infinite without a formula, None if the use or the budget is unknown."""
         use = self.use(measured)
         if use is None or math.isinf(use):
             return use
--- a/benchmarks/capacity/rows_control.py
+++ b/benchmarks/capacity/rows_control.py
@@ -4,54 +4,60 @@
 
 from benchmarks.capacity.assumptions import (
     CONTROL_MACHINE_MEMORY_MB,
-    GATEWAYS_OF_A_ZONE,
-    GATEWAYS_SEEING_A_CUSTOMER,
-    MACHINES_OF_CONTROL_CORES,
-    NAMES_OF_A_CUSTOMER,
-    ORDINARY_PART,
-    PLATFORM_COUNTER,
+    CORES_PER_CONTROL_MACHINE,
+    COUNTER_NAMES_PER_CUSTOMER,
+    GATEWAYS_PER_CUSTOMER,
+    GATEWAYS_PER_ZONE,
+    MEAN_LOAD_SHARE,
+    PLATFORM_COUNTER_CAPACITY,
 )
-from benchmarks.capacity.row import Mend, Resource, Role, Row, at, largest
+from benchmarks.capacity.row import Remedy, Resource, Role, Row, at_size, largest
 from benchmarks.capacity.situations import (
-    MACHINE,
-    ORDINARY,
+    MACHINE_LOSS,
+    ORDINARY_DAY,
     PEAK,
-    RACK,
-    REGIONS,
-    RESTART,
-    ZONE,
+    RACK_LOSS,
+    REGION_PARTITION,
+    ZONE_LOSS,
+    ZONE_RESTART,
     Situation,
 )
 from benchmarks.capacity.size import FULL
-from benchmarks.capacity.terms import AHEAD, COUNTER, RELOAD, SEEING, USE
+from benchmarks.capacity.terms import (
+    CALL_OWNING_COUNTER,
+    COUNTER_MECHANISM,
+    LOAD_LABELS,
+    RELOAD_MECHANISM,
+    REPLICAS,
+)
 
-CORES = FULL.control_machines * MACHINES_OF_CONTROL_CORES.value
-NAMES = FULL.tenants * NAMES_OF_A_CUSTOMER.value
+CORES = FULL.control_machines * CORES_PER_CONTROL_MACHINE.value
+NAMES = FULL.tenants * COUNTER_NAMES_PER_CUSTOMER.value
 ONE_PROCESS = "one process has all names (`counter/service.py`)"
 SPLIT_NAMES = "names split among the machines, which the protocol allows"
 
 
-def platform_calls(situation: Situation, load: str = "half", seeing: int = SEEING) -> Row:
-    """Calls a second to the platform's counter."""
+def platform_calls_row(situation: Situation, load: str = "half", replicas: int = REPLICAS) -> Row:
+    """Row of the calls a second to the platform's counter."""
     rate = situation.requests_per_s
     return Row(
         role=Role.COUNTER,
         resource=Resource.MESSAGES,
         situation=situation,
-        what=f"calls to the platform's counter, {USE[load]}, a customer seen by {seeing}",
+        what=f"calls to the platform's counter, {LOAD_LABELS[load]}, a customer seen by {replicas}",
         unit="calls/s",
-        budget=PLATFORM_COUNTER.value,
-        worked=f"calls a request x {rate:,.0f} requests/s",
-        mechanism=COUNTER,
-        readings=(at(f"counting.{load}.calls_per_request", seeing),),
+        budget=PLATFORM_COUNTER_CAPACITY.value,
+        derivation=f"calls a request x {rate:,.0f} requests/s",
+        mechanism=COUNTER_MECHANISM,
+        readings=(at_size(f"counting.{load}.calls_per_request", replicas),),
         formula=lambda calls: calls * rate,
-        how=AHEAD,
-        assumed=(PLATFORM_COUNTER, GATEWAYS_SEEING_A_CUSTOMER, ORDINARY_PART),
+        how=CALL_OWNING_COUNTER,
+        assumed=(PLATFORM_COUNTER_CAPACITY, GATEWAYS_PER_CUSTOMER, MEAN_LOAD_SHARE),
     )
 
 
-def own_calls(situation: Situation, cores: float = CORES) -> Row:
-    """Processor time of our own counter for the same calls; on several machines names would be split."""
+def own_calls_row(situation: Situation, cores: float = CORES) -> Row:
+    """Row of our own counter's processor time for these calls; names are split if there are several cores."""
     rate = situation.requests_per_s
     return Row(
         role=Role.COUNTER,
@@ -60,81 +66,83 @@
         what=(
             f"our own counter on {cores:g} control machine{'s' * (cores > 1)}, half of each quota used, a"
             " customer seen by"
-            f" {SEEING}"
+            f" {REPLICAS}"
         ),
         unit="cores",
         budget=cores,
-        worked=f"calls a request x {rate:,.0f} requests/s / calls a second of a core",
+        derivation=f"calls a request x {rate:,.0f} requests/s / calls a second of a core",
         mechanism=None if cores > 1 else ONE_PROCESS,
         readings=(
-            at("counting.half.calls_per_request", SEEING),
+            at_size("counting.half.calls_per_request", REPLICAS),
             largest("counter.service.calls_per_s_of_a_core"),
         ),
         formula=lambda calls, capacity: calls * rate / capacity,
-        how=f"{AHEAD}; {SPLIT_NAMES}",
-        assumed=(MACHINES_OF_CONTROL_CORES, GATEWAYS_SEEING_A_CUSTOMER),
+        how=f"{CALL_OWNING_COUNTER}; {SPLIT_NAMES}",
+        assumed=(CORES_PER_CONTROL_MACHINE, GATEWAYS_PER_CUSTOMER),
     )
 
 
 ROWS = (
-    platform_calls(ORDINARY),
-    *(platform_calls(PEAK, "half", seeing) for seeing in (1, 3, SEEING, 24)),
-    platform_calls(PEAK, "ninety"),
-    platform_calls(PEAK, "flood"),
-    *(platform_calls(situation) for situation in (MACHINE, RACK, ZONE, REGIONS)),
+    platform_calls_row(ORDINARY_DAY),
+    *(platform_calls_row(PEAK, "half", replicas) for replicas in (1, 3, REPLICAS, 24)),
+    platform_calls_row(PEAK, "ninety"),
+    platform_calls_row(PEAK, "flood"),
+    *(platform_calls_row(situation) for situation in (MACHINE_LOSS, RACK_LOSS, ZONE_LOSS, REGION_PARTITION)),
     Row(
         role=Role.COUNTER,
         resource=Resource.MESSAGES,
         situation=PEAK,
         what="calls of 710 gateways to the platform's counter, as played",
         unit="calls/s",
-        budget=PLATFORM_COUNTER.value,
-        worked="as measured",
-        mechanism=COUNTER,
-        readings=(at("counting.fleet.calls_per_s", FULL.gateways),),
+        budget=PLATFORM_COUNTER_CAPACITY.value,
+        derivation="as measured",
+        mechanism=COUNTER_MECHANISM,
+        readings=(at_size("counting.fleet.calls_per_s", FULL.gateways),),
         formula=lambda calls: calls,
-        how=AHEAD,
-        assumed=(PLATFORM_COUNTER,),
+        how=CALL_OWNING_COUNTER,
+        assumed=(PLATFORM_COUNTER_CAPACITY,),
     ),
     Row(
         role=Role.COUNTER,
         resource=Resource.MESSAGES,
-        situation=RESTART,
+        situation=ZONE_RESTART,
         what="calls in the first second to the platform's counter",
         unit="calls/s",
-        budget=PLATFORM_COUNTER.value,
-        worked=f"calls of a gateway in its first second x {GATEWAYS_OF_A_ZONE.value:g} gateways",
-        mechanism=COUNTER,
+        budget=PLATFORM_COUNTER_CAPACITY.value,
+        derivation=f"calls of a gateway in its first second x {GATEWAYS_PER_ZONE.value:g} gateways",
+        mechanism=COUNTER_MECHANISM,
         readings=(
-            at("counting.burst_of_starts.calls_in_first_second_per_gateway", GATEWAYS_OF_A_ZONE.value),
+            at_size("counting.burst_of_starts.calls_in_first_second_per_gateway", GATEWAYS_PER_ZONE.value),
         ),
-        formula=lambda calls: calls * GATEWAYS_OF_A_ZONE.value,
+        formula=lambda calls: calls * GATEWAYS_PER_ZONE.value,
         how="fresh gateways ask less at first",
-        assumed=(PLATFORM_COUNTER, GATEWAYS_OF_A_ZONE),
+        assumed=(PLATFORM_COUNTER_CAPACITY, GATEWAYS_PER_ZONE),
+    ),
+    own_calls_row(ORDINARY_DAY),
+    own_calls_row(PEAK, CORES_PER_CONTROL_MACHINE.value),
+    own_calls_row(PEAK),
+    *(
+        own_calls_row(situation, CORES - CORES_PER_CONTROL_MACHINE.value)
+        for situation in (MACHINE_LOSS, RACK_LOSS, ZONE_LOSS)
     ),
-    own_calls(ORDINARY),
-    own_calls(PEAK, MACHINES_OF_CONTROL_CORES.value),
-    own_calls(PEAK),
-    *(own_calls(situation, CORES - MACHINES_OF_CONTROL_CORES.value) for situation in (MACHINE, RACK, ZONE)),
     Row(
         role=Role.COUNTER,
         resource=Resource.PROCESSOR,
-        situation=RESTART,
+        situation=ZONE_RESTART,
         what=f"our own counter on {CORES:g} control machines, first second",
         unit="cores",
         budget=CORES,
-        worked=(
-            f"calls of a gateway in its first second x {GATEWAYS_OF_A_ZONE.value:g} / calls a second of a"
-            " core"
+        derivation=(
+            f"calls of a gateway in its first second x {GATEWAYS_PER_ZONE.value:g} / calls a second of a core"
         ),
         mechanism=None,
         readings=(
-            at("counting.burst_of_starts.calls_in_first_second_per_gateway", GATEWAYS_OF_A_ZONE.value),
+            at_size("counting.burst_of_starts.calls_in_first_second_per_gateway", GATEWAYS_PER_ZONE.value),
             largest("counter.service.calls_per_s_of_a_core"),
         ),
-        formula=lambda calls, capacity: calls * GATEWAYS_OF_A_ZONE.value / capacity,
+        formula=lambda calls, capacity: calls * GATEWAYS_PER_ZONE.value / capacity,
         how="fresh gateways ask less at first",
-        assumed=(MACHINES_OF_CONTROL_CORES, GATEWAYS_OF_A_ZONE),
+        assumed=(CORES_PER_CONTROL_MACHINE, GATEWAYS_PER_ZONE),
     ),
     Row(
         role=Role.COUNTER,
@@ -143,34 +151,34 @@
         what=f"names kept: {NAMES:,.0f}",
         unit="MB",
         budget=CONTROL_MACHINE_MEMORY_MB.value,
-        worked=f"memory at {NAMES:,.0f} names",
+        derivation=f"memory at {NAMES:,.0f} names",
         mechanism="names live for a window and no more (`counter/store.py`)",
-        readings=(at("counter.store.memory_mb", NAMES),),
+        readings=(at_size("counter.store.memory_mb", NAMES),),
         formula=lambda memory: memory,
-        assumed=(NAMES_OF_A_CUSTOMER, CONTROL_MACHINE_MEMORY_MB),
+        assumed=(COUNTER_NAMES_PER_CUSTOMER, CONTROL_MACHINE_MEMORY_MB),
     ),
     Row(
         role=Role.COUNTER,
         resource=Resource.TIME,
-        situation=ORDINARY,
+        situation=ORDINARY_DAY,
         what="platform's start: a change of configuration at all 710 gateways",
         unit="s",
         budget=FULL.change_in_force_s,
-        worked="nothing carries a change to the gateways: each file is replaced by hand",
+        derivation="nothing carries a change to the gateways: each file is replaced by hand",
         mechanism=None,
-        mend=Mend.NEW_PROTOCOL,
+        remedy=Remedy.NEW_PROTOCOL,
         how="distribution from the control machines, with versions and what each gateway has",
     ),
     Row(
         role=Role.COUNTER,
         resource=Resource.TIME,
-        situation=ORDINARY,
+        situation=ORDINARY_DAY,
         what="hosted service: a change of configuration at all 710 gateways",
         unit="s",
         budget=FULL.change_in_force_s,
-        worked=f"nothing carries a change to the gateways; each then takes it by {RELOAD}",
+        derivation=f"nothing carries a change to the gateways; each then takes it by {RELOAD_MECHANISM}",
         mechanism=None,
-        mend=Mend.NEW_PROTOCOL,
+        remedy=Remedy.NEW_PROTOCOL,
         how="distribution from the control machines, with versions and what each gateway has",
     ),
 )
--- a/benchmarks/capacity/rows_memory.py
+++ b/benchmarks/capacity/rows_memory.py
@@ -1,16 +1,25 @@
-"""Rows of the gateway: its memory, and the times that its clients and operators see."""
+"""Rows of the gateway: memory, processor time of the process, and times seen by clients and operators."""
 
 from __future__ import annotations
 
-from benchmarks.capacity.assumptions import GATEWAYS_SEEING_A_CUSTOMER, REQUEST_PATH_SHARE
-from benchmarks.capacity.row import Resource, Role, Row, at, slope
-from benchmarks.capacity.situations import MACHINE, ORDINARY, PEAK, RACK, REGIONS, RESTART, ZONE, Situation
+from benchmarks.capacity.assumptions import GATEWAYS_PER_CUSTOMER, REQUEST_PATH_SHARE
+from benchmarks.capacity.row import Resource, Role, Row, at_size, slope
+from benchmarks.capacity.situations import (
+    MACHINE_LOSS,
+    ORDINARY_DAY,
+    PEAK,
+    RACK_LOSS,
+    REGION_PARTITION,
+    ZONE_LOSS,
+    ZONE_RESTART,
+    Situation,
+)
 from benchmarks.capacity.size import FULL
-from benchmarks.capacity.terms import CUSTOMERS_OF_A_GATEWAY, LIST, RELOAD, SEEING
+from benchmarks.capacity.terms import CUSTOMERS_PER_GATEWAY, LIST_MECHANISM, RELOAD_MECHANISM, REPLICAS
 
 
-def request_path(situation: Situation) -> tuple[Row, ...]:
-    """Processor time and added time of a real gateway."""
+def request_path_rows(situation: Situation) -> tuple[Row, ...]:
+    """Rows of a real gateway's processor time and added latency."""
     rate = situation.requests_per_gateway
     return (
         Row(
@@ -20,10 +29,10 @@
             what="the whole process, request path and control",
             unit="cores",
             budget=REQUEST_PATH_SHARE.value,
-            worked=f"share of a core at {rate:.0f} requests/s",
+            derivation=f"share of a core at {rate:.0f} requests/s",
             mechanism="one process on one core",
-            readings=(at("anchors.gateway.cpu_share", rate),),
-            formula=lambda share: share,
+            readings=(at_size("anchors.gateway.cpu_share", rate),),
+            formula=lambda unbudgeted_row: unbudgeted_row,
             assumed=(REQUEST_PATH_SHARE,),
         ),
         Row(
@@ -33,9 +42,9 @@
             what="time added to a request at p99",
             unit="ms",
             budget=FULL.added_p99_ms,
-            worked=f"at {rate:.0f} requests/s",
+            derivation=f"at {rate:.0f} requests/s",
             mechanism="one process on one core",
-            readings=(at("anchors.gateway.added_p99_ms", rate),),
+            readings=(at_size("anchors.gateway.added_p99_ms", rate),),
             formula=lambda added: added,
         ),
     )
@@ -46,38 +55,38 @@
         role=Role.GATEWAY,
         resource=Resource.MEMORY,
         situation=PEAK,
-        what=f"platform's start, a customer seen by {SEEING}",
+        what=f"platform's start, a customer seen by {REPLICAS}",
         unit="MB",
         budget=FULL.control_memory_mb,
-        worked=f"process with 9,000 hosts + slope of a customer x {CUSTOMERS_OF_A_GATEWAY:.0f} customers",
+        derivation=f"process with 9,000 hosts + slope of a customer x {CUSTOMERS_PER_GATEWAY:.0f} customers",
         mechanism="customers kept for two minutes, 8,192 at the most",
-        readings=(at("anchors.list.memory_mb", FULL.hosts), slope("tenants.customers.memory_mb")),
-        formula=lambda process, customer: process + customer * CUSTOMERS_OF_A_GATEWAY,
-        assumed=(GATEWAYS_SEEING_A_CUSTOMER,),
+        readings=(at_size("anchors.list.memory_mb", FULL.hosts), slope("tenants.customers.memory_mb")),
+        formula=lambda process, customer: process + customer * CUSTOMERS_PER_GATEWAY,
+        assumed=(GATEWAYS_PER_CUSTOMER,),
     ),
     Row(
         role=Role.GATEWAY,
         resource=Resource.MEMORY,
-        situation=RESTART,
+        situation=ZONE_RESTART,
         what="platform's start, all 62,000 customers through one gateway",
         unit="MB",
         budget=FULL.control_memory_mb,
-        worked="process with 9,000 hosts + slope of a customer x 62,000 customers",
+        derivation="process with 9,000 hosts + slope of a customer x 62,000 customers",
         mechanism="`most_customers` has to be raised from 8,192",
-        readings=(at("anchors.list.memory_mb", FULL.hosts), slope("tenants.customers.memory_mb")),
+        readings=(at_size("anchors.list.memory_mb", FULL.hosts), slope("tenants.customers.memory_mb")),
         formula=lambda process, customer: process + customer * FULL.tenants,
     ),
     Row(
         role=Role.GATEWAY,
         resource=Resource.MEMORY,
-        situation=ORDINARY,
+        situation=ORDINARY_DAY,
         what="hosted service, 62,000 tenants asleep, with two routes and a host each",
         unit="MB",
         budget=FULL.control_memory_mb,
-        worked="process + slope of an idle tenant x 62,000",
+        derivation="process + slope of an idle tenant x 62,000",
         mechanism="a record for each tenant asleep (`tenants/registry.py`)",
         readings=(
-            at("anchors.gateway.memory_mb", PEAK.requests_per_gateway),
+            at_size("anchors.gateway.memory_mb", PEAK.requests_per_gateway),
             slope("tenants.idle.memory_mb"),
         ),
         formula=lambda process, tenant: process + tenant * FULL.tenants,
@@ -88,13 +97,13 @@
 ROUTES = Row(
     role=Role.GATEWAY,
     resource=Resource.MEMORY,
-    situation=ORDINARY,
+    situation=ORDINARY_DAY,
     what="hosted service: the index of 5,200 routes, none alike",
     unit="MB",
     budget=FULL.control_memory_mb,
-    worked="as measured",
+    derivation="as measured",
     mechanism="the router's dictionaries (`tenants/`)",
-    readings=(at("routes.lookup.memory_mb", FULL.routes),),
+    readings=(at_size("routes.lookup.memory_mb", FULL.routes),),
     formula=lambda index: index,
 )
 
@@ -102,40 +111,44 @@
     role=Role.GATEWAY,
     resource=Resource.MEMORY,
     situation=PEAK,
-    what=f"hosted service, {CUSTOMERS_OF_A_GATEWAY:.0f} of the tenants awake, beside those asleep",
+    what=f"hosted service, {CUSTOMERS_PER_GATEWAY:.0f} of the tenants awake, beside those asleep",
     unit="MB",
     budget=FULL.control_memory_mb,
-    worked=f"slope of a tenant awake x {CUSTOMERS_OF_A_GATEWAY:.0f}",
+    derivation=f"slope of a tenant awake x {CUSTOMERS_PER_GATEWAY:.0f}",
     mechanism="a decision module for each tenant awake (`tenants/registry.py`)",
     readings=(slope("tenants.awake.memory_mb"),),
-    formula=lambda tenant: tenant * CUSTOMERS_OF_A_GATEWAY,
-    assumed=(GATEWAYS_SEEING_A_CUSTOMER,),
+    formula=lambda tenant: tenant * CUSTOMERS_PER_GATEWAY,
+    assumed=(GATEWAYS_PER_CUSTOMER,),
 )
 
 TIME = (
-    *(row for situation in (PEAK, MACHINE, RACK, ZONE, REGIONS) for row in request_path(situation)),
+    *(
+        row
+        for situation in (PEAK, MACHINE_LOSS, RACK_LOSS, ZONE_LOSS, REGION_PARTITION)
+        for row in request_path_rows(situation)
+    ),
     Row(
         role=Role.GATEWAY,
         resource=Resource.TIME,
-        situation=RESTART,
+        situation=ZONE_RESTART,
         what="ready after a start with the whole list",
         unit="s",
         budget=FULL.change_in_force_s,
-        worked="ms to ready / 1,000",
-        mechanism=LIST,
-        readings=(at("anchors.list.ready_ms", FULL.hosts),),
+        derivation="ms to ready / 1,000",
+        mechanism=LIST_MECHANISM,
+        readings=(at_size("anchors.list.ready_ms", FULL.hosts),),
         formula=lambda ready: ready / 1000,
     ),
     Row(
         role=Role.GATEWAY,
         resource=Resource.TIME,
-        situation=ORDINARY,
+        situation=ORDINARY_DAY,
         what="hosted service: a change is read and taken",
         unit="s",
         budget=FULL.change_in_force_s,
-        worked="ms of a change, with the reading, / 1,000, once the file is there",
-        mechanism=RELOAD,
-        readings=(at("tenants.configuration.change_ms", FULL.tenants),),
+        derivation="ms of a change, with the reading, / 1,000, once the file is there",
+        mechanism=RELOAD_MECHANISM,
+        readings=(at_size("tenants.configuration.change_ms", FULL.tenants),),
         formula=lambda change: change / 1000,
         how="only what changed is read",
     ),
--- a/benchmarks/capacity/rows_refusals.py
+++ b/benchmarks/capacity/rows_refusals.py
@@ -1,23 +1,25 @@
-"""Rows of what clients and hosts see of the counting: refusals, and units beyond quotas."""
+"""Rows of what clients and hosts see of quotas: rejected requests, and units beyond quotas."""
 
 from __future__ import annotations
 
 from benchmarks.capacity.assumptions import (
-    GATEWAYS_OF_A_ZONE,
-    GATEWAYS_SEEING_A_CUSTOMER,
-    PART_WITHOUT_COUNTER,
-    REGIONS_APART_S,
+    GATEWAYS_PER_CUSTOMER,
+    GATEWAYS_PER_ZONE,
+    REGION_PARTITION_S,
+    SHARE_WITHOUT_COUNTER,
 )
-from benchmarks.capacity.row import Reading, Resource, Role, Row, at, largest
-from benchmarks.capacity.situations import MACHINE, PEAK, REGIONS, RESTART, Situation
-from benchmarks.capacity.terms import COUNTER, SEEING, USE
+from benchmarks.capacity.row import Reading, Resource, Role, Row, at_size, largest
+from benchmarks.capacity.situations import MACHINE_LOSS, PEAK, REGION_PARTITION, ZONE_RESTART, Situation
+from benchmarks.capacity.terms import COUNTER_MECHANISM, LOAD_LABELS, REPLICAS
 
-CROWDED_CUSTOMERS = 4_000  # as many a gateway as at the full size, with 48 gateways
-SPLIT = "the even split of a counter that does not answer (`quotas/`)"
+CROWDED_CUSTOMERS = 4_000  # on 48 gateways: the same number per gateway as at full size
+EVEN_SPLIT_MECHANISM = "the even split of a counter that does not answer (`quotas/`)"
 
 
-def share(situation: Situation, what: str, reading: Reading, mechanism: str, unit: str = "of all") -> Row:
-    """What was measured and has no budget."""
+def unbudgeted_row(
+    situation: Situation, what: str, reading: Reading, mechanism: str, unit: str = "of all"
+) -> Row:
+    """Row of a measured figure without a budget."""
     return Row(
         role=Role.GATEWAY,
         resource=Resource.REFUSALS,
@@ -25,29 +27,29 @@
         what=what,
         unit=unit,
         budget=None,
-        worked="as measured",
+        derivation="as measured",
         mechanism=mechanism,
         readings=(reading,),
         formula=lambda value: value,
     )
 
 
-ONE_SET = tuple(
-    share(
+REPLICA_SET = tuple(
+    unbudgeted_row(
         PEAK,
-        f"{what}, {USE[load]}, a customer seen by {SEEING}",
-        at(f"counting.{load}.{figure}", SEEING),
-        COUNTER,
+        f"{what}, {LOAD_LABELS[load]}, a customer seen by {REPLICAS}",
+        at_size(f"counting.{load}.{figure}", REPLICAS),
+        COUNTER_MECHANISM,
     )
     for load in ("half", "ninety", "flood")
     for what, figure in (("requests refused", "refused_share"), ("units beyond quotas", "beyond_share"))
 )
 CROWDED = tuple(
-    share(
+    unbudgeted_row(
         PEAK,
         f"{what}, 48 gateways on a counter of 600 calls/s",
-        at(f"counting.crowded.{figure}", CROWDED_CUSTOMERS),
-        SPLIT,
+        at_size(f"counting.crowded.{figure}", CROWDED_CUSTOMERS),
+        EVEN_SPLIT_MECHANISM,
     )
     for what, figure in (
         ("calls to the counter that are answered", "answered_share"),
@@ -56,38 +58,38 @@
     )
 )
 RESTARTED = (
-    share(
-        RESTART,
+    unbudgeted_row(
+        ZONE_RESTART,
         "requests refused by the restarted in their first 10 s",
-        at("counting.burst_of_starts.refused_share_first_10_s", GATEWAYS_OF_A_ZONE.value),
-        COUNTER,
+        at_size("counting.burst_of_starts.refused_share_first_10_s", GATEWAYS_PER_ZONE.value),
+        COUNTER_MECHANISM,
     ),
 )
-APART = tuple(
+PARTITION = tuple(
     Row(
         role=Role.GATEWAY,
         resource=Resource.REFUSALS,
-        situation=REGIONS,
+        situation=REGION_PARTITION,
         what=what,
         unit="of all",
         budget=None,
-        worked=f"as measured: every second gateway of a customer without the counter, {SEEING} in all",
-        mechanism=SPLIT,
-        readings=(at(f"counting.regions.{figure}", SEEING),),
+        derivation=f"as measured: every second gateway of a customer without the counter, {REPLICAS} in all",
+        mechanism=EVEN_SPLIT_MECHANISM,
+        readings=(at_size(f"counting.regions.{figure}", REPLICAS),),
         formula=lambda value: value,
-        assumed=(PART_WITHOUT_COUNTER, REGIONS_APART_S, GATEWAYS_SEEING_A_CUSTOMER),
+        assumed=(SHARE_WITHOUT_COUNTER, REGION_PARTITION_S, GATEWAYS_PER_CUSTOMER),
     )
     for what, figure in (
-        (f"requests refused, {USE['half']}", "refused_share"),
-        (f"units beyond quotas, {USE['flood']}", "beyond_share"),
+        (f"requests refused, {LOAD_LABELS['half']}", "refused_share"),
+        (f"units beyond quotas, {LOAD_LABELS['flood']}", "beyond_share"),
     )
 )
-SCHEDULES = share(
-    MACHINE,
+SCHEDULES = unbudgeted_row(
+    MACHINE_LOSS,
     "units beyond quotas of a customer, 99th of 100: drawn faults, far more often than in service",
     largest("counting.schedules.beyond_of_burst_p99"),
-    COUNTER,
+    COUNTER_MECHANISM,
     "bursts",
 )
 
-ROWS = (*ONE_SET, *CROWDED, *RESTARTED, SCHEDULES, *APART)
+ROWS = (*REPLICA_SET, *CROWDED, *RESTARTED, SCHEDULES, *PARTITION)
--- a/benchmarks/capacity/schedules.py
+++ b/benchmarks/capacity/schedules.py
@@ -1,4 +1,4 @@
-"""A hollow probe of quotas under faults: many short schedules, each with a few faults, drawn from seeds."""
+"""A hollow probe of quotas under faults: many short schedules with a few faults each, drawn from seeds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ScheduleError(RuntimeError):
-    """Schedules that raised, or broke a bound of leases; the text names their seeds."""
+    """Schedules raised an error or violated a bound of leases; the message names their seeds."""
 
 
 def _schedules(count: int, seed: int) -> Values:
--- a/benchmarks/capacity/situations.py
+++ b/benchmarks/capacity/situations.py
@@ -1,24 +1,28 @@
-"""The situations that each role is worked out for, and what each leaves of the gateways and the load."""
+"""The situations for which each role's use is computed, with the load and the remaining gateways of each."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 from benchmarks.capacity.assumptions import (
-    GATEWAYS_OF_A_ZONE,
-    MACHINES_OF_A_RACK,
-    ORDINARY_PART,
-    PART_WITHOUT_COUNTER,
-    REGIONS_APART_S,
+    GATEWAYS_PER_RACK,
+    GATEWAYS_PER_ZONE,
+    MEAN_LOAD_SHARE,
+    REGION_PARTITION_S,
+    SHARE_WITHOUT_COUNTER,
 )
 from benchmarks.capacity.size import FULL
 
 
 @dataclass(slots=True, frozen=True)
 class Situation:
-    """One state of the system.
+    """An operating condition of the system, such as the peak or the loss of a zone.
 
-    `requests_per_s` is the load on all gateways, `gateways` how many are left to take it.
+    Attributes:
+        name: name on the page.
+        requests_per_s: load on all gateways together.
+        gateways: gateways that remain to serve this load.
+        note: assumptions about the load, shown on the page.
     """
 
     name: str
@@ -28,40 +32,41 @@
 
     @property
     def requests_per_gateway(self) -> float:
-        """Requests a second of one gateway that is left."""
+        """Requests a second at each remaining gateway."""
         return self.requests_per_s / self.gateways
 
 
-ORDINARY = Situation(
-    "ordinary day", FULL.requests_per_s * ORDINARY_PART.value, FULL.gateways, "the mean load, nothing fails"
+ORDINARY_DAY = Situation(
+    "ordinary day", FULL.requests_per_s * MEAN_LOAD_SHARE.value, FULL.gateways, "the mean load, nothing fails"
 )
 PEAK = Situation("peak", FULL.requests_per_s, FULL.gateways, "the full load, nothing fails")
-MACHINE = Situation(
+MACHINE_LOSS = Situation(
     "one machine", FULL.requests_per_s, FULL.gateways - 1, "at the peak; the others take its requests"
 )
-RACK = Situation(
+RACK_LOSS = Situation(
     "a rack",
     FULL.requests_per_s,
-    FULL.gateways - MACHINES_OF_A_RACK.value,
+    FULL.gateways - GATEWAYS_PER_RACK.value,
     "at the peak; the others take its requests",
 )
-ZONE = Situation(
+ZONE_LOSS = Situation(
     "a zone",
     FULL.requests_per_s,
-    FULL.gateways - GATEWAYS_OF_A_ZONE.value,
+    FULL.gateways - GATEWAYS_PER_ZONE.value,
     "at the peak; the others take its requests. One control machine is lost with it",
 )
-REGIONS = Situation(
+REGION_PARTITION = Situation(
     "both regions apart",
-    FULL.requests_per_s * (1 - PART_WITHOUT_COUNTER.value),
-    FULL.gateways * (1 - PART_WITHOUT_COUNTER.value),
-    f"at the peak, for {REGIONS_APART_S.value:g} s; each region serves its own requests, one has the counter",
+    FULL.requests_per_s * (1 - SHARE_WITHOUT_COUNTER.value),
+    FULL.gateways * (1 - SHARE_WITHOUT_COUNTER.value),
+    f"at the peak, for {REGION_PARTITION_S.value:g} s; each region serves its own requests,"
+    " one has the counter",
 )
-RESTART = Situation(
+ZONE_RESTART = Situation(
     "all gateways of a zone restarted",
     FULL.requests_per_s,
     FULL.gateways,
     "at the peak; they start at once and know nothing",
 )
-SITUATIONS = (ORDINARY, PEAK, MACHINE, RACK, ZONE, REGIONS, RESTART)
-FAILURES = (MACHINE, RACK, ZONE, REGIONS, RESTART)
+SITUATIONS = (ORDINARY_DAY, PEAK, MACHINE_LOSS, RACK_LOSS, ZONE_LOSS, REGION_PARTITION, ZONE_RESTART)
+FAILURES = (MACHINE_LOSS, RACK_LOSS, ZONE_LOSS, REGION_PARTITION, ZONE_RESTART)
--- a/benchmarks/capacity/tenants.py
+++ b/benchmarks/capacity/tenants.py
@@ -1,4 +1,4 @@
-"""What tenants cost while they are idle: the hosted service's file and registry, a gateway's customers."""
+"""Costs of idle tenants: the hosted service's configuration file and registry, and a gateway's customers."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 from hillmux.hosted.service import Service
 
 SIZES = (1000, 8000, 31_000, 62_000)
-LARGE = 10_000  # tenants from which reading takes seconds: one repeat, the seeds are the others
+SINGLE_REPEAT_ABOVE = 10_000  # tenants; reading more takes seconds, so only the seeds repeat it
 REPEATS = 3
 IDLE_S = 3.0
 HOSTS = 10
-WARM = 100  # customers that are known before memory is looked at
-SHORT_GAP_MS = 0.01  # between two customers' requests: no customer is forgotten before the last has come
+WARM_UP_CUSTOMERS = 100  # customers that the module knows before memory is measured
+SHORT_GAP_MS = 0.01  # between two requests; short, so that no customer expires before the last arrives
 TIME_LEFT_MS = 2000.0
 
 
 def measure_configuration(size: int, seed: int) -> Values:
-    """A hosted service with so many idle tenants, its file, and a change of one tenant's host."""
+    """Measure a hosted service with `size` idle tenants, its file, and a change of one tenant's host."""
     return uvloop.run(_configuration(size, seed))
 
 
 async def _configuration(size: int, seed: int) -> Values:
-    repeats = 1 if size > LARGE else REPEATS
+    repeats = 1 if size > SINGLE_REPEAT_ABOVE else REPEATS
     with tempfile.TemporaryDirectory(prefix="hillmux-capacity-") as folder:
         path = write(Path(folder) / "hillmux.toml", size, [])
         changed = write(Path(folder) / "changed.toml", size, [])
-        _move_host(changed, seed % size)
-        load(write(Path(folder) / "small.toml", 10, []))  # imports and checkers are no growth of the tenants'
+        _change_host_port(changed, seed % size)
+        load(write(Path(folder) / "small.toml", 10, []))  # loads imports and validators first
         growth = MemoryGrowth()
         service = Service(load(path), asyncio.get_running_loop(), seed)
         service.start()
@@ -57,33 +57,35 @@
     return values
 
 
-def _move_host(path: Path, tenant: int) -> None:
-    """Give one tenant's host another port."""
+def _change_host_port(path: Path, tenant: int) -> None:
+    """Change the port of one tenant's host in the file."""
     old = f"127.9.{tenant // 250}.{tenant % 250 + 1}:9"
     path.write_text(path.read_text().replace(f'"{old}"', f'"{old}1"'))
 
 
 def _change(service: Service, path: Path) -> None:
-    """What SIGHUP does (`hillmux.hosted.serve.Reloader`), with the reading in this thread."""
+    """Apply a file as SIGHUP does (`hillmux.hosted.serve.Reloader`), but read it in this thread."""
     changes = service.apply_prepared(Service.prepare(load(path, pure_python=True), service.tenants()))
     if len(changes) != 1:
-        raise RuntimeError(f"{len(changes)} tenants changed in place of one")
+        raise RuntimeError(f"{len(changes)} tenants changed in one reload, expected 1")
 
 
 async def _idle_share() -> float:
-    began = time.process_time()
+    started = time.process_time()
     await asyncio.sleep(IDLE_S)
-    return (time.process_time() - began) / IDLE_S
+    return (time.process_time() - started) / IDLE_S
 
 
-class Customers(Play):
-    """A gateway to which each customer comes once; the totals of its counter are no memory here."""
+class CustomerPlay(Play):
+    """A simulated gateway to which each customer sends one request; the counter's totals are not kept."""
 
     def __init__(self, count: int, seed: int) -> None:
         super().__init__(HOSTS, count, seed=seed, gap_ms=SHORT_GAP_MS, out=1)
 
-    def ask_once(self, customers: list[str]) -> None:
-        """One request for each customer, by turns of a plan with a quota and one with a ceiling too."""
+    def request_once(self, customers: list[str]) -> None:
+        """Send one request for each customer; the plans `wide` and `basic` alternate, of which the latter
+        has a ceiling.
+        """
         for number, customer in enumerate(customers):
             self.now += self.gap_ms
             plan = "basic" if number % 2 else "wide"
@@ -95,11 +97,11 @@
 
 
 def measure_customers(size: int, seed: int) -> Values:
-    """A gateway's decision module that knows so many customers, none with a request out."""
-    play = Customers(size + WARM, seed)
-    play.ask_once(play.customers[size:])
+    """Measure the memory of a decision module that knows `size` customers, none with a request in flight."""
+    play = CustomerPlay(size + WARM_UP_CUSTOMERS, seed)
+    play.request_once(play.customers[size:])
     growth = MemoryGrowth()
-    play.ask_once(play.customers[:size])
+    play.request_once(play.customers[:size])
     return {"tenants.customers.memory_mb": growth.mb()}
 
 
--- a/benchmarks/capacity/words.py
+++ b/benchmarks/capacity/words.py
@@ -1,4 +1,4 @@
-"""What each word of the size is in the program's terms, on the platform's start and in the hosted service."""
+"""Meaning of each term of the size in the program, for the platform's start and for the hosted service."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from benchmarks.capacity.size import FULL
 
 NOTHING = "nothing"
-SEEING_CASES = (1, 3, 8, 24, FULL.gateways)
+REPLICA_CASES = (1, 3, 8, 24, FULL.gateways)
 
 
 @dataclass(slots=True, frozen=True)
 class Word:
-    """A word of the size, and what it is in the program."""
+    """A term of the size, and its meaning in the program."""
 
     word: str
     number: str
-    platform: str  # python -m hillmux
-    hosted: str  # hillmux serve
+    platform: str  # meaning when started as `python -m hillmux`
+    hosted: str  # meaning in `hillmux serve`
 
 
 def _customers() -> str:
-    cases = [f"{seeing}: {FULL.tenants * seeing / FULL.gateways:,.0f}" for seeing in SEEING_CASES]
+    cases = [f"{replicas}: {FULL.tenants * replicas / FULL.gateways:,.0f}" for replicas in REPLICA_CASES]
     return "; ".join(cases)
 
 
--- a/tests/capacity/test_connections.py
+++ b/tests/capacity/test_connections.py
@@ -1,37 +1,37 @@
-"""A guard on the connections of one gateway at a small size: counts, not times."""
+"""Bounds on the connections and dials of one gateway at a small size; counts only, no times."""
 
 from __future__ import annotations
 
-from benchmarks.capacity.connections import FIRST_S, Connected, measure
+from benchmarks.capacity.connections import STARTUP_S, ConnectionModel, measure
 from benchmarks.capacity.probes import PROBES
 from benchmarks.capacity.size import FULL
 
-FEW, MANY = 500, 2_000  # both larger than an aperture
-MOST_OPEN = FULL.requests_per_gateway / 1.5  # far fewer than one for each request of a second
+FEWER_HOSTS, MORE_HOSTS = 500, 2_000  # both larger than an aperture
+MAX_OPEN_CONNECTIONS = FULL.requests_per_gateway / 1.5  # well below one connection per request of a second
 
 
-def test_the_same_seed_plays_the_same() -> None:
-    dials = []
+def test_same_seed_gives_same_figures() -> None:
+    results = []
     for _ in range(2):
-        played = Connected(FEW, 1)
-        played.run(10 * FIRST_S)
-        dials.append((played.dials, played.open_connections(), played.hosts_connected()))
-    assert dials[0] == dials[1]
+        model = ConnectionModel(FEWER_HOSTS, 1)
+        model.run(10 * STARTUP_S)
+        results.append((model.dials, model.open_connections(), model.hosts_connected()))
+    assert results[0] == results[1]
 
 
-def test_a_gateway_keeps_no_more_connections_with_more_hosts() -> None:
-    few, many = measure(FEW, 1), measure(MANY, 1)
-    assert 0 < few["hosts.connections.open"] < MOST_OPEN
-    assert many["hosts.connections.open"] < 1.25 * few["hosts.connections.open"]
-    assert many["hosts.connections.dials_per_s"] < FULL.requests_per_gateway / 4
+def test_open_connections_do_not_grow_with_hosts() -> None:
+    fewer, more = measure(FEWER_HOSTS, 1), measure(MORE_HOSTS, 1)
+    assert 0 < fewer["hosts.connections.open"] < MAX_OPEN_CONNECTIONS
+    assert more["hosts.connections.open"] < 1.25 * fewer["hosts.connections.open"]
+    assert more["hosts.connections.dials_per_s"] < FULL.requests_per_gateway / 4
 
 
-def test_a_gateway_dials_once_a_request_at_the_most_after_its_start() -> None:
-    played = Connected(MANY, 1)
-    played.run(FIRST_S)
-    assert 0 < played.dials < FULL.requests_per_gateway / 2
+def test_gateway_dials_at_most_half_its_requests_after_start() -> None:
+    model = ConnectionModel(MORE_HOSTS, 1)
+    model.run(STARTUP_S)
+    assert 0 < model.dials < FULL.requests_per_gateway / 2
 
 
-def test_the_probe_is_registered_with_the_figures_that_it_measures() -> None:
+def test_probe_is_registered_with_the_figures_it_measures() -> None:
     probe = PROBES["hosts.connections"]
     assert set(probe.measure(probe.small, 1)) == set(probe.figures)
--- a/tests/capacity/test_single_guards.py
+++ b/tests/capacity/test_single_guards.py
@@ -1,4 +1,4 @@
-"""What grows in one process, by counts at a small size: bytes, entries and calls, no times."""
+"""Bounds on what grows within one process, at small sizes: bytes, entries and calls, no times."""
 
 from __future__ import annotations
 
@@ -11,49 +11,51 @@
 from hillmux.counter.store import MAX_NAME_BYTES, Store
 
 HOSTS = 50
-MOST_BYTES_A_HOST = 165  # a line of discovery's list, with its comma
-MOST_BYTES_A_CHANGE = 215  # an answer with one line
-MOST_BYTES_A_COUNT_NAME = 32
-MOST_CALLS_A_REQUEST = 0.03  # of the counter, by the mix of benchmarks/module_worker.py
+MAX_BYTES_PER_HOST = 165  # one host in discovery's list, including the comma
+MAX_BYTES_PER_CHANGE = 215  # a discovery response with one changed host
+MAX_BYTES_PER_COUNTER_NAME = 32
+MAX_CALLS_PER_REQUEST = 0.03  # counter calls, for the traffic mix of benchmarks/module_worker.py
 
 
-def test_a_host_takes_few_bytes_of_the_list() -> None:
-    few = listings.whole(listings.instances(HOSTS, 1))
-    many = listings.whole(listings.instances(3 * HOSTS, 1))
-    assert 120 < (len(many) - len(few)) / (2 * HOSTS) <= MOST_BYTES_A_HOST
+def test_list_grows_by_bounded_bytes_per_host() -> None:
+    smaller = listings.full_list(listings.instances(HOSTS, 1))
+    larger = listings.full_list(listings.instances(3 * HOSTS, 1))
+    assert 120 < (len(larger) - len(smaller)) / (2 * HOSTS) <= MAX_BYTES_PER_HOST
 
 
-def test_the_list_is_read_whole_and_of_a_change_only_its_line() -> None:
+def test_full_list_has_all_hosts_and_change_has_one() -> None:
     instances = listings.instances(HOSTS, 1)
-    listing = hosts.read(listings.whole(instances))
+    listing = hosts.parse_listing(listings.full_list(instances))
     assert listing.is_full
     assert len(listing.endpoints) == len(listing.addresses) == HOSTS
-    body = listings.change(instances[0], 100_001, drains=True)
-    assert len(body) <= MOST_BYTES_A_CHANGE
-    changed = hosts.read(body)
+    body = listings.single_change(instances[0], 100_001, draining=True)
+    assert len(body) <= MAX_BYTES_PER_CHANGE
+    changed = hosts.parse_listing(body)
     assert not changed.is_full
-    assert [server.status for server in changed.endpoints] == ["draining"]
+    assert [endpoint.status for endpoint in changed.endpoints] == ["draining"]
 
 
-def test_hosts_of_a_full_list_have_names_and_addresses_of_their_own() -> None:
+def test_hosts_of_full_list_have_unique_names_and_addresses() -> None:
     instances = listings.instances(9_000, 2)
     assert len({line["instanceId"] for line in instances}) == 9_000
     assert len({line["hostPort"] for line in instances}) == 9_000
-    assert json.loads(listings.whole(instances))["reset"] is True
+    assert json.loads(listings.full_list(instances))["reset"] is True
 
 
-def test_the_router_holds_a_place_for_each_tenant_and_a_word_for_each_method_of_a_route() -> None:
-    # Of four routes two are read with one method, two changed with four; a tenant has one place.
-    assert [routes.entries(routes.built(routes.tenants_of(count))) for count in (40, 80, 120)] == [
+def test_router_entries_grow_with_tenants_and_route_methods() -> None:
+    # Of a tenant's four routes, two have one method and two have four; the tenant itself is one entry.
+    assert [
+        routes.entry_count(routes.build_router(routes.make_tenants(count))) for count in (40, 80, 120)
+    ] == [
         110,
         220,
         330,
     ]
 
 
-def test_a_request_makes_few_calls_of_the_counter_with_short_names() -> None:
-    class Counted(Play):
-        """Notes the names that the counter is called with."""
+def test_requests_make_few_counter_calls_with_short_names() -> None:
+    class CountingPlay(Play):
+        """Records the names of all counter calls."""
 
         def give(self, event: api.Event) -> None:
             super().give(event)
@@ -61,23 +63,23 @@
                 names.append(event.name)
 
     names: list[str] = []
-    play = Counted(10, 20)
+    play = CountingPlay(10, 20)
     play.run(play.requests(2_000))
-    assert 0 < len(names) <= MOST_CALLS_A_REQUEST * 2_000
-    assert max(map(len, names)) <= MOST_BYTES_A_COUNT_NAME < MAX_NAME_BYTES
+    assert 0 < len(names) <= MAX_CALLS_PER_REQUEST * 2_000
+    assert max(map(len, names)) <= MAX_BYTES_PER_COUNTER_NAME < MAX_NAME_BYTES
 
 
-def test_a_customer_that_comes_once_makes_one_call_at_most() -> None:
-    customers = tenants.Customers(100, 1)
+def test_single_request_of_customer_makes_at_most_one_counter_call() -> None:
+    customers = tenants.CustomerPlay(100, 1)
     before = customers.events
-    customers.ask_once(customers.customers)
+    customers.request_once(customers.customers)
     requests_and_outcomes = 200
     assert customers.events - before - requests_and_outcomes <= 100
 
 
-def test_the_counter_keeps_one_entry_a_name_however_often_it_is_called() -> None:
+def test_counter_keeps_one_entry_per_name() -> None:
     store = Store()
     for number in (0, 1, 2, 1, 1):
-        counter_store.answer(store, counter_store.target(number))
+        counter_store.answer_call(store, counter_store.call_target(number))
     assert len(store) == 3
-    assert len(parse_call(b"POST", counter_store.target(2**40)).name) <= MOST_BYTES_A_COUNT_NAME
+    assert len(parse_call(b"POST", counter_store.call_target(2**40)).name) <= MAX_BYTES_PER_COUNTER_NAME
--- a/tests/docs/test_architecture.py
+++ b/tests/docs/test_architecture.py
@@ -15,7 +15,7 @@
 
 
 def named_paths() -> list[str]:
-    """Paths below the root; the name of a file stands for one of the package that its line names."""
+    """Paths relative to the root; a bare file name belongs to the first package named on its line."""
     paths = set()
     for line in PAGE.splitlines():
         quoted = QUOTED_TEXT.findall(line)
@@ -29,13 +29,13 @@
 
 
 def named_types() -> list[str]:
-    """Names of classes, also with a member: `Type`, `Type.member`."""
+    """Quoted names of classes, with or without a member: `Type`, `Type.member`."""
     quoted = QUOTED_TEXT.findall(PAGE)
     return sorted({text for text in quoted if re.fullmatch(r"[A-Z][a-z]\w*(\.\w+)?", text)})
 
 
 def defined_classes() -> dict[str, set[str]]:
-    """The package's classes with what their bodies define."""
+    """All classes of the package by name, with the members that their bodies define."""
     classes: dict[str, set[str]] = {}
     for file in (ROOT / "hillmux").rglob("*.py"):
         for node in ast.walk(ast.parse(file.read_text(encoding="utf-8"))):
@@ -45,13 +45,13 @@
 
 
 def members(node: ast.ClassDef) -> set[str]:
-    """Methods, fields and enum members of a class body."""
-    found = {item.name for item in node.body if isinstance(item, ast.FunctionDef | ast.AsyncFunctionDef)}
+    """Names of the methods, fields and enum members of a class body."""
+    names = {item.name for item in node.body if isinstance(item, ast.FunctionDef | ast.AsyncFunctionDef)}
     for item in node.body:
         targets = item.targets if isinstance(item, ast.Assign) else []
         targets = [item.target] if isinstance(item, ast.AnnAssign) else targets
-        found.update(target.id for target in targets if isinstance(target, ast.Name))
-    return found
+        names.update(target.id for target in targets if isinstance(target, ast.Name))
+    return names
 
 
 CLASSES = defined_classes()
