--- a/benchmarks/capacity/rows_control.py
+++ b/benchmarks/capacity/rows_control.py
@@ -12,6 +12,13 @@
     PLATFORM_COUNTER_CAPACITY,
 )
 from benchmarks.capacity.row import Remedy, Resource, Role, Row, at_size, largest
+from benchmarks.capacity.row_constants import (
+    CALL_OWNING_COUNTER,
+    COUNTER_MECHANISM,
+    LOAD_LABELS,
+    RELOAD_MECHANISM,
+    REPLICAS,
+)
 from benchmarks.capacity.situations import (
     MACHINE_LOSS,
     ORDINARY_DAY,
@@ -23,13 +30,6 @@
     Situation,
 )
 from benchmarks.capacity.size import FULL
-from benchmarks.capacity.terms import (
-    CALL_OWNING_COUNTER,
-    COUNTER_MECHANISM,
-    LOAD_LABELS,
-    RELOAD_MECHANISM,
-    REPLICAS,
-)
 
 CORES = FULL.control_machines * CORES_PER_CONTROL_MACHINE.value
 NAMES = FULL.tenants * COUNTER_NAMES_PER_CUSTOMER.value
--- a/benchmarks/capacity/rows_memory.py
+++ b/benchmarks/capacity/rows_memory.py
@@ -4,6 +4,12 @@
 
 from benchmarks.capacity.assumptions import GATEWAYS_PER_CUSTOMER, REQUEST_PATH_SHARE
 from benchmarks.capacity.row import Resource, Role, Row, at_size, slope
+from benchmarks.capacity.row_constants import (
+    CUSTOMERS_PER_GATEWAY,
+    LIST_MECHANISM,
+    RELOAD_MECHANISM,
+    REPLICAS,
+)
 from benchmarks.capacity.situations import (
     MACHINE_LOSS,
     ORDINARY_DAY,
@@ -15,7 +21,6 @@
     Situation,
 )
 from benchmarks.capacity.size import FULL
-from benchmarks.capacity.terms import CUSTOMERS_PER_GATEWAY, LIST_MECHANISM, RELOAD_MECHANISM, REPLICAS
 
 
 def request_path_rows(situation: Situation) -> tuple[Row, ...]:
--- a/benchmarks/capacity/rows_messages.py
+++ b/benchmarks/capacity/rows_messages.py
@@ -8,6 +8,16 @@
     HOST_CHANGES_PER_DAY,
 )
 from benchmarks.capacity.row import Remedy, Resource, Role, Row, at_size, largest
+from benchmarks.capacity.row_constants import (
+    CALL_OWNING_COUNTER,
+    CONFIG_CHANGES_PER_S,
+    COUNTER_MECHANISM,
+    HOST_CHANGES_PER_S,
+    LIST_MECHANISM,
+    LOAD_LABELS,
+    REPLICAS,
+    WATCH_MECHANISM,
+)
 from benchmarks.capacity.situations import (
     MACHINE_LOSS,
     ORDINARY_DAY,
@@ -18,16 +28,6 @@
     Situation,
 )
 from benchmarks.capacity.size import FULL
-from benchmarks.capacity.terms import (
-    CALL_OWNING_COUNTER,
-    CONFIG_CHANGES_PER_S,
-    COUNTER_MECHANISM,
-    HOST_CHANGES_PER_S,
-    LIST_MECHANISM,
-    LOAD_LABELS,
-    REPLICAS,
-    WATCH_MECHANISM,
-)
 
 
 def counter_bytes_row(situation: Situation, load: str = "half", replicas: int = REPLICAS) -> Row:
--- a/benchmarks/capacity/rows_others.py
+++ b/benchmarks/capacity/rows_others.py
@@ -4,9 +4,9 @@
 
 from benchmarks.capacity.assumptions import CLASSES, GATEWAYS_PER_ZONE, HOST_CHANGES_PER_DAY
 from benchmarks.capacity.row import Remedy, Resource, Role, Row, at_size
+from benchmarks.capacity.row_constants import HOST_CHANGES_PER_S, LIST_MECHANISM, WATCH_MECHANISM
 from benchmarks.capacity.situations import ORDINARY_DAY, PEAK, ZONE_LOSS, ZONE_RESTART, Situation
 from benchmarks.capacity.size import FULL
-from benchmarks.capacity.terms import HOST_CHANGES_PER_S, LIST_MECHANISM, WATCH_MECHANISM
 
 APERTURE_MECHANISM = "an aperture for each gateway (`balancing/`)"
 HOSTS_OF_A_ZONE = FULL.hosts // FULL.zones
--- a/benchmarks/capacity/rows_processor.py
+++ b/benchmarks/capacity/rows_processor.py
@@ -10,9 +10,7 @@
     SWEEPS_PER_S,
 )
 from benchmarks.capacity.row import Resource, Role, Row, at_size
-from benchmarks.capacity.situations import ORDINARY_DAY, PEAK, ZONE_LOSS, ZONE_RESTART, Situation
-from benchmarks.capacity.size import FULL
-from benchmarks.capacity.terms import (
+from benchmarks.capacity.row_constants import (
     CALL_OWNING_COUNTER,
     CONFIG_CHANGES_PER_S,
     COUNTER_MECHANISM,
@@ -24,6 +22,8 @@
     START_CPU_MS,
     WATCH_MECHANISM,
 )
+from benchmarks.capacity.situations import ORDINARY_DAY, PEAK, ZONE_LOSS, ZONE_RESTART, Situation
+from benchmarks.capacity.size import FULL
 
 
 def counter_calls_row(situation: Situation, load: str = "half") -> Row:
--- a/benchmarks/capacity/rows_refusals.py
+++ b/benchmarks/capacity/rows_refusals.py
@@ -9,8 +9,8 @@
     SHARE_WITHOUT_COUNTER,
 )
 from benchmarks.capacity.row import Reading, Resource, Role, Row, at_size, largest
+from benchmarks.capacity.row_constants import COUNTER_MECHANISM, LOAD_LABELS, REPLICAS
 from benchmarks.capacity.situations import MACHINE_LOSS, PEAK, REGION_PARTITION, ZONE_RESTART, Situation
-from benchmarks.capacity.terms import COUNTER_MECHANISM, LOAD_LABELS, REPLICAS
 
 CROWDED_CUSTOMERS = 4_000  # on 48 gateways: the same number per gateway as at full size
 EVEN_SPLIT_MECHANISM = "the even split of a counter that does not answer (`quotas/`)"
--- a/benchmarks/capacity/words.py
+++ b/benchmarks/capacity/size_terms.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Word:
+class SizeTerm:
     """A term of the size, and its meaning in the program."""
 
     word: str
@@ -25,8 +25,8 @@
     return "; ".join(cases)
 
 
-WORDS = (
-    Word(
+SIZE_TERMS = (
+    SizeTerm(
         word="gateway",
         number=f"{FULL.gateways}",
         platform=(
@@ -36,7 +36,7 @@
         ),
         hosted="one process on one core; `gateway.number` of `gateway.fleet_size`",
     ),
-    Word(
+    SizeTerm(
         word="host",
         number=f"{FULL.hosts:,}",
         platform="an entry of discovery's list, all of them in one pool",
@@ -46,25 +46,25 @@
             " share have no mechanism yet"
         ),
     ),
-    Word(
+    SizeTerm(
         word="service",
         number=f"{FULL.services}",
         platform=f"{NOTHING}: the list names none, so each gateway takes all hosts for alike",
         hosted="a pool of a tenant",
     ),
-    Word(
+    SizeTerm(
         word="request",
         number=f"{FULL.requests_per_s:,}/s",
         platform=f"{FULL.requests_per_gateway:.0f}/s a gateway",
         hosted=f"{FULL.requests_per_gateway:.0f}/s a gateway",
     ),
-    Word(
+    SizeTerm(
         word="route",
         number=f"{FULL.routes:,}",
         platform=f"{NOTHING}: the request names its class",
         hosted="an entry of `[[tenants.routes]]`",
     ),
-    Word(
+    SizeTerm(
         word="tenant",
         number=f"{FULL.tenants:,}",
         platform=(
@@ -78,20 +78,20 @@
             " is awake has a decision module of its own"
         ),
     ),
-    Word(word="region", number=f"{FULL.regions}", platform=NOTHING, hosted=NOTHING),
-    Word(
+    SizeTerm(word="region", number=f"{FULL.regions}", platform=NOTHING, hosted=NOTHING),
+    SizeTerm(
         word="zone",
         number=f"{FULL.zones}",
         platform="`zone` of gateway and host; it scopes keys (`key_scope`) and nothing else",
         hosted="the same",
     ),
-    Word(
+    SizeTerm(
         word="configuration change",
         number=f"{FULL.changes_per_day:,} a day",
         platform="another file and SIGHUP, at each gateway; plans change only at a start",
         hosted="another file and SIGHUP, at each gateway; the whole file is read",
     ),
-    Word(
+    SizeTerm(
         word="control of a gateway",
         number=(
             f"{FULL.control_cpu_share:.1%} of a core, {FULL.control_memory_mb:g} MB,"
@@ -100,7 +100,7 @@
         platform="counter calls, the watch, sweeps and timers",
         hosted="the same, and reading the configuration and hosts' files",
     ),
-    Word(
+    SizeTerm(
         word="control machine",
         number=f"{FULL.control_machines}",
         platform="the counter, and nothing else of ours",
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -12,7 +12,7 @@
 from benchmarks.capacity.row import Reading, ReadingKind, Remedy, Role, Row
 from benchmarks.capacity.rows import ROWS
 from benchmarks.capacity.situations import FAILURES, ORDINARY_DAY, PEAK, SITUATIONS
-from benchmarks.capacity.words import WORDS
+from benchmarks.capacity.size_terms import SIZE_TERMS
 
 NOT_MEASURED = "not measured"
 NONE_YET = "none yet"
@@ -36,7 +36,7 @@
     """Table of the terms of the size and their meaning in the program."""
     return table(
         ("word", "number", "platform's start (`python -m hillmux`)", "hosted service (`hillmux serve`)"),
-        ([word.word, word.number, word.platform, word.hosted] for word in WORDS),
+        ([term.word, term.number, term.platform, term.hosted] for term in SIZE_TERMS),
     )
 
 
