--- a/benchmarks/capacity/hosts.py
+++ b/benchmarks/capacity/hosts.py
@@ -81,22 +81,22 @@
         self.sweeps_s: list[float] = []
         super().__init__(hosts, CUSTOMERS, seed=seed)
 
-    def give(self, event: api.Event) -> None:
+    def handle_event(self, event: api.Event) -> None:
         """Pass an event to the decision module; time of a timer goes to `sweeps_s` instead of `spent`."""
-        spent_before = self.spent
-        super().give(event)
+        spent_before = self.module_time_s
+        super().handle_event(event)
         if isinstance(event, api.TimerFired):
-            self.sweeps_s.append(self.spent - spent_before)
-            self.spent = spent_before
+            self.sweeps_s.append(self.module_time_s - spent_before)
+            self.module_time_s = spent_before
 
     def request_s(self) -> float:
         """Mean time in the decision module per request, in seconds, over one series of requests."""
         requests = self.requests(REQUESTS_PER_SERIES)
-        self.spent = 0.0
+        self.module_time_s = 0.0
         gc.disable()
         self.run(requests)
         gc.enable()
-        return self.spent / REQUESTS_PER_SERIES
+        return self.module_time_s / REQUESTS_PER_SERIES
 
 
 def measure_choice(size: int, seed: int) -> Values:
--- a/benchmarks/capacity/processes.py
+++ b/benchmarks/capacity/processes.py
@@ -12,7 +12,7 @@
 
 from benchmarks.capacity import listings
 from benchmarks.capacity.size import FULL
-from benchmarks.path import PORTS, Process, configuration, launch
+from benchmarks.path import HOST_PORT_COUNT, Process, configuration, launch
 from benchmarks.trees import Tree
 
 LOOPBACK = "127.0.0.1"
@@ -76,10 +76,10 @@
     def __init__(self, hosts: int, seed: int) -> None:
         self._seed = seed
         self._folder = tempfile.TemporaryDirectory(prefix="hillmux-capacity-")
-        self._tree = Tree.built()
+        self._tree = Tree.build()
         self._processes: list[Process] = []
         self._gateways: list[Gateway] = []
-        self.hosts = self._start_stand_in("hosts", ports=PORTS)
+        self.hosts = self._start_stand_in("hosts", ports=HOST_PORT_COUNT)
         self.counter = self._start_stand_in("counter")
         instances = listings.instances(hosts, seed, self.hosts.ports)
         self.discovery = self._start_stand_in("registry", instances=instances, watched=True)
--- a/benchmarks/capacity/requests.py
+++ b/benchmarks/capacity/requests.py
@@ -16,8 +16,8 @@
 
 def measure(size: int, seed: int) -> Values:
     """Measure `size` requests a second, with all hosts and the customers of one gateway."""
-    out = max(1, round(size * HOST_RESPONSE_S))
-    play = Play(FULL.hosts, CUSTOMERS, seed=seed, gap_ms=1000 / size, out=out)
+    in_flight = max(1, round(size * HOST_RESPONSE_S))
+    play = Play(FULL.hosts, CUSTOMERS, seed=seed, interval_ms=1000 / size, max_in_flight=in_flight)
     play.run(play.requests(max(CUSTOMERS, size), everyone=True))
     spent = sorted(_series_s(play, size * VIRTUAL_S // SERIES_COUNT) for _ in range(SERIES_COUNT))
     return {"requests.module.cpu_share": spent[SERIES_COUNT // 2] * SERIES_COUNT / VIRTUAL_S}
@@ -25,11 +25,11 @@
 
 def _series_s(play: Play, count: int) -> float:
     requests = play.requests(count)
-    play.spent = 0.0
+    play.module_time_s = 0.0
     gc.disable()
     play.run(requests)
     gc.enable()
-    return play.spent
+    return play.module_time_s
 
 
 PROBES = (
--- a/benchmarks/capacity/tenants.py
+++ b/benchmarks/capacity/tenants.py
@@ -12,7 +12,7 @@
 from benchmarks.capacity.probe import GATEWAY, OPERATOR, Probe, Values
 from benchmarks.capacity.resources import MemoryGrowth, median_cpu_s
 from benchmarks.module_worker import Play
-from benchmarks.tenants import write
+from benchmarks.tenants import write_configuration
 from hillmux import interface as api
 from hillmux.hosted.config import load
 from hillmux.hosted.service import Service
@@ -35,10 +35,10 @@
 async def _configuration(size: int, seed: int) -> Values:
     repeats = 1 if size > SINGLE_REPEAT_ABOVE else REPEATS
     with tempfile.TemporaryDirectory(prefix="hillmux-capacity-") as folder:
-        path = write(Path(folder) / "hillmux.toml", size, [])
-        changed = write(Path(folder) / "changed.toml", size, [])
+        path = write_configuration(Path(folder) / "hillmux.toml", size, [])
+        changed = write_configuration(Path(folder) / "changed.toml", size, [])
         _change_host_port(changed, seed % size)
-        load(write(Path(folder) / "small.toml", 10, []))  # loads imports and validators first
+        load(write_configuration(Path(folder) / "small.toml", 10, []))  # loads imports and validators first
         growth = MemoryGrowth()
         service = Service(load(path), asyncio.get_running_loop(), seed)
         service.start()
@@ -80,20 +80,20 @@
     """A simulated gateway to which each customer sends one request; the counter's totals are not kept."""
 
     def __init__(self, count: int, seed: int) -> None:
-        super().__init__(HOSTS, count, seed=seed, gap_ms=SHORT_GAP_MS, out=1)
+        super().__init__(HOSTS, count, seed=seed, interval_ms=SHORT_GAP_MS, max_in_flight=1)
 
     def request_once(self, customers: list[str]) -> None:
         """Send one request for each customer; the plans `wide` and `basic` alternate, of which the latter
         has a ceiling.
         """
         for number, customer in enumerate(customers):
-            self.now += self.gap_ms
+            self.now += self.interval_ms
             plan = "basic" if number % 2 else "wide"
             request_id = f"{customer}-first"
-            self.give(api.Request(request_id, "read", plan, customer, TIME_LEFT_MS, replicas=3))
-            while self.out:
-                self.end()
-            self.counts.clear()
+            self.handle_event(api.Request(request_id, "read", plan, customer, TIME_LEFT_MS, replicas=3))
+            while self.in_flight:
+                self.finish_oldest_attempt()
+            self.counter_totals.clear()
 
 
 def measure_customers(size: int, seed: int) -> Values:
--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -1,6 +1,6 @@
 """How well servers are chosen, by the work tree and by a revision before it, on simulated unequal hosts.
 
-python benchmarks/choice.py --base REVISION     figures: docs/cost.md
+python benchmarks/choice.py --base REVISION     # figures for docs/cost.md
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
     args = parser.parse_args()
     trees = [Tree(args.base), Tree(None)]
 
-    def one(tree: Tree, kind: str, hosts: int, gateways: int, seed: int) -> dict[str, float]:
+    def run_case(tree: Tree, kind: str, hosts: int, gateways: int, seed: int) -> dict[str, float]:
         worker = Worker(tree, "choice_worker.py")
         try:
             case = {
@@ -51,7 +51,7 @@
     print(f"{'hosts':>5} {'gateways':>8}  kind     " + "".join(f"{f:>22}" for f in FIGURES))
     with concurrent.futures.ThreadPoolExecutor(args.processes) as pool:
         futures = {
-            (tree.name, case): [pool.submit(one, tree, *case, seed) for seed in range(args.seeds)]
+            (tree.name, case): [pool.submit(run_case, tree, *case, seed) for seed in range(args.seeds)]
             for case in CASES
             for tree in trees
         }
--- a/benchmarks/choice_worker.py
+++ b/benchmarks/choice_worker.py
@@ -1,12 +1,13 @@
-"""One process of benchmarks/choice.py: how evenly the decision module of a tree spreads requests.
+"""Worker process of benchmarks/choice.py: how evenly the decision module of a tree spreads requests.
 
-Reads a case for each line of standard input, as JSON: hosts, gateways, requests, kind (even; nominal: one in
-four has eight slots and not two; slow: one in ten takes three times as long; half: half take ten times as
-long), seed. Answers with the p99 and the worst of what was open on a host for each of its slots, over hosts
-and time, and the mean and p99 of what a request took, in ms.
+Reads cases from standard input, one line of JSON each: hosts, gateways, requests, kind (even; nominal: one
+host in four has eight slots instead of two; slow: one in ten takes three times as long; half: half of them
+take ten times as long), seed. Answers with p99 and maximum of the open requests per slot, over hosts and
+time, and with mean and p99 of the latency in ms.
 
-Hosts are simulated: slots and a queue each, service times exponential, arrivals by chance at 70% of what the
-hosts bear together. Gateways know only what they sent. No quota, no counter; a seed for each case.
+Hosts are simulated with slots and a queue each and exponential service times. Requests arrive at random at
+70% of the hosts' total capacity. Each gateway knows only of requests that it sent. There is no quota and no
+counter. Each case has its own seed.
 """
 
 from __future__ import annotations
@@ -20,78 +21,85 @@
 from hillmux.decision.gateway import Gateway
 from hillmux.interface import AttemptResult, ListKind
 
-SERVICE_MS, USE = 20.0, 0.7
+SERVICE_MS, UTILISATION = 20.0, 0.7
 
 
 class Host:
-    def __init__(self, name: str, slots: int, pace: float) -> None:
-        self.name, self.slots, self.pace, self.open = name, slots, pace, 0
-        self.free = [0.0] * slots  # when each slot is free
+    def __init__(self, name: str, slots: int, service_factor: float) -> None:
+        self.name, self.slots, self.service_factor, self.open_requests = name, slots, service_factor, 0
+        self.slot_free_at = [0.0] * slots  # when each slot is free
 
 
 def play(hosts: int, gateways: int, requests: int, kind: str, seed: int) -> dict[str, float]:
     rng = random.Random(seed)
-    slots = [8 if kind == "nominal" and i % 4 == 0 else 2 for i in range(hosts)]
-    paces = [
-        10.0 if kind == "half" and i % 2 else 3.0 if kind == "slow" and i % 10 == 0 else 1.0
-        for i in range(hosts)
+    slots = [8 if kind == "nominal" and index % 4 == 0 else 2 for index in range(hosts)]
+    service_factors = [
+        10.0 if kind == "half" and index % 2 else 3.0 if kind == "slow" and index % 10 == 0 else 1.0
+        for index in range(hosts)
     ]
-    fleet = [Host(f"host-{i}", slots[i], paces[i]) for i in range(hosts)]
+    fleet = [Host(f"host-{index}", slots[index], service_factors[index]) for index in range(hosts)]
     by_name = {h.name: h for h in fleet}
-    given = api.Settings(
+    settings = api.Settings(
         classes=(api.RequestClass("read", latency_objective_ms=5000, deadline_ms=10_000),),
         plans=(api.Plan("open"),),
         fleet_size=gateways,
         max_attempts=1,
     )
-    listed = tuple(api.Endpoint(h.name, capacity=float(h.slots)) for h in fleet)
-    modules = [Gateway(given, seed * 100 + i) for i in range(gateways)]
-    now, serial = 1e6, 0
+    endpoints = tuple(api.Endpoint(h.name, capacity=float(h.slots)) for h in fleet)
+    gateway_modules = [Gateway(settings, seed * 100 + index) for index in range(gateways)]
+    now, sequence = 1e6, 0
     # Time, tie breaker, gateway, and a timer or the request, host and start of an attempt that ends.
     events: list[tuple[float, int, int, api.TimerFired | tuple[str, Host, float]]] = []
 
-    def give(g: int, event: api.Event) -> None:
-        nonlocal serial
-        for act in modules[g].handle(now, event):
-            serial += 1
-            if isinstance(act, api.SetTimer):
-                heapq.heappush(events, (now + act.delay_ms, serial, g, api.TimerFired(act.name)))
-            elif isinstance(act, api.SendAttempt):
-                host = by_name[act.host]
-                host.open += 1
-                begins = max(heapq.heappop(host.free), now)
-                ends = begins + rng.expovariate(1 / (SERVICE_MS * host.pace))
-                heapq.heappush(host.free, ends)
-                heapq.heappush(events, (ends, serial, g, (act.request_id, host, now)))
-
-    for g in range(gateways):
-        give(g, api.EndpointList(ListKind.FULL, listed))
-    rate = USE * sum(h.slots / h.pace for h in fleet) / SERVICE_MS  # requests a ms
-    asked, took, open_, due = 0, [], [], now
-    while asked < requests:
-        due += rng.expovariate(rate)
-        while events and events[0][0] <= due:
-            now, _, g, event = heapq.heappop(events)
+    def handle_event(gateway_index: int, event: api.Event) -> None:
+        nonlocal sequence
+        for action in gateway_modules[gateway_index].handle(now, event):
+            sequence += 1
+            if isinstance(action, api.SetTimer):
+                heapq.heappush(
+                    events, (now + action.delay_ms, sequence, gateway_index, api.TimerFired(action.name))
+                )
+            elif isinstance(action, api.SendAttempt):
+                host = by_name[action.host]
+                host.open_requests += 1
+                begins_at = max(heapq.heappop(host.slot_free_at), now)
+                ends_at = begins_at + rng.expovariate(1 / (SERVICE_MS * host.service_factor))
+                heapq.heappush(host.slot_free_at, ends_at)
+                heapq.heappush(events, (ends_at, sequence, gateway_index, (action.request_id, host, now)))
+
+    for gateway_index in range(gateways):
+        handle_event(gateway_index, api.EndpointList(ListKind.FULL, endpoints))
+    rate = UTILISATION * sum(h.slots / h.service_factor for h in fleet) / SERVICE_MS  # requests per ms
+    request_count, latencies_ms, open_per_slot, arrival = 0, [], [], now
+    while request_count < requests:
+        arrival += rng.expovariate(rate)
+        while events and events[0][0] <= arrival:
+            now, _, gateway_index, event = heapq.heappop(events)
             if isinstance(event, api.TimerFired):
-                give(g, event)
+                handle_event(gateway_index, event)
                 continue
             request, host, sent = event
-            host.open -= 1
-            took.append(now - sent)
-            give(g, api.AttemptEnded(request, 0, host.name, AttemptResult.OK, now - sent, True))
-        now = due
-        asked += 1
-        give(rng.randrange(gateways), api.Request(f"r{asked}", "read", "open", f"c{asked % 100}", 10_000.0))
-        if asked > requests // 4:  # the paces are known by then
-            picked = rng.sample(fleet, min(hosts, 20))
-            open_ += [h.open / h.slots for h in picked]
-    open_.sort()
-    took.sort()
+            host.open_requests -= 1
+            latencies_ms.append(now - sent)
+            handle_event(
+                gateway_index, api.AttemptEnded(request, 0, host.name, AttemptResult.OK, now - sent, True)
+            )
+        now = arrival
+        request_count += 1
+        handle_event(
+            rng.randrange(gateways),
+            api.Request(f"r{request_count}", "read", "open", f"c{request_count % 100}", 10_000.0),
+        )
+        if request_count > requests // 4:  # gateways have learnt the hosts' latencies by then
+            sampled_hosts = rng.sample(fleet, min(hosts, 20))
+            open_per_slot += [h.open_requests / h.slots for h in sampled_hosts]
+    open_per_slot.sort()
+    latencies_ms.sort()
     return {
-        "open_p99": open_[len(open_) * 99 // 100],
-        "open_worst": open_[-1],
-        "mean_ms": sum(took) / len(took),
-        "p99_ms": took[len(took) * 99 // 100],
+        "open_p99": open_per_slot[len(open_per_slot) * 99 // 100],
+        "open_worst": open_per_slot[-1],
+        "mean_ms": sum(latencies_ms) / len(latencies_ms),
+        "p99_ms": latencies_ms[len(latencies_ms) * 99 // 100],
     }
 
 
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -1,13 +1,13 @@
-"""How often a cold host gets more than its budget and chance, over the whole fleet, by the module's own code.
+"""How often a cold host gets more requests than its budget and chance allow, with the module's own code.
 
     .venv/bin/python benchmarks/cold.py [--seeds 10000] [--processes 4]
 
-A fleet of gateways, each with its own `LoadBalancer`, sees one host start cold among warm ones. Shares of the
-traffic are uneven; at the start some gateways have just restarted and know of nobody's sending. N is what the
-settings allow the host in `tip_after_ms` as it starts, in requests of mean work; it grows as the host warms.
-Counted is, for each window of the first seconds, what all gateways sent: requests, and the work in them by
-the mean. A seed passes the line if that goes beyond N + 2 x root N + 2. What a request's work is no gateway
-knows before: drawn (exponential), one in 150 alone is 5 means, which is the whole line at N of 1.
+In a fleet of gateways, each with its own `LoadBalancer`, one host starts cold among warm ones. Gateways have
+unequal shares of the traffic, and some have just restarted and have no record of requests sent before. N is
+the host's budget in `overload_after_ms` at its start, in requests of mean work; it grows as the host warms.
+For each window of the first seconds, the requests of all gateways and their work in means are counted. A seed
+exceeds the limit if either is above N + 2 x root N + 2. No gateway knows a request's work in advance. Work is
+exponentially distributed: one request in 150 alone has 5 means, which is the entire limit for N = 1.
 """
 
 from __future__ import annotations
@@ -34,92 +34,95 @@
     overload_multiple=2,
     overload_after_ms=1500,
 )
-HOSTS, MEAN_MS, UTIL = 10, 250.0, 0.8
-BEFORE_MS, AFTER_MS, SWEEP_MS, LIST_MS = 2000.0, 5000.0, 100.0, 300.0
-RESTARTED = 0.7  # part of the gateways that knows nothing when the host starts
+HOSTS, MEAN_MS, UTILISATION = 10, 250.0, 0.8
+BEFORE_MS, AFTER_MS, SWEEP_MS, MAX_LIST_DELAY_MS = 2000.0, 5000.0, 100.0, 300.0
+RESTARTED_SHARE = 0.7  # share of the gateways that restart while the host starts
 
 
 def play(gateways: int, allowed: float, restarts: bool, seed: int) -> tuple[float, float]:
-    """The largest part of the line that was used in any window, by requests and by work."""
+    """Largest share of the limit that was used in any window, by requests and by work."""
     rng = random.Random(seed)
     settings = replace(SETTINGS, fleet_size=gateways)
     budget = (
         settings.overload_multiple * settings.overload_after_ms
     )  # of one host, times warmth and rate per ms
     rate = allowed / (settings.slow_start_min_share * budget)  # requests per ms that a warm host can do
-    servers = [api.Endpoint(f"h{i}") for i in range(HOSTS)]
+    endpoints = [api.Endpoint(f"h{i}") for i in range(HOSTS)]
 
-    def born(me: int, now: float, listed: list[api.Endpoint]) -> LoadBalancer:
-        load_balancer = LoadBalancer(replace(settings, gateway_index=me), random.Random(rng.random()))
+    def new_load_balancer(gateway: int, now: float, listed: list[api.Endpoint]) -> LoadBalancer:
+        load_balancer = LoadBalancer(replace(settings, gateway_index=gateway), random.Random(rng.random()))
         load_balancer.now = now
         load_balancer.update_endpoints(api.EndpointList(ListKind.FULL, tuple(listed)))
         return load_balancer
 
     start = 1e6 + BEFORE_MS
-    load_balancers = [born(me, 1e6, servers[1:]) for me in range(gateways)]
+    load_balancers = [new_load_balancer(gateway, 1e6, endpoints[1:]) for gateway in range(gateways)]
     shares = [rng.expovariate(1.0) + 0.1 for _ in range(gateways)]
-    cold = replace(servers[0], started_at_ms=start)
-    due: list[tuple[float, int, str, int, Host | None, float]] = []
-    serial = 0
-
-    def push(at: float, what: str, me: int, host: Host | None = None, work: float = 0.0) -> None:
-        nonlocal serial
-        serial += 1
-        heappush(due, (at, serial, what, me, host, work))
-
-    for me in range(gateways):
-        push(1e6 + rng.random() * SWEEP_MS, "sweep", me)
-        told = start + rng.random() * LIST_MS
-        if restarts and rng.random() < RESTARTED:
-            push(told, "restart", me)
+    cold = replace(endpoints[0], started_at_ms=start)
+    events: list[tuple[float, int, str, int, Host | None, float]] = []
+    sequence = 0
+
+    def schedule(due: float, kind: str, gateway: int, host: Host | None = None, work: float = 0.0) -> None:
+        nonlocal sequence
+        sequence += 1
+        heappush(events, (due, sequence, kind, gateway, host, work))
+
+    for gateway in range(gateways):
+        schedule(1e6 + rng.random() * SWEEP_MS, "sweep", gateway)
+        notified_at = start + rng.random() * MAX_LIST_DELAY_MS
+        if restarts and rng.random() < RESTARTED_SHARE:
+            schedule(notified_at, "restart", gateway)
         else:
-            push(told, "list", me)
-    every = 1 / (UTIL * HOSTS * rate)
-    push(1e6 + rng.expovariate(1 / every), "request", 0)
+            schedule(notified_at, "list", gateway)
+    mean_interval_ms = 1 / (UTILISATION * HOSTS * rate)
+    schedule(1e6 + rng.expovariate(1 / mean_interval_ms), "request", 0)
     window: deque[tuple[float, float]] = deque()
-    sent = most = most_work = 0.0
-    while due and due[0][0] < start + AFTER_MS:
-        now, _, what, me, host, work = heappop(due)
-        if what == "request":
-            push(now + rng.expovariate(1 / every), "request", 0)
-            me = rng.choices(range(gateways), shares)[0]
-        load_balancer = load_balancers[me]
+    window_work = max_share = max_work_share = 0.0
+    while events and events[0][0] < start + AFTER_MS:
+        now, _, kind, gateway, host, work = heappop(events)
+        if kind == "request":
+            schedule(now + rng.expovariate(1 / mean_interval_ms), "request", 0)
+            gateway = rng.choices(range(gateways), shares)[0]
+        load_balancer = load_balancers[gateway]
         load_balancer.now = now
-        if what == "sweep":
+        if kind == "sweep":
             load_balancer.sweep(SWEEP_MS, 0.9)
-            push(now + SWEEP_MS, "sweep", me)
-        elif what == "restart":
-            load_balancers[me] = born(me, now, [cold, *servers[1:]])
-        elif what == "list":
+            schedule(now + SWEEP_MS, "sweep", gateway)
+        elif kind == "restart":
+            load_balancers[gateway] = new_load_balancer(gateway, now, [cold, *endpoints[1:]])
+        elif kind == "list":
             load_balancer.update_endpoints(api.EndpointList(ListKind.CHANGES, (cold,)))
-        elif what == "done":
+        elif kind == "done":
             assert host is not None
             load_balancer.request_ended(host)
             load_balancer.record_latency_ratio(host, 1.0)
             load_balancer.reindex(host)
         else:
-            picked = load_balancer.select("", MEAN_MS, True, [])
-            if picked is None:
+            selected = load_balancer.select("", MEAN_MS, True, [])
+            if selected is None:
                 continue
-            load_balancer.request_started(picked, MEAN_MS)
-            work = rng.expovariate(1.0)  # its true work, in means
-            push(now + MEAN_MS * max(work, 0.05), "done", me, picked)
-            if picked.name == cold.name:
+            load_balancer.request_started(selected, MEAN_MS)
+            work = rng.expovariate(1.0)  # actual work, in multiples of the mean
+            schedule(now + MEAN_MS * max(work, 0.05), "done", gateway, selected)
+            if selected.name == cold.name:
                 window.append((now, work))
-                sent += work
+                window_work += work
                 while window[0][0] < now - settings.overload_after_ms:
-                    sent -= window.popleft()[1]
+                    window_work -= window.popleft()[1]
                 warmth = (
                     settings.slow_start_min_share
                     + (1 - settings.slow_start_min_share) * (now - start) / settings.slow_start_ms
                 )
-                n = budget * warmth * rate
-                line = n + 2 * n**0.5 + 2
-                most, most_work = max(most, len(window) / line), max(most_work, sent / line)
-    return most, most_work
+                budget_requests = budget * warmth * rate
+                limit = budget_requests + 2 * budget_requests**0.5 + 2
+                max_share, max_work_share = (
+                    max(max_share, len(window) / limit),
+                    max(max_work_share, window_work / limit),
+                )
+    return max_share, max_work_share
 
 
-# Gateways, N, and the part of the seeds that is played: the dear ones take seconds each.
+# Gateways, N, and the share of the seeds that is run; expensive cases take seconds per seed.
 CASES = (
     (3, 1, 1.0),
     (3, 3, 0.4),
@@ -145,19 +148,19 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=1000)
     parser.add_argument("--processes", type=int, default=2)
-    asked = parser.parse_args()
+    args = parser.parse_args()
     print("                             beyond the line         most of it used")
     print("gateways  restarts    N  seeds  requests    work        requests  work")
-    with Pool(asked.processes) as pool:
-        for gateways, allowed, part in CASES:
+    with Pool(args.processes) as pool:
+        for gateways, allowed, seed_share in CASES:
             for restarts in (False, True):
-                count = max(int(asked.seeds * part), 20)
+                count = max(int(args.seeds * seed_share), 20)
                 used = pool.map(partial(play, gateways, allowed, restarts), range(count))
                 beyond = [sum(share > 1 for share in column) / count for column in zip(*used, strict=True)]
-                most = [max(column) for column in zip(*used, strict=True)]
+                max_share = [max(column) for column in zip(*used, strict=True)]
                 print(
                     f"{gateways:8}  {restarts!s:8}  {allowed:3}  {count:5}  {beyond[0]:8.4f}"
-                    f"  {beyond[1]:6.4f}        {most[0]:8.2f}  {most[1]:4.2f}",
+                    f"  {beyond[1]:6.4f}        {max_share[0]:8.2f}  {max_share[1]:4.2f}",
                     flush=True,
                 )
 
--- a/benchmarks/coming_back.py
+++ b/benchmarks/coming_back.py
@@ -2,7 +2,8 @@
 
     python benchmarks/coming_back.py [--virtual] [--seeds 8] [--case herd]
 
-The figures of `recovery/full.py` and the lab's rules. Ends with 1 where a rule is broken.
+Prints the figures of `recovery/full_service.py` and the verdicts of the lab's rules. Exits with 1 if a rule
+is broken.
 """
 
 from __future__ import annotations
@@ -21,32 +22,34 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 
-AT = 9.0
-KILL = {"at_s": AT, "what": "kill", "who": "70% of gateways", "name": "herd"}
-START = {"at_s": AT + 0.2, "what": "start", "who": "@herd", "over_s": 0.8}
-ALL = {"at_s": AT, "what": "kill", "who": "gateway:*"}
+FAULT_S = 9.0
+KILL_HERD = {"at_s": FAULT_S, "what": "kill", "who": "70% of gateways", "name": "herd"}
+START_HERD = {"at_s": FAULT_S + 0.2, "what": "start", "who": "@herd", "over_s": 0.8}
+KILL_ALL = {"at_s": FAULT_S, "what": "kill", "who": "gateway:*"}
 CASES: dict[str, list[dict[str, Any]]] = {
-    "14 of 20, back within 1 s": [KILL, START],
-    "14 of 20, back in steps over 10 s": [KILL, {**START, "over_s": 10.0}],
-    "all 20": [ALL, {**START, "who": "gateway:*"}],
-    "14 of 20, twice in 5 s": [KILL, START, {**KILL, "at_s": AT + 4, "name": "again"},
-                               {**START, "at_s": AT + 4.2, "who": "@again"}],
-    "one in a crash loop": [{"at_s": AT + i + step, "what": what, "who": "gateway:7"}
-                            for i in range(6) for step, what in ((0.0, "kill"), (0.5, "start"))],
-    "14 of 20 while the counter is down": [KILL, START, {"at_s": AT - 1, "what": "counter_stop"},
-                                           {"at_s": AT + 3, "what": "counter_start", "how": "nothing"}],
+    "14 of 20, back within 1 s": [KILL_HERD, START_HERD],
+    "14 of 20, back in steps over 10 s": [KILL_HERD, {**START_HERD, "over_s": 10.0}],
+    "all 20": [KILL_ALL, {**START_HERD, "who": "gateway:*"}],
+    "14 of 20, twice in 5 s": [KILL_HERD, START_HERD, {**KILL_HERD, "at_s": FAULT_S + 4, "name": "again"},
+                               {**START_HERD, "at_s": FAULT_S + 4.2, "who": "@again"}],
+    "one in a crash loop": [{"at_s": FAULT_S + index + offset_s, "what": what, "who": "gateway:7"}
+                            for index in range(6) for offset_s, what in ((0.0, "kill"), (0.5, "start"))],
+    "14 of 20 while the counter is down": [
+        KILL_HERD, START_HERD, {"at_s": FAULT_S - 1, "what": "counter_stop"},
+        {"at_s": FAULT_S + 3, "what": "counter_start", "how": "nothing"}],
     "14 of 20 while a third of the hosts is cold": [
-        {"at_s": AT - 0.5, "what": "crash", "who": "33% of hosts", "name": "cold"},
-        {"at_s": AT, "what": "restart", "who": "@cold"}, KILL, START],
+        {"at_s": FAULT_S - 0.5, "what": "crash", "who": "33% of hosts", "name": "cold"},
+        {"at_s": FAULT_S, "what": "restart", "who": "@cold"}, KILL_HERD, START_HERD],
     "all gateways and all hosts": [
-        ALL, {"at_s": AT, "what": "crash", "who": "host:*"},
-        {"at_s": AT + 0.2, "what": "restart", "who": "host:*", "over_s": 0.8}, {**START, "who": "gateway:*"}],
+        KILL_ALL, {"at_s": FAULT_S, "what": "crash", "who": "host:*"},
+        {"at_s": FAULT_S + 0.2, "what": "restart", "who": "host:*", "over_s": 0.8},
+        {**START_HERD, "who": "gateway:*"}],
 }  # fmt: skip
 LENGTH_S = 30.0
 
 
 def scenario(faults: list[dict[str, Any]], seed: int) -> sc.Scenario:
-    """The shipped herd, with other faults."""
+    """The scenario of examples/lab/herd.toml with other faults."""
     base = sc.load(ROOT / "examples/lab/herd.toml").model_dump()
     rules = ["answered", "effects", "ceilings"]
     if any(f["what"] == "restart" for f in faults):
@@ -56,12 +59,14 @@
     )
 
 
-def shown(name: str, plays: list[tuple[list[Verdict], Figures]]) -> bool:
-    """A row of the table; whether every rule held."""
-    back = sorted(f.full_service_s if f.full_service_s is not None else float("inf") for _, f in plays)
+def print_row(name: str, plays: list[tuple[list[Verdict], Figures]]) -> bool:
+    """Print a row of the table; returns whether every rule held."""
+    recovery_times_s = sorted(
+        f.full_service_s if f.full_service_s is not None else float("inf") for _, f in plays
+    )
     figures = [f for _, f in plays]
     broken = [v.rule for verdicts, _ in plays for v in verdicts if v.broken]
-    print(f"| {name} | {back[len(back) // 2]:.0f}, {back[-1]:.0f} "
+    print(f"| {name} | {recovery_times_s[len(recovery_times_s) // 2]:.0f}, {recovery_times_s[-1]:.0f} "
           f"| {max(f.attempts_a_try() for f in figures):.2f} "
           f"| {max(f.most_dials_s for f in figures)} ({max(f.usual_dials_s for f in figures):.0f}) "
           f"| {max(f.most_counter_s for f in figures)} | {sum(f.fell for f in figures)} "
@@ -79,22 +84,22 @@
     print("| case | full service after the last fault, s: p50, most | attempts a first try, most "
           "| dials at a host in 1 s, most (before) | counter calls a second, most | hosts that fell "
           "| a second wave | rules |\n|" + " --- |" * 8, flush=True)  # fmt: skip
-    sound = True
+    all_rules_held = True
     for name, faults in CASES.items():
         if args.case not in name:
             continue
         plays: list[tuple[list[Verdict], Figures]] = []
         for seed in range(1, args.seeds + 1):
-            day = scenario(faults, seed)
+            definition = scenario(faults, seed)
             if args.virtual:
-                assert not not_modelled(day)
-                plays.append(judged(day))
+                assert not not_modelled(definition)
+                plays.append(judged(definition))
             else:
                 with tempfile.TemporaryDirectory() as out:
-                    result = play(day, Path(out) / "run")
+                    result = play(definition, Path(out) / "run")
                 plays.append((result.verdicts, result.figures))
-        sound = shown(name, plays) and sound
-    return 0 if sound else 1
+        all_rules_held = print_row(name, plays) and all_rules_held
+    return 0 if all_rules_held else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -4,10 +4,10 @@
     python benchmarks/path.py --base REVISION     # this tree and one before, in turn
     python benchmarks/path.py --base FOLDER       # another checkout's build/run and ours, compiled
 
-The gateway as the platform starts it (from build/run), with counter and registry; gateway and proxies
-share one core in turn, load, hosts and the other stand-ins have a core each. CPU is what the kernel
-counts for the process (schedstat); a figure in us is that of the quickest tenth of the blocks, a ratio that
-of neighbouring blocks.
+The gateway is started as the platform starts it (from build/run), with counter and registry. Gateways and
+proxies use the same core in turn; load, hosts and the other stand-ins have a core each. CPU time is what the
+kernel reports for the process (schedstat). A figure in us is that of the fastest tenth of the blocks; a ratio
+compares adjacent blocks.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.trees import ROOT, WORSE, Tree, ratio, worse
+from benchmarks.trees import MAX_MEAN_RATIO, ROOT, Tree, is_regression, ratio
 
 CORE, LOAD_CORE, HOSTS_CORE, OTHERS_CORE = 2, 3, 4, 5
-PORTS = 8  # of the hosts: many hosts share them
+HOST_PORT_COUNT = 8  # ports of the host stand-ins, shared by all hosts
 CONNECTIONS = 32
-FULL_EVERY = 200  # one attempt in so many is turned away by its host and sent anew
-MOST_RATIO = 3.0
-GRADES = [
+REJECTION_INTERVAL = 200  # attempts per one that its host rejects, which is then retried
+MAX_RATIO = 3.0
+CLASSES = [
     {"name": "read", "objective_ms": 3000.0, "deadline_ms": 6000.0, "worth": 3.0, "effect": "safe"},
     {
         "name": "put",
@@ -45,7 +45,7 @@
     },
     {"name": "pay", "objective_ms": 3000.0, "deadline_ms": 6000.0, "worth": 2.0, "effect": "unsafe"},
 ]
-PACKAGES = [
+PLANS = [
     {"name": "team", "refill": 5000.0, "burst": 10000.0, "worth_factor": 1.0},
     {
         "name": "wide",
@@ -59,7 +59,10 @@
 
 
 class Process:
-    """One stand-in or proxy: a line of JSON when it is ready, then a line for each line."""
+    """One stand-in or proxy process.
+
+    It reads its arguments and later cases as lines of JSON, and answers each line with one line.
+    """
 
     def __init__(self, role: str, core: int | None, **arguments: Any) -> None:
         command = [sys.executable, str(ROOT / "benchmarks/standins.py"), role]
@@ -87,14 +90,14 @@
         self.process.wait()
 
 
-def gateway(
-    tree: Tree, folder: Path, hosts: int, back: dict[str, Process], wrap: list[str]
+def start_gateway(
+    tree: Tree, folder: Path, hosts: int, stand_ins: dict[str, Process], command_prefix: list[str]
 ) -> tuple[Any, int]:
-    """The program of a tree, started as the platform does; `wrap` goes before its command."""
+    """Start a tree's gateway with a registry of its own; returns its process and port."""
     instances = [
         {
             "instanceId": f"s-{i}",
-            "hostPort": f"127.0.0.1:{back['hosts'].ports[i % PORTS]}",
+            "hostPort": f"127.0.0.1:{stand_ins['hosts'].ports[i % HOST_PORT_COUNT]}",
             "zone": f"z{i % 3}",
             "machineType": "m",
             "cell": 0,
@@ -104,15 +107,15 @@
         }
         for i in range(hosts)
     ]
-    registry = back[f"registry {len(back)}"] = Process("registry", OTHERS_CORE, instances=instances)
-    config = configuration(registry.ports[0], back["counter"].ports[0])
-    process, port = launch(tree, folder, config, wrap)
+    registry = stand_ins[f"registry {len(stand_ins)}"] = Process("registry", OTHERS_CORE, instances=instances)
+    config = configuration(registry.ports[0], stand_ins["counter"].ports[0])
+    process, port = launch(tree, folder, config, command_prefix)
     os.sched_setaffinity(process.pid, {CORE})
     return process, port
 
 
 def configuration(discovery: int, counter: int) -> dict[str, Any]:
-    """A gateway's configuration, with discovery and counter at these ports."""
+    """Configuration of a gateway that uses discovery and counter at these ports."""
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -122,8 +125,8 @@
         "counter": f"127.0.0.1:{counter}",
         "known": {"generation": 0, "reset": True, "instances": []},
         "settings": {
-            "grades": GRADES,
-            "packages": PACKAGES,
+            "grades": CLASSES,
+            "packages": PLANS,
             "fleet_size": 1,
             "me": 0,
             "zone": "a",
@@ -142,13 +145,23 @@
 
 
 def launch(
-    tree: Tree, folder: Path, config: dict[str, Any], wrap: list[str]
+    tree: Tree, folder: Path, config: dict[str, Any], command_prefix: list[str]
 ) -> tuple[subprocess.Popen[str], int]:
-    """Start the program of a tree as the platform does; its process, and the port that it listens on."""
+    """Start a tree's gateway as the platform does; returns its process and the port that it listens on.
+
+    Args:
+        tree: the tree to start.
+        folder: where the configuration file is written.
+        config: the gateway's configuration.
+        command_prefix: words before the gateway's command, such as a tracer.
+
+    Raises:
+        RuntimeError: the gateway ended before it listened.
+    """
     path = folder / f"config-{os.urandom(4).hex()}.json"
     path.write_text(json.dumps(config))
     process = subprocess.Popen(
-        [*wrap, sys.executable, "-P", "-m", tree.package],
+        [*command_prefix, sys.executable, "-P", "-m", tree.package],
         cwd=tree.path,
         text=True,
         stderr=subprocess.PIPE,
@@ -165,58 +178,62 @@
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
 
 
-def copied(pid: int) -> int:
-    """Bytes that went through its reads and writes."""
+def copied_bytes(pid: int) -> int:
+    """Bytes that a process has read and written by system calls."""
     lines = Path(f"/proc/{pid}/io").read_text().splitlines()
     return sum(int(line.split()[1]) for line in lines if line.startswith(("rchar", "wchar")))
 
 
-def wakeups(pid: int) -> int:
+def wake_up_count(pid: int) -> int:
     return int(re.findall(r"voluntary_ctxt_switches:\s+(\d+)", Path(f"/proc/{pid}/status").read_text())[0])
 
 
 class Subject:
-    """What is measured: a process that listens, and its load."""
+    """A measured process that listens on a port, and its load generator."""
 
     def __init__(self, name: str, pid: int, port: int, customers: int, close: Any) -> None:
         self.name, self.pid, self.close_process = name, pid, close
         self.load = Process("load", LOAD_CORE, port=port, customers=customers, connections=CONNECTIONS)
-        self.forget()
-
-    def forget(self) -> None:
-        """Begin a series of blocks."""
-        self.us: list[float] = []
-        self.bytes: list[float] = []
-        self.p50: list[float] = []
-        self.p99: list[float] = []
-        self.woken: list[float] = []
+        self.reset()
+
+    def reset(self) -> None:
+        """Clear the recorded figures before a new series of blocks."""
+        self.cpu_us: list[float] = []
+        self.copied_bytes: list[float] = []
+        self.p50_ms: list[float] = []
+        self.p99_ms: list[float] = []
+        self.wake_ups: list[float] = []
         self.statuses: dict[str, int] = {}
 
-    def block(self, requests: int, count: bool = True, rate: float = 0.0) -> dict[str, Any]:
-        cpu, woken, moved = cpu_s(self.pid), wakeups(self.pid), copied(self.pid)
-        got = self.load.play(requests=requests, rate=rate)
-        if count:
-            self.us.append((cpu_s(self.pid) - cpu) / requests * 1e6)
-            self.bytes.append((copied(self.pid) - moved) / requests)
-            self.p50.append(got["p50_ms"])
-            self.p99.append(got["p99_ms"])
-            self.woken.append((wakeups(self.pid) - woken) / requests)
-            for status, times in got["statuses"].items():
+    def run_block(self, requests: int, record: bool = True, rate: float = 0.0) -> dict[str, Any]:
+        cpu_before_s, wake_ups_before, copied_before = (
+            cpu_s(self.pid),
+            wake_up_count(self.pid),
+            copied_bytes(self.pid),
+        )
+        result = self.load.play(requests=requests, rate=rate)
+        if record:
+            self.cpu_us.append((cpu_s(self.pid) - cpu_before_s) / requests * 1e6)
+            self.copied_bytes.append((copied_bytes(self.pid) - copied_before) / requests)
+            self.p50_ms.append(result["p50_ms"])
+            self.p99_ms.append(result["p99_ms"])
+            self.wake_ups.append((wake_up_count(self.pid) - wake_ups_before) / requests)
+            for status, times in result["statuses"].items():
                 self.statuses[status] = self.statuses.get(status, 0) + times
-        return got
+        return result
 
     def close(self) -> None:
         self.load.close()
         self.close_process()
 
 
-def start(
-    name: str, tree: Tree | None, folder: Path, hosts: int, customers: int, back: dict[str, Process]
+def start_subject(
+    name: str, tree: Tree | None, folder: Path, hosts: int, customers: int, stand_ins: dict[str, Process]
 ) -> Subject:
     if tree is None:
-        proxy = Process(name, CORE, ports=back["hosts"].ports)
+        proxy = Process(name, CORE, ports=stand_ins["hosts"].ports)
         return Subject(name, proxy.process.pid, proxy.ports[0], customers, proxy.close)
-    process, port = gateway(tree, folder, hosts, back, [])
+    process, port = start_gateway(tree, folder, hosts, stand_ins, [])
 
     def close() -> None:
         process.kill()
@@ -227,41 +244,41 @@
 
 def measure(subjects: list[Subject], blocks: int, requests: int, rate: float) -> None:
     for subject in subjects:
-        subject.forget()
-        subject.block(max(requests, 4000), count=False)
+        subject.reset()
+        subject.run_block(max(requests, 4000), record=False)
     for turn in range(blocks):
         for subject in subjects if turn % 2 else reversed(subjects):
-            subject.block(requests, rate=rate)
+            subject.run_block(requests, rate=rate)
 
 
-def report(subjects: list[Subject], guard: bool) -> bool:
-    """Print what was measured; whether a figure is missed."""
+def report(subjects: list[Subject], check_regression: bool) -> bool:
+    """Print the recorded figures; returns whether one exceeds its bound."""
     first, missed = subjects[0], False
     for subject in subjects:
-        mean, least, most = ratio(list(zip(first.us, subject.us, strict=True)))
-        quick = statistics.quantiles(subject.us, n=10)[0]
+        mean, lower, upper = ratio(list(zip(first.cpu_us, subject.cpu_us, strict=True)))
+        quickest_us = statistics.quantiles(subject.cpu_us, n=10)[0]
         print(
-            f"{subject.name:28} {quick:6.1f} us a request, {mean:.2f} ({least:.2f} to {most:.2f}) of "
-            f"{first.name}; p50 {statistics.median(subject.p50):.2f}, "
-            f"p99 {statistics.median(subject.p99):.2f} ms; "
-            f"{statistics.mean(subject.woken):.2f} wake-ups, "
-            f"{statistics.mean(subject.bytes):.0f} bytes copied; {subject.statuses}",
+            f"{subject.name:28} {quickest_us:6.1f} us a request, {mean:.2f} ({lower:.2f} to {upper:.2f}) of "
+            f"{first.name}; p50 {statistics.median(subject.p50_ms):.2f}, "
+            f"p99 {statistics.median(subject.p99_ms):.2f} ms; "
+            f"{statistics.mean(subject.wake_ups):.2f} wake-ups, "
+            f"{statistics.mean(subject.copied_bytes):.0f} bytes copied; {subject.statuses}",
             flush=True,
         )
-        missed |= guard and worse(mean, least)
-        missed |= subject.name == "10 hosts, 200 customers" and mean > MOST_RATIO
+        missed |= check_regression and is_regression(mean, lower)
+        missed |= subject.name == "10 hosts, 200 customers" and mean > MAX_RATIO
     return missed
 
 
-def system_calls(tree: Tree, folder: Path, back: dict[str, Process], requests: int) -> None:
-    """What strace counts in the gateway under a load of a few thousand requests, by name."""
+def system_calls(tree: Tree, folder: Path, stand_ins: dict[str, Process], requests: int) -> None:
+    """Print the gateway's system calls per request by name, as counted by strace."""
     if shutil.which("strace") is None:
         print("system calls: not counted, there is no strace")
         return
     counts: list[dict[str, int]] = []
-    for requested in (500, 500 + requests):  # the difference leaves the start out
+    for requested in (500, 500 + requests):  # the difference excludes the start
         out = folder / f"strace-{requested}"
-        process, port = gateway(tree, folder, 10, back, ["strace", "-f", "-c", "-o", str(out)])
+        process, port = start_gateway(tree, folder, 10, stand_ins, ["strace", "-f", "-c", "-o", str(out)])
         load = Process("load", LOAD_CORE, port=port, customers=200, connections=CONNECTIONS)
         load.play(requests=requested)
         load.close()
@@ -270,17 +287,19 @@
         process.wait()
         rows = [line.split() for line in out.read_text().splitlines()]
         counts.append({r[-1]: int(r[3]) for r in rows if len(r) >= 5 and r[3].isdigit() and r[-1] != "total"})
-    each = {name: (n - counts[0].get(name, 0)) / requests for name, n in counts[1].items()}
+    per_request = {name: (n - counts[0].get(name, 0)) / requests for name, n in counts[1].items()}
     print(
         "system calls a request: "
-        + ", ".join(f"{name} {n:.2f}" for name, n in sorted(each.items(), key=lambda x: -x[1]) if n >= 0.01)
-        + f"; {sum(each.values()):.2f} in all"
+        + ", ".join(
+            f"{name} {n:.2f}" for name, n in sorted(per_request.items(), key=lambda x: -x[1]) if n >= 0.01
+        )
+        + f"; {sum(per_request.values()):.2f} in all"
     )
 
 
-def flame(tree: Tree, folder: Path, back: dict[str, Process], path: Path) -> None:
+def flame(tree: Tree, folder: Path, stand_ins: dict[str, Process], path: Path) -> None:
     spy = shutil.which("py-spy") or str(Path(sys.executable).with_name("py-spy"))
-    process, port = gateway(tree, folder, 10, back, [])
+    process, port = start_gateway(tree, folder, 10, stand_ins, [])
     load = Process("load", LOAD_CORE, port=port, customers=200, connections=CONNECTIONS)
     load.play(requests=2000)
     recorder = subprocess.Popen(
@@ -322,26 +341,31 @@
     missed = False
     with tempfile.TemporaryDirectory(prefix="hillmux-path-") as name:
         folder = Path(name)
-        back = {
-            "hosts": Process("hosts", HOSTS_CORE, ports=PORTS, full_every=FULL_EVERY),
+        stand_ins = {
+            "hosts": Process("hosts", HOSTS_CORE, ports=HOST_PORT_COUNT, full_every=REJECTION_INTERVAL),
             "counter": Process("counter", OTHERS_CORE),
         }
         tree, subjects = Tree(None), []
         try:
             if args.base:
                 old = Tree(args.base)
-                # A folder holds a compiled package (another checkout's build/run): compare it with ours.
-                new = Tree.built() if Path(args.base).is_dir() else tree
+                # A folder contains a compiled package (another checkout's build/run): compare with ours.
+                new = Tree.build() if Path(args.base).is_dir() else tree
                 subjects = [
-                    start("before", old, folder, 10, 200, back),
-                    start("now", new, folder, 10, 200, back),
+                    start_subject("before", old, folder, 10, 200, stand_ins),
+                    start_subject("now", new, folder, 10, 200, stand_ins),
                 ]
             else:
                 sizes = [(h, 200) for h in args.hosts] + [(10, c) for c in args.customers]
-                built = Tree.built()
-                subjects = [start(role, None, folder, 0, 200, back) for role in ("bare", "aiohttp")]
-                subjects.append(start("as source, 10 hosts", tree, folder, 10, 200, back))
-                subjects += [start(f"{h} hosts, {c} customers", built, folder, h, c, back) for h, c in sizes]
+                built_tree = Tree.build()
+                subjects = [
+                    start_subject(role, None, folder, 0, 200, stand_ins) for role in ("bare", "aiohttp")
+                ]
+                subjects.append(start_subject("as source, 10 hosts", tree, folder, 10, 200, stand_ins))
+                subjects += [
+                    start_subject(f"{h} hosts, {c} customers", built_tree, folder, h, c, stand_ins)
+                    for h, c in sizes
+                ]
             for rate in (0.0, args.open_rate):
                 measure(subjects, args.blocks, args.requests, rate)
                 print(
@@ -356,18 +380,21 @@
                 subject.close()
             subjects = []
             if args.system_calls:
-                system_calls(tree, folder, back, 2000)
+                system_calls(tree, folder, stand_ins, 2000)
             if args.flame:
-                flame(tree, folder, back, args.flame)
+                flame(tree, folder, stand_ins, args.flame)
         finally:
             for subject in subjects:
                 subject.close()
-            for process in back.values():
+            for process in stand_ins.values():
                 process.close()
     if args.base:
-        print(f"wanted: at most {WORSE} of before, or within the noise: {'missed' if missed else 'met'}")
+        print(
+            f"wanted: at most {MAX_MEAN_RATIO} of before, or within the noise: "
+            f"{'missed' if missed else 'met'}"
+        )
     else:
-        print(f"wanted: at most {MOST_RATIO} of the bare proxy: {'missed' if missed else 'met'}")
+        print(f"wanted: at most {MAX_RATIO} of the bare proxy: {'missed' if missed else 'met'}")
     return missed
 
 
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -2,8 +2,8 @@
 
     python benchmarks/soak.py [--seconds 240]
 
-Ends with 1 where a gateway holds over 3% more at the end than in the middle. The first third is left out:
-there the bounds fill.
+Exits with 1 if a gateway uses over 3% more memory at the end than in the middle, or if a rule is broken. The
+first third is ignored, since bounded stores fill up in it.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from hillmux.lab.run import play
 from hillmux.lab.scenario import Scenario
 
-GROWTH = 0.03
-LOOKS = 10  # samples whose median is compared
+MAX_GROWTH = 0.03
+SAMPLES = 10  # number of samples in each compared median
 
 
 def scenario(seconds: float) -> Scenario:
-    """Two gateways, 12 hosts that restart all along, 3,000 customers seen seldom."""
+    """Two gateways, 12 hosts that keep restarting, and 3,000 customers with few requests each."""
     plan = {"name": "basic", "share": 1.0, "rate": 0.3, "burst": 6.0, "width": 2, "ceiling": 2.0}
     read = {"name": "read", "share": 0.6, "work_ms": 4, "aim_ms": 2000, "deadline_ms": 3000, "worth": 3.0}
     book = {
@@ -38,12 +38,12 @@
         "window_ms": 4000,
     }
     faults = []
-    for at in range(5, int(seconds) - 5, 6):
-        host = f"host:h{at // 6 % 12}"
+    for start_s in range(5, int(seconds) - 5, 6):
+        host = f"host:h{start_s // 6 % 12}"
         faults += [
-            {"at_s": at, "what": "drain", "who": host},
-            {"at_s": at + 2, "what": "remove", "who": host},
-            {"at_s": at + 3, "what": "restart", "who": host},
+            {"at_s": start_s, "what": "drain", "who": host},
+            {"at_s": start_s + 2, "what": "remove", "who": host},
+            {"at_s": start_s + 3, "what": "restart", "who": host},
         ]
     return Scenario.model_validate(
         {
@@ -64,23 +64,23 @@
     seconds = parser.parse_args().seconds
     with tempfile.TemporaryDirectory() as out:
         result = play(scenario(seconds), Path(out) / "run", say=print)
-        held: dict[str, list[int]] = defaultdict(list)
+        memory_kb: dict[str, list[int]] = defaultdict(list)
         for event in record.read(result.folder):
             if event["ev"] == "memory":
-                held[event["who"]].append(event["kb"])
-    worst = 0.0
-    for name, kb in sorted(held.items()):
-        middle = median(kb[len(kb) // 2 - LOOKS // 2 : len(kb) // 2 + LOOKS // 2])
-        end = median(kb[-LOOKS:])
-        worst = max(worst, end / middle - 1)
+                memory_kb[event["who"]].append(event["kb"])
+    max_growth = 0.0
+    for name, kb in sorted(memory_kb.items()):
+        middle_kb = median(kb[len(kb) // 2 - SAMPLES // 2 : len(kb) // 2 + SAMPLES // 2])
+        end_kb = median(kb[-SAMPLES:])
+        max_growth = max(max_growth, end_kb / middle_kb - 1)
         print(
-            f"{name}: {kb[0]} kB at first, {middle:.0f} in the middle, {end:.0f} at the end "
-            f"({end / middle - 1:+.2%})"
+            f"{name}: {kb[0]} kB at first, {middle_kb:.0f} in the middle, {end_kb:.0f} at the end "
+            f"({end_kb / middle_kb - 1:+.2%})"
         )
     print(
         f"{result.figures.first} first tries; " + ", ".join(f"{v.rule} {v.says()}" for v in result.verdicts)
     )
-    return 0 if worst <= GROWTH and result.holds() else 1
+    return 0 if max_growth <= MAX_GROWTH and result.holds() else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -1,10 +1,10 @@
-"""The processes around the gateway in benchmarks/path.py: the lab's instant stand-ins, load, other proxies.
+"""Processes around the gateway in benchmarks/path.py: the lab's instant stand-ins, load, and other proxies.
 
     python benchmarks/standins.py ROLE      # its arguments come as a line of JSON
 
-Each prints a line of JSON once it is ready (its ports), and ends with its standard input. The load takes a
-case for each further line, and answers each with a line; counter and registry answer a line with what went
-over their connections.
+Each process prints its ports as a line of JSON once it is ready, and ends when its standard input is closed.
+The load runs a case for each further line and answers it with a line; counter and registry answer a line with
+the bytes and calls on their connections so far.
 """
 
 from __future__ import annotations
@@ -23,131 +23,144 @@
 
 from hillmux.lab.standins.instant import LOOP, counter, hosts, registry
 
-FRESH_S = 1.5  # a connection unused for longer may be closed by the other side just as we write to it
-MOST_WAITING = 10_000  # requests of an open loop that wait for a connection
+MAX_IDLE_S = 1.5  # connections idle for longer are replaced: the gateway may close them while we write
+MAX_QUEUED_REQUESTS = 10_000  # bound on open-loop requests that wait for a connection
 
 
 # --- Load ---
 
 
-class Asking(asyncio.Protocol):
-    """One connection of the load: a request at a time."""
+class LoadConnection(asyncio.Protocol):
+    """One connection of the load, with at most one request in flight."""
 
     def __init__(self, load: Load) -> None:
         self._load = load
-        self.asked = False
-        self.used = time.monotonic()
+        self.awaiting_response = False
+        self.last_used = time.monotonic()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport: Any = transport
         self._parser = httptools.HttpResponseParser(self)
 
-    def ask(self, data: bytes, due: float) -> None:
-        self._due, self.asked = due, True
+    def send_request(self, data: bytes, due: float) -> None:
+        self._due, self.awaiting_response = due, True
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
         self._parser.feed_data(data)
 
     def on_message_complete(self) -> None:
-        self.asked, self.used = False, time.monotonic()
-        self._load.answered(self, self._parser.get_status_code(), self._due)
+        self.awaiting_response, self.last_used = False, time.monotonic()
+        self._load.handle_response(self, self._parser.get_status_code(), self._due)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._load.lost(self)
+        self._load.handle_connection_loss(self)
 
 
 class Load:
-    """Requests of many customers and three classes, closed or open loop; latency from the intended time."""
+    """Sends requests of many customers and three classes, in a closed or open loop.
+
+    Latency counts from the time at which a request was due.
+    """
 
     def __init__(self, port: int, customers: int, connections: int, spread: int = 1, seed: int = 11) -> None:
-        """`spread` gateways take each customer's requests, as far as the gateway is told."""
-        self._port, self._customers, self._count = port, customers, connections
+        """`spread` is the number of gateways per customer that the requests state."""
+        self._port, self._customers, self._connection_count = port, customers, connections
         self._spread = spread
         self._random = random.Random(seed)
-        self._serial = 0
-        self._free: deque[Asking] = deque()
+        self._request_number = 0
+        self._free: deque[LoadConnection] = deque()
 
     async def connect(self) -> None:
-        """Dial anew what the other side has closed since: a gateway keeps an idle connection for seconds."""
+        """Replace closed connections and those idle for `MAX_IDLE_S`, which the gateway may close soon."""
         loop = asyncio.get_running_loop()
-        fresh = deque(
-            c for c in self._free if time.monotonic() - c.used < FRESH_S and not c.transport.is_closing()
+        reusable = deque(
+            c
+            for c in self._free
+            if time.monotonic() - c.last_used < MAX_IDLE_S and not c.transport.is_closing()
         )
-        for connection in set(self._free) - set(fresh):
+        for connection in set(self._free) - set(reusable):
             connection.transport.close()
-        self._free = fresh
-        while len(self._free) < self._count:
-            _, connection = await loop.create_connection(lambda: Asking(self), LOOP, self._port)
+        self._free = reusable
+        while len(self._free) < self._connection_count:
+            _, connection = await loop.create_connection(lambda: LoadConnection(self), LOOP, self._port)
             self._free.append(connection)
 
     def _request(self) -> bytes:
-        self._serial += 1
+        self._request_number += 1
         customer = int(self._random.random() * self._customers) * 7919
-        draw, rid = self._serial % 10, f"{self._serial:016x}"
-        cls, method = ("read", "GET") if draw < 7 else ("put", "POST") if draw < 9 else ("pay", "POST")
-        more = "" if method == "GET" else f"Content-Length: 2\r\nIdempotency-Key: {rid}\r\n"
+        draw, request_id = self._request_number % 10, f"{self._request_number:016x}"
+        request_class, method = (
+            ("read", "GET") if draw < 7 else ("put", "POST") if draw < 9 else ("pay", "POST")
+        )
+        more = "" if method == "GET" else f"Content-Length: 2\r\nIdempotency-Key: {request_id}\r\n"
         plan = "wide" if customer % 4 else "team"
         return (
-            f"{method} /api/{customer:016x} HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: {rid}\r\n"
-            f"X-Class: {cls}\r\nPlan: {plan}\r\nX-Deadline: 5000m\r\n"
+            f"{method} /api/{customer:016x} HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: {request_id}\r\n"
+            f"X-Class: {request_class}\r\nPlan: {plan}\r\nX-Deadline: 5000m\r\n"
             f"Quota-Info: units=1,spread={self._spread},first=0\r\n{more}\r\n{'{}' if more else ''}"
         ).encode()
 
-    def lost(self, connection: Asking) -> None:
-        if connection.asked and not self._done.done():
+    def handle_connection_loss(self, connection: LoadConnection) -> None:
+        if connection.awaiting_response and not self._done.done():
             self._done.set_exception(ConnectionError("a request was cut off"))
 
-    def answered(self, connection: Asking, status: int, due: float) -> None:
-        self._statuses[status] = self._statuses.get(status, 0) + 1
-        self._times.append(time.monotonic() - due)
-        if self._waiting:
-            connection.ask(*self._waiting.popleft())
-        elif self._rate == 0 and self._left:
-            self._left -= 1
-            connection.ask(self._made.pop(), time.monotonic())
+    def handle_response(self, connection: LoadConnection, status: int, due: float) -> None:
+        self._status_counts[status] = self._status_counts.get(status, 0) + 1
+        self._latencies_s.append(time.monotonic() - due)
+        if self._queued:
+            connection.send_request(*self._queued.popleft())
+        elif self._rate == 0 and self._remaining:
+            self._remaining -= 1
+            connection.send_request(self._prepared.pop(), time.monotonic())
         else:
             self._free.append(connection)
-        if len(self._times) == self._wanted and not self._done.done():
+        if len(self._latencies_s) == self._expected and not self._done.done():
             self._done.set_result(None)
 
     async def play(self, requests: int, rate: float = 0.0, from_written: bool = False) -> dict[str, Any]:
-        """So many requests: as fast as answers come, or at a rate whatever comes.
+        """Send requests and return statuses, duration and latencies.
+
+        Args:
+            requests: number of requests.
+            rate: requests a second of an open loop; 0 for a closed loop, which sends on each response.
+            from_written: count latency from the time at which a request is written if a connection was free;
+                excludes the delay of this process's timer, which has a resolution of 1 ms.
 
-        `from_written`: latency begins when a request is written, where a connection was free for it, so that
-        the timer of this process, a millisecond coarse, is not in it.
+        Raises:
+            RuntimeError: more than `MAX_QUEUED_REQUESTS` requests wait for a connection.
         """
         await self.connect()
         self._loop = asyncio.get_running_loop()
-        self._statuses: dict[int, int] = {}
-        self._times: list[float] = []
-        self._waiting: deque[tuple[bytes, float]] = deque()
-        self._made = [self._request() for _ in range(requests)]
+        self._status_counts: dict[int, int] = {}
+        self._latencies_s: list[float] = []
+        self._queued: deque[tuple[bytes, float]] = deque()
+        self._prepared = [self._request() for _ in range(requests)]
         self._done: asyncio.Future[None] = self._loop.create_future()
-        self._rate, self._wanted, self._left = rate, requests, requests
-        began = time.monotonic()
+        self._rate, self._expected, self._remaining = rate, requests, requests
+        started = time.monotonic()
         if rate == 0:
-            while self._free and self._left:
-                self._left -= 1
-                self._free.popleft().ask(self._made.pop(), time.monotonic())
+            while self._free and self._remaining:
+                self._remaining -= 1
+                self._free.popleft().send_request(self._prepared.pop(), time.monotonic())
         else:
-            for i, data in enumerate(self._made):
-                due = began + i / rate
+            for index, data in enumerate(self._prepared):
+                due = started + index / rate
                 while (wait := due - time.monotonic()) > 0:
                     await asyncio.sleep(max(wait, 0.001))
                 if self._free:
-                    self._free.popleft().ask(data, time.monotonic() if from_written else due)
-                elif len(self._waiting) < MOST_WAITING:
-                    self._waiting.append((data, due))
+                    self._free.popleft().send_request(data, time.monotonic() if from_written else due)
+                elif len(self._queued) < MAX_QUEUED_REQUESTS:
+                    self._queued.append((data, due))
                 else:
                     raise RuntimeError("the gateway is far behind the rate")
         await asyncio.wait_for(self._done, 120)
-        took = sorted(self._times)
+        sorted_latencies_s = sorted(self._latencies_s)
         return {
-            "statuses": self._statuses,
-            "s": time.monotonic() - began,
-            "p50_ms": 1000 * took[len(took) // 2],
-            "p99_ms": 1000 * took[len(took) * 99 // 100],
+            "statuses": self._status_counts,
+            "s": time.monotonic() - started,
+            "p50_ms": 1000 * sorted_latencies_s[len(sorted_latencies_s) // 2],
+            "p99_ms": 1000 * sorted_latencies_s[len(sorted_latencies_s) * 99 // 100],
         }
 
 
@@ -159,7 +172,7 @@
 
 
 class Upstream(asyncio.Protocol):
-    """A kept connection of the bare proxy to a host."""
+    """A persistent connection from the pass-through proxy to a host."""
 
     def __init__(self, free: list[Upstream]) -> None:
         self._free = free
@@ -178,11 +191,14 @@
         self._free.append(self)
 
 
-class Bare(asyncio.Protocol):
-    """What the two libraries cost at least: requests are parsed and passed on as they came, hosts in turn."""
+class PassThroughProxy(asyncio.Protocol):
+    """A proxy that parses requests and forwards them unchanged to hosts in turn.
 
-    def __init__(self, free: list[list[Upstream]], ports: list[int], turn: list[int]) -> None:
-        self._free, self._ports, self._turn = free, ports, turn
+    It shows the minimum cost with these libraries.
+    """
+
+    def __init__(self, free: list[list[Upstream]], ports: list[int], last_index: list[int]) -> None:
+        self._free, self._ports, self._last_index = free, ports, last_index
         self._parser = httptools.HttpRequestParser(self)
         self._data: list[bytes] = []
 
@@ -194,47 +210,53 @@
         self._parser.feed_data(data)
 
     def on_message_complete(self) -> None:
-        self._turn[0] = i = (self._turn[0] + 1) % len(self._ports)
+        self._last_index[0] = index = (self._last_index[0] + 1) % len(self._ports)
         data, self._data = b"".join(self._data), []
-        if self._free[i]:
-            upstream = self._free[i].pop()
+        if self._free[index]:
+            upstream = self._free[index].pop()
             upstream.client = self.transport
             upstream.transport.write(data)
         else:
-            asyncio.get_running_loop().create_task(self._dial(i, data))
+            asyncio.get_running_loop().create_task(self._dial(index, data))
 
-    async def _dial(self, i: int, data: bytes) -> None:
+    async def _dial(self, index: int, data: bytes) -> None:
         loop = asyncio.get_running_loop()
-        _, upstream = await loop.create_connection(lambda: Upstream(self._free[i]), LOOP, self._ports[i])
+        _, upstream = await loop.create_connection(
+            lambda: Upstream(self._free[index]), LOOP, self._ports[index]
+        )
         upstream.client = self.transport
         upstream.transport.write(data)
 
 
 async def bare(ports: list[int]) -> dict[str, Any]:
     free: list[list[Upstream]] = [[] for _ in ports]
-    turn = [0]
-    server = await asyncio.get_running_loop().create_server(lambda: Bare(free, ports, turn), LOOP, 0)
+    last_index = [0]
+    server = await asyncio.get_running_loop().create_server(
+        lambda: PassThroughProxy(free, ports, last_index), LOOP, 0
+    )
     return {"ports": [server.sockets[0].getsockname()[1]]}
 
 
 async def aiohttp_proxy(ports: list[int]) -> dict[str, Any]:
-    """What one would write with aiohttp."""
+    """A simple proxy written with aiohttp."""
     from aiohttp import ClientSession, TCPConnector, web
 
     session = ClientSession(connector=TCPConnector(limit=0), auto_decompress=False)
-    turn = 0
+    last_index = 0
 
-    async def passed_on(request: web.Request) -> web.Response:
-        nonlocal turn
-        turn = (turn + 1) % len(ports)
-        url = f"http://{LOOP}:{ports[turn]}{request.raw_path}"
+    async def forward(request: web.Request) -> web.Response:
+        nonlocal last_index
+        last_index = (last_index + 1) % len(ports)
+        url = f"http://{LOOP}:{ports[last_index]}{request.raw_path}"
         async with session.request(
             request.method, url, headers=request.headers, data=await request.read()
-        ) as got:
-            return web.Response(status=got.status, body=await got.read(), content_type=got.content_type)
+        ) as response:
+            return web.Response(
+                status=response.status, body=await response.read(), content_type=response.content_type
+            )
 
     app = web.Application()
-    app.router.add_route("*", "/{path:.*}", passed_on)
+    app.router.add_route("*", "/{path:.*}", forward)
     runner = web.AppRunner(app, access_log=None)
     await runner.setup()
     site = web.TCPSite(runner, LOOP, 0)
--- a/benchmarks/thousand.py
+++ b/benchmarks/thousand.py
@@ -2,8 +2,8 @@
 
     python benchmarks/thousand.py [--gateways 1000] [--seconds 60] [--seeds 1]
 
-Prints CPU seconds for each seed, figures, and when service was full again. Ends with 1 where two plays of
-a seed differ, a ceiling is passed, a host falls, or a try is left without an answer in time.
+Prints CPU seconds and figures for each seed, and the time to full service. Exits with 1 if two runs of a seed
+differ, a ceiling is exceeded, a host is overloaded, or an attempt times out.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from hillmux.lab.virtual.play import play
 from hillmux.recovery import full_service
 
-CEILING = 1.9
+CEILING_RATE = 1.9
 
 
 def scenario(gateways: int, seconds: float, seed: int) -> Scenario:
-    """A day whose load, hosts and counter grow with the gateways."""
-    middle = round(seconds / 2)
+    """A scenario whose load and counter capacity are proportional to the gateways."""
+    fault_s = round(seconds / 2)
     plans = [
         {"name": "basic", "share": 0.6, "rate": 1.6, "burst": 7.0, "worth": 0.9, "over_cost": 0.5,
          "width": min(gateways, 200)},
         {"name": "business", "share": 0.4, "rate": 4.7, "burst": 22.0, "worth": 1.3, "over_cost": 0.6,
-         "ceiling": CEILING, "width": 4},
+         "ceiling": CEILING_RATE, "width": 4},
     ]  # fmt: skip
     classes = [
         {"name": "lookup", "share": 0.7, "work_ms": 300, "aim_ms": 5000, "deadline_ms": 12000, "worth": 3.0},
@@ -39,32 +39,33 @@
             "name": "thousand",
             "seed": seed,
             "length_s": seconds,
-            # The model's bounds are those of a run of real processes; virtual time has none.
+            # These sizes are within the scenario's bounds, which apply to real processes; `with_fleet_size`
+            # exceeds them in virtual time.
             "fleet": {"gateways": 200, "hosts": 400, "counter_per_s": 2.5 * gateways, "notice_ms": 2000},
             "traffic": {"per_s": 2.0 * gateways, "plans": plans, "classes": classes, "heavy": 0.08},
             "faults": [
-                {"at_s": middle, "what": "kill", "who": "70% of gateways", "name": "herd"},
-                {"at_s": middle + 0.2, "what": "start", "who": "@herd", "over_s": 0.8},
+                {"at_s": fault_s, "what": "kill", "who": "70% of gateways", "name": "herd"},
+                {"at_s": fault_s + 0.2, "what": "start", "who": "@herd", "over_s": 0.8},
             ],
         }
     )
 
 
-def sized(day: Scenario, gateways: int) -> Scenario:
-    """The same with as many gateways and hosts as asked for, past the bounds of real processes."""
-    return day.model_copy(
-        update={"fleet": day.fleet.model_copy(update={"gateways": gateways, "hosts": gateways})}
+def with_fleet_size(definition: Scenario, gateways: int) -> Scenario:
+    """A copy with `gateways` gateways and as many hosts, without the bounds that apply to real processes."""
+    return definition.model_copy(
+        update={"fleet": definition.fleet.model_copy(update={"gateways": gateways, "hosts": gateways})}
     )
 
 
-def back(figures: SimulationFigures, middle: int, seconds: float) -> float | None:
-    """Seconds from the herd's last start until service is full."""
+def time_to_full_service(figures: SimulationFigures, fault_s: int, seconds: float) -> float | None:
+    """Seconds from the last start of the herd until full service; None if it was not reached."""
     windows = []
     for second in range(int(seconds)):
-        asked, served = figures.windows.get(second, [0.0, 0.0])
-        windows.append(full_service.ServiceWindow(asked, served))
-    baseline = full_service.baseline(windows[middle // 2 : middle])
-    return full_service.time_to_full(windows[middle + 1 :], baseline)
+        offered, served = figures.windows.get(second, [0.0, 0.0])
+        windows.append(full_service.ServiceWindow(offered, served))
+    baseline = full_service.baseline(windows[fault_s // 2 : fault_s])
+    return full_service.time_to_full(windows[fault_s + 1 :], baseline)
 
 
 def main() -> int:
@@ -74,31 +75,32 @@
     parser.add_argument("--seeds", type=int, default=1)
     parser.add_argument("--twice", action="store_true", help="play each seed twice and compare")
     args = parser.parse_args()
-    wrong = 0
+    failed = 0
     for seed in range(1, args.seeds + 1):
-        day = sized(scenario(args.gateways, args.seconds, seed), args.gateways)
-        begun = time.process_time()
-        world, figures = play(day)
-        took = time.process_time() - begun
-        same = not args.twice or play(day)[1] == figures
-        plan = next(p for p in day.traffic.plans if p.ceiling)
+        definition = with_fleet_size(scenario(args.gateways, args.seconds, seed), args.gateways)
+        started = time.process_time()
+        world, figures = play(definition)
+        cpu_s = time.process_time() - started
+        same = not args.twice or play(definition)[1] == figures
+        plan = next(p for p in definition.traffic.plans if p.ceiling)
         slack = max(0.1 * plan.ceiling * plan.burst, 4.0)
-        sound = (
+        valid = (
             same
             and figures.lowest_ceiling >= -slack
             and not figures.hosts_overloaded
             and not figures.timed_out
         )
-        wrong += not sound
-        at = back(figures, round(args.seconds / 2), args.seconds)
-        print(f"seed {seed}: {took:.0f} s of CPU for {args.seconds:g} s; {figures.requests} first tries, "
+        failed += not valid
+        full_service_s = time_to_full_service(figures, round(args.seconds / 2), args.seconds)
+        print(f"seed {seed}: {cpu_s:.0f} s of CPU for {args.seconds:g} s; {figures.requests} first tries, "
               f"{figures.attempts} tries, worth served {figures.served_value / figures.offered_value:.3f}, "
               f"counter calls {world.counter_calls} "
               f"({world.counter_calls_failed / max(world.counter_calls, 1):.0%} unheard), "
-              f"dials {world.connections}, full service {'not seen' if at is None else f'after {at:.0f} s'}"
-              f"{'' if sound else '; NOT SOUND'}{', twice the same' if args.twice and same else ''}",
+              f"dials {world.connections}, full service "
+              f"{'not seen' if full_service_s is None else f'after {full_service_s:.0f} s'}"
+              f"{'' if valid else '; NOT SOUND'}{', twice the same' if args.twice and same else ''}",
               flush=True)  # fmt: skip
-    return 1 if wrong else 0
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/trees.py
+++ b/benchmarks/trees.py
@@ -1,4 +1,4 @@
-"""Two states of the project side by side: trees of their own, and workers that play one of them each."""
+"""Trees of two revisions of the project, and worker processes that each run one of them."""
 
 from __future__ import annotations
 
@@ -18,10 +18,16 @@
 
 
 class Tree:
-    """The package at a revision, or in a folder that holds it, say another checkout's build/run.
+    """The package at a revision, or in a folder that contains it, such as another checkout's build/run.
 
-    `None` is the work tree. A revision is laid out in a temporary folder with its own benchmarks, since a
-    worker knows the names of its own revision only.
+    `None` is the work tree. A revision is extracted to a temporary folder together with its benchmarks, since
+    a worker uses the names of its own revision.
+
+    Attributes:
+        name: revision, folder or "work tree", for output.
+        path: folder that contains the package.
+        scripts: folder that contains the benchmarks that match the package.
+        package: name of the package.
     """
 
     def __init__(self, revision: str | None) -> None:
@@ -37,8 +43,8 @@
         self.package = package_in(self.path)
 
     @classmethod
-    def built(cls) -> Tree:
-        """The work tree as deploy/compile.py makes it ready to be started."""
+    def build(cls) -> Tree:
+        """Compile the work tree with deploy/compile.py and return the result."""
         subprocess.run(
             [sys.executable, str(ROOT / "deploy/compile.py")], check=True, stdout=subprocess.DEVNULL
         )
@@ -52,7 +58,7 @@
 
 
 class Worker:
-    """A process that plays one tree: a case in, an answer out, one line of JSON each."""
+    """A process that runs one tree; it reads cases and writes answers, each as one line of JSON."""
 
     def __init__(self, tree: Tree, script: str, core: int | None = None) -> None:
         command = [sys.executable, str(tree.scripts / "benchmarks" / script)]
@@ -120,28 +126,32 @@
 )
 
 
-WORSE, SURE = 1.03, 1.01  # a change is worse where the mean ratio and its interval's lower end exceed these
+# A change is a regression if both the mean ratio and the lower end of its interval exceed these.
+MAX_MEAN_RATIO, MAX_LOWER_BOUND = 1.03, 1.01
 
 
-def worse(mean: float, least: float) -> bool:
-    """Whether a ratio tells of a change for the worse: a twentieth more is found, no change passes."""
-    return mean > WORSE and least > SURE
+def is_regression(mean: float, lower: float) -> bool:
+    """Whether a mean ratio and its lower bound show a regression; detects 5% more, and ignores noise."""
+    return mean > MAX_MEAN_RATIO and lower > MAX_LOWER_BOUND
 
 
 def ratio(pairs: Sequence[tuple[float, float]]) -> tuple[float, float, float]:
-    """The ratio of each pair's second to its first: geometric mean, and its 95% interval (Student's t).
+    """Ratio of each pair's second value to its first: geometric mean and its 95% interval (Student's t).
+
+    The smallest and largest tenth of the ratios are set to the bounds of the others (winsorised), since other
+    load on the machine disturbs single pairs.
 
-    The tenth part of the pairs at either end is cut to the bounds of the rest (winsorised): a
-    neighbour on the machine hits single ones.
+    Raises:
+        ValueError: there are fewer than 3 pairs.
     """
     logs = sorted(math.log(new / old) for old, new in pairs)
     count = len(logs)
     if count < 3:
         raise ValueError(f"pairs: found {count}, expected 3 or more")
-    cut = count // 10
-    logs = [min(max(x, logs[cut]), logs[count - 1 - cut]) for x in logs]
+    trimmed = count // 10
+    logs = [min(max(x, logs[trimmed]), logs[count - 1 - trimmed]) for x in logs]
     mean = sum(logs) / count
     spread = math.sqrt(sum((x - mean) ** 2 for x in logs) / (count - 1))
-    degrees = max(count - 2 * cut - 1, 1)
-    reach = T_95[min(degrees, len(T_95)) - 1] * spread * (count - 1) / degrees / math.sqrt(count)
-    return math.exp(mean), math.exp(mean - reach), math.exp(mean + reach)
+    degrees = max(count - 2 * trimmed - 1, 1)
+    half_width = T_95[min(degrees, len(T_95)) - 1] * spread * (count - 1) / degrees / math.sqrt(count)
+    return math.exp(mean), math.exp(mean - half_width), math.exp(mean + half_width)
--- a/tests/capacity/test_single_guards.py
+++ b/tests/capacity/test_single_guards.py
@@ -57,8 +57,8 @@
     class CountingPlay(Play):
         """Records the names of all counter calls."""
 
-        def give(self, event: api.Event) -> None:
-            super().give(event)
+        def handle_event(self, event: api.Event) -> None:
+            super().handle_event(event)
             if isinstance(event, api.CounterReply):
                 names.append(event.name)
 
