--- a/benchmarks/capacity/hosts.py
+++ b/benchmarks/capacity/hosts.py
@@ -82,7 +82,7 @@
         super().__init__(hosts, CUSTOMERS, seed=seed)
 
     def handle_event(self, event: api.Event) -> None:
-        """Pass an event to the decision module; time of a timer goes to `sweeps_s` instead of `spent`."""
+        """Pass an event to the decision module; a timer's time goes to `sweeps_s` only."""
         spent_before = self.module_time_s
         super().handle_event(event)
         if isinstance(event, api.TimerFired):
--- a/benchmarks/capacity/operator_figures.py
+++ b/benchmarks/capacity/operator_figures.py
@@ -11,9 +11,8 @@
 
 OK, REFUSED, FAILED = 200, 429, 502
 DAY_S = 86_400
-REQUESTS_PER_DAY = int(
-    FULL.requests_per_gateway * DAY_S
-)  # gives the figures as many digits as after a full day
+# Gives the metrics as many digits as they have after a full day.
+REQUESTS_PER_DAY = int(FULL.requests_per_gateway * DAY_S)
 STATUS_SHARES = {OK: 0.9, REFUSED: 0.09, FAILED: 0.01}
 
 
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -6,8 +6,8 @@
 unequal shares of the traffic, and some have just restarted and have no record of requests sent before. N is
 the host's budget in `overload_after_ms` at its start, in requests of mean work; it grows as the host warms.
 For each window of the first seconds, the requests of all gateways and their work in means are counted. A seed
-exceeds the limit if either is above N + 2 x root N + 2. No gateway knows a request's work in advance. Work is
-exponentially distributed: one request in 150 alone has 5 means, which is the entire limit for N = 1.
+exceeds the limit if either is above N + 2 x root N + 2. No gateway knows a request's work in advance. It is
+exponentially distributed: one request in 150 has 5 means or more, which is the entire limit for N = 1.
 """
 
 from __future__ import annotations
@@ -43,9 +43,8 @@
     """Largest share of the limit that was used in any window, by requests and by work."""
     rng = random.Random(seed)
     settings = replace(SETTINGS, fleet_size=gateways)
-    budget = (
-        settings.overload_multiple * settings.overload_after_ms
-    )  # of one host, times warmth and rate per ms
+    # Times the host's warmth and `rate`, this is its budget in requests.
+    budget = settings.overload_multiple * settings.overload_after_ms
     rate = allowed / (settings.slow_start_min_share * budget)  # requests per ms that a warm host can do
     endpoints = [api.Endpoint(f"h{i}") for i in range(HOSTS)]
 
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -1,9 +1,9 @@
 """What the decision module costs a request: by hosts, by customers, and against a revision before.
 
-    python benchmarks/module.py                     # the work tree alone, figures of docs/cost.md
-    python benchmarks/module.py --base REVISION     # both in turn, ratios with their 95% interval
-    python benchmarks/module.py --base REVISION --plant 0.05    # a twentieth wasted on purpose
-    python benchmarks/module.py --svg docs/cost.svg # and the picture
+    python benchmarks/module.py                     # the work tree alone, for the figures of docs/cost.md
+    python benchmarks/module.py --base REVISION     # compares both; ratios with their 95% interval
+    python benchmarks/module.py --base REVISION --plant 0.05    # wastes 5% on purpose in the work tree
+    python benchmarks/module.py --svg docs/cost.svg # also writes the chart
 
 Measures time within the module, in processes that share one core. Small and large cases, or old and new
 revisions, alternate within one run in blocks of some 20 ms. A core of a shared machine has two speeds, a
--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -2,7 +2,7 @@
 
 Where a backup guard would hide the fault, it is disabled as well, since the checker is what is tested.
 
-    python benchmarks/mutations.py [--only NAME] [--out FOLDER]
+    python benchmarks/mutations.py [--only NAME]
 
 Exits with 1 if a planted fault is not found, or if a rule is broken on the unchanged tree. Each scenario runs
 on the unchanged tree first, to detect a checker that always reports a violation.
@@ -101,11 +101,8 @@
 )
 TERMINATED_GATEWAY = (
     {"at_s": 0.5, "what": "term", "who": "gateway:0"},
-    {
-        "at_s": 4.25,
-        "what": "kill",
-        "who": "gateway:0",
-    },  # the earliest time allowed, 3 s + 0.7 s after the signal
+    # The earliest time allowed for the kill, 3 s + 0.7 s after the signal.
+    {"at_s": 4.25, "what": "kill", "who": "gateway:0"},
 )
 RESTARTED_GATEWAY = (
     {"at_s": 1.0, "what": "kill", "who": "gateway:0"},
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,8 +1,8 @@
 """What a request costs on the whole path, beside a bare proxy of the same libraries and one of aiohttp.
 
     python benchmarks/path.py [--hosts 10 1000] [--customers 20000] [--system-calls] [--flame FILE.svg]
-    python benchmarks/path.py --base REVISION     # this tree and one before, in turn
-    python benchmarks/path.py --base FOLDER       # another checkout's build/run and ours, compiled
+    python benchmarks/path.py --base REVISION     # compares the work tree with an earlier revision
+    python benchmarks/path.py --base FOLDER       # compares our compiled build with another's build/run
 
 The gateway is started as the platform starts it (from build/run), with counter and registry. Gateways and
 proxies use the same core in turn; load, hosts and the other stand-ins have a core each. CPU time is what the
--- a/benchmarks/trees.py
+++ b/benchmarks/trees.py
@@ -131,7 +131,10 @@
 
 
 def is_regression(mean: float, lower: float) -> bool:
-    """Whether a mean ratio and its lower bound show a regression; detects 5% more, and ignores noise."""
+    """Whether a mean ratio and its lower bound show a regression.
+
+    The bounds detect 5% more cost, and let two runs of the same code pass.
+    """
     return mean > MAX_MEAN_RATIO and lower > MAX_LOWER_BOUND
 
 
