--- a/benchmarks/capacity/rows_processor.py
+++ b/benchmarks/capacity/rows_processor.py
@@ -1,52 +1,52 @@
-"""Rows of the gateway: its processor time."""
+"""Rows of the gateway's processor time."""
 
 from __future__ import annotations
 
 from benchmarks.capacity.assumptions import (
-    CHANGES_OF_HOSTS_PER_DAY,
     COUNTER_CALL_US,
-    GATEWAYS_SEEING_A_CUSTOMER,
+    GATEWAYS_PER_CUSTOMER,
+    HOST_CHANGES_PER_DAY,
     REQUEST_PATH_SHARE,
     SWEEPS_PER_S,
 )
-from benchmarks.capacity.row import Resource, Role, Row, at
-from benchmarks.capacity.situations import ORDINARY, PEAK, RESTART, ZONE, Situation
-from benchmarks.capacity.size import FULL
-from benchmarks.capacity.terms import (
-    AHEAD,
-    CHANGES_PER_S,
-    COUNTER,
+from benchmarks.capacity.row import Resource, Role, Row, at_size
+from benchmarks.capacity.row_constants import (
+    CALL_OWNING_COUNTER,
+    CONFIG_CHANGES_PER_S,
+    COUNTER_MECHANISM,
     HOST_CHANGES_PER_S,
-    LIST,
-    RELOAD,
-    SEEING,
+    LIST_MECHANISM,
+    LOAD_LABELS,
+    RELOAD_MECHANISM,
+    REPLICAS,
     START_CPU_MS,
-    USE,
-    WATCH,
+    WATCH_MECHANISM,
 )
+from benchmarks.capacity.situations import ORDINARY_DAY, PEAK, ZONE_LOSS, ZONE_RESTART, Situation
+from benchmarks.capacity.size import FULL
 
 
-def counter_calls(situation: Situation, load: str = "half") -> Row:
-    """Processor time of the calls to the counter, with their sockets."""
+def counter_calls_row(situation: Situation, load: str = "half") -> Row:
+    """Row of the processor time of calls to the counter, including sockets."""
     rate = situation.requests_per_gateway
     return Row(
         role=Role.GATEWAY,
         resource=Resource.PROCESSOR,
         situation=situation,
-        what=f"calls to the counter, {USE[load]}, a customer seen by {SEEING}",
+        what=f"calls to the counter, {LOAD_LABELS[load]}, a customer seen by {REPLICAS}",
         unit="cores",
         budget=FULL.control_cpu_share,
-        worked=f"calls a request x {rate:.0f} requests/s x {COUNTER_CALL_US.value:g} us",
-        mechanism=COUNTER,
-        readings=(at(f"counting.{load}.calls_per_request", SEEING),),
+        derivation=f"calls a request x {rate:.0f} requests/s x {COUNTER_CALL_US.value:g} us",
+        mechanism=COUNTER_MECHANISM,
+        readings=(at_size(f"counting.{load}.calls_per_request", REPLICAS),),
         formula=lambda calls: calls * rate * COUNTER_CALL_US.value / 1e6,
-        how=AHEAD,
-        assumed=(COUNTER_CALL_US, GATEWAYS_SEEING_A_CUSTOMER),
+        how=CALL_OWNING_COUNTER,
+        assumed=(COUNTER_CALL_US, GATEWAYS_PER_CUSTOMER),
     )
 
 
-def counter_time(situation: Situation) -> Row:
-    """Processor time of the decision with the counter's client, without sockets."""
+def decision_time_row(situation: Situation) -> Row:
+    """Row of the processor time of decisions and counter calls, without sockets."""
     rate = situation.requests_per_gateway
     return Row(
         role=Role.GATEWAY,
@@ -55,9 +55,9 @@
         what="decisions and counter calls, without sockets (request path, not control)",
         unit="cores",
         budget=REQUEST_PATH_SHARE.value,
-        worked=f"us a request x {rate:.0f} requests/s",
-        mechanism=COUNTER,
-        readings=(at("counting.fleet.cpu_us_per_request", FULL.gateways),),
+        derivation=f"us a request x {rate:.0f} requests/s",
+        mechanism=COUNTER_MECHANISM,
+        readings=(at_size("counting.fleet.cpu_us_per_request", FULL.gateways),),
         formula=lambda us: us * rate / 1e6,
         assumed=(REQUEST_PATH_SHARE,),
     )
@@ -67,97 +67,97 @@
     Row(
         role=Role.GATEWAY,
         resource=Resource.PROCESSOR,
-        situation=ORDINARY,
+        situation=ORDINARY_DAY,
         what="no request: sweeps, watches, timers of a real gateway",
         unit="cores",
         budget=FULL.control_cpu_share,
-        worked="as measured",
+        derivation="as measured",
         mechanism="the sweep in 100 ms, the watch",
-        readings=(at("anchors.gateway.idle_cpu_share", PEAK.requests_per_gateway),),
-        formula=lambda share: share,
+        readings=(at_size("anchors.gateway.idle_cpu_share", PEAK.requests_per_gateway),),
+        formula=lambda unbudgeted_row: unbudgeted_row,
     ),
     Row(
         role=Role.GATEWAY,
         resource=Resource.PROCESSOR,
-        situation=ORDINARY,
+        situation=ORDINARY_DAY,
         what="sweeps of one decision module",
         unit="cores",
         budget=FULL.control_cpu_share,
-        worked="us a sweep x 10 sweeps/s",
+        derivation="us a sweep x 10 sweeps/s",
         mechanism="the sweep in 100 ms (`balancing/`)",
-        readings=(at("hosts.choice.sweep_us", FULL.hosts),),
+        readings=(at_size("hosts.choice.sweep_us", FULL.hosts),),
         formula=lambda us: us * SWEEPS_PER_S.value / 1e6,
         assumed=(SWEEPS_PER_S,),
     ),
     Row(
         role=Role.GATEWAY,
         resource=Resource.PROCESSOR,
-        situation=ORDINARY,
+        situation=ORDINARY_DAY,
         what="changes of the list of hosts",
         unit="cores",
         budget=FULL.control_cpu_share,
-        worked=f"us of a change x {HOST_CHANGES_PER_S:.3f} changes/s",
-        mechanism=WATCH,
-        readings=(at("hosts.list.change_us", FULL.hosts),),
+        derivation=f"us of a change x {HOST_CHANGES_PER_S:.3f} changes/s",
+        mechanism=WATCH_MECHANISM,
+        readings=(at_size("hosts.list.change_us", FULL.hosts),),
         formula=lambda us: us * HOST_CHANGES_PER_S / 1e6,
-        assumed=(CHANGES_OF_HOSTS_PER_DAY,),
+        assumed=(HOST_CHANGES_PER_DAY,),
     ),
     Row(
         role=Role.GATEWAY,
         resource=Resource.PROCESSOR,
-        situation=RESTART,
+        situation=ZONE_RESTART,
         what="the whole list of hosts at a start",
         unit="ms",
         budget=START_CPU_MS,
-        worked="ms to parse + ms to take; budget: 3.1% of a core over 17 s",
-        mechanism=LIST,
-        readings=(at("hosts.list.parse_ms", FULL.hosts), at("hosts.list.apply_ms", FULL.hosts)),
-        formula=lambda parse, take: parse + take,
+        derivation="ms to parse + ms to take; budget: 3.1% of a core over 17 s",
+        mechanism=LIST_MECHANISM,
+        readings=(at_size("hosts.list.parse_ms", FULL.hosts), at_size("hosts.list.apply_ms", FULL.hosts)),
+        formula=lambda parse, apply: parse + apply,
         how="the list taken in parts",
     ),
     Row(
         role=Role.GATEWAY,
         resource=Resource.PROCESSOR,
-        situation=RESTART,
+        situation=ZONE_RESTART,
         what="a real start with the whole list",
         unit="ms",
         budget=START_CPU_MS,
-        worked="CPU until ready; budget: 3.1% of a core over 17 s",
-        mechanism=LIST,
-        readings=(at("anchors.list.cpu_ms_to_ready", FULL.hosts),),
+        derivation="CPU until ready; budget: 3.1% of a core over 17 s",
+        mechanism=LIST_MECHANISM,
+        readings=(at_size("anchors.list.cpu_ms_to_ready", FULL.hosts),),
         formula=lambda cpu: cpu,
         how="less to import at a start",
     ),
     Row(
         role=Role.GATEWAY,
         resource=Resource.PROCESSOR,
-        situation=ORDINARY,
+        situation=ORDINARY_DAY,
         what="hosted service: the configuration read anew at each of 1,200 changes a day",
         unit="cores",
         budget=FULL.control_cpu_share,
-        worked=f"ms of a change, with the reading, x {CHANGES_PER_S:.4f} changes/s",
-        mechanism=RELOAD,
-        readings=(at("tenants.configuration.change_ms", FULL.tenants),),
-        formula=lambda change: change * CHANGES_PER_S / 1000,
+        derivation=f"ms of a change, with the reading, x {CONFIG_CHANGES_PER_S:.4f} changes/s",
+        mechanism=RELOAD_MECHANISM,
+        readings=(at_size("tenants.configuration.change_ms", FULL.tenants),),
+        formula=lambda change: change * CONFIG_CHANGES_PER_S / 1000,
         how="only what changed is read",
     ),
-    counter_calls(ORDINARY),
-    counter_calls(PEAK),
-    counter_calls(PEAK, "ninety"),
-    counter_calls(PEAK, "flood"),
-    counter_calls(ZONE),
-    counter_time(PEAK),
+    counter_calls_row(ORDINARY_DAY),
+    counter_calls_row(PEAK),
+    counter_calls_row(PEAK, "ninety"),
+    counter_calls_row(PEAK, "flood"),
+    counter_calls_row(ZONE_LOSS),
+    decision_time_row(PEAK),
     Row(
         role=Role.GATEWAY,
         resource=Resource.PROCESSOR,
-        situation=ORDINARY,
+        situation=ORDINARY_DAY,
         what="hosted service: no request, 62,000 tenants asleep",
         unit="cores",
         budget=FULL.control_cpu_share,
-        worked="as measured",
+        derivation="as measured",
         mechanism="tenants asleep have no timer (`tenants/registry.py`)",
-        readings=(at("tenants.idle.cpu_share", FULL.tenants),),
-        formula=lambda share: share,
+        readings=(at_size("tenants.idle.cpu_share", FULL.tenants),),
+        formula=lambda unbudgeted_row: unbudgeted_row,
     ),
     Row(
         role=Role.GATEWAY,
@@ -166,20 +166,20 @@
         what="platform's start: control in all",
         unit="cores",
         budget=FULL.control_cpu_share,
-        worked="no request + calls to the counter, half of each quota used + changes of the list",
-        mechanism=f"{COUNTER}; {WATCH}",
+        derivation="no request + calls to the counter, half of each quota used + changes of the list",
+        mechanism=f"{COUNTER_MECHANISM}; {WATCH_MECHANISM}",
         readings=(
-            at("anchors.gateway.idle_cpu_share", PEAK.requests_per_gateway),
-            at("counting.half.calls_per_request", SEEING),
-            at("hosts.list.change_us", FULL.hosts),
+            at_size("anchors.gateway.idle_cpu_share", PEAK.requests_per_gateway),
+            at_size("counting.half.calls_per_request", REPLICAS),
+            at_size("hosts.list.change_us", FULL.hosts),
         ),
         formula=lambda idle, calls, change: (
             idle
             + calls * PEAK.requests_per_gateway * COUNTER_CALL_US.value / 1e6
             + change * HOST_CHANGES_PER_S / 1e6
         ),
-        how=AHEAD,
-        assumed=(COUNTER_CALL_US, GATEWAYS_SEEING_A_CUSTOMER, CHANGES_OF_HOSTS_PER_DAY),
+        how=CALL_OWNING_COUNTER,
+        assumed=(COUNTER_CALL_US, GATEWAYS_PER_CUSTOMER, HOST_CHANGES_PER_DAY),
     ),
     Row(
         role=Role.GATEWAY,
@@ -188,10 +188,10 @@
         what="decisions of the module alone (request path, not control)",
         unit="cores",
         budget=REQUEST_PATH_SHARE.value,
-        worked="share of a core at 197 requests/s",
+        derivation="share of a core at 197 requests/s",
         mechanism="the decision module (`decision/`)",
-        readings=(at("requests.module.cpu_share", PEAK.requests_per_gateway),),
-        formula=lambda share: share,
+        readings=(at_size("requests.module.cpu_share", PEAK.requests_per_gateway),),
+        formula=lambda unbudgeted_row: unbudgeted_row,
         assumed=(REQUEST_PATH_SHARE,),
     ),
     Row(
@@ -201,9 +201,9 @@
         what="hosted service: the look-up of a route",
         unit="cores",
         budget=REQUEST_PATH_SHARE.value,
-        worked="us a look-up x 197 requests/s",
+        derivation="us a look-up x 197 requests/s",
         mechanism="the router's dictionaries (`tenants/`)",
-        readings=(at("routes.lookup.us", FULL.routes),),
+        readings=(at_size("routes.lookup.us", FULL.routes),),
         formula=lambda us: us * PEAK.requests_per_gateway / 1e6,
         assumed=(REQUEST_PATH_SHARE,),
     ),
